--- a/crates/planner/src/load.rs
+++ b/crates/planner/src/load.rs
@@ -5,12 +5,12 @@
 //! what is usual for them, with a period of some seconds up to a minute, while single tasks have
 //! bursts of a second or two of their own. A reading of one task is rough; those of all tasks of the
 //! step, taken together, tell where the swing is and so where it will be in a second or two. The
-//! unit is the headroom of [`crate::interfere`].
+//! unit is the headroom of [`crate::interference`].
 //!
 //! Filters of Kalman's kind follow a pendulum: the usual level, how far the load is from it, and how
 //! fast that changes. The period differs between deployments and isn't known, so several filters run
 //! beside each other, each for another period, and the one that has foretold the latest readings best
-//! is believed; by half as it did for this step, by half for the whole cell ([`Rhythm`]), which is
+//! is believed; by half as it did for this step, by half for the whole cell ([`Periodicity`]), which is
 //! known sooner. Against a level and its slope alone, this halves the variance of what is foretold
 //! for half a second ahead, and takes two thirds off for two seconds (docs/POLICY.md).
 //!
@@ -27,37 +27,37 @@
 /// Periods that are told apart, in seconds: from what readings twice a second can show up to swings
 /// as slow as the cell's work changes anyway. A denser row foretells better by 3 % at most. Until
 /// something is read the first is believed, so those in the middle come first.
-const PERIODS: [f64; FILTERS] = [12.0, 16.0, 9.5, 21.0, 7.0, 28.0, 5.0, 40.0];
-const FILTERS: usize = 8;
+const PERIODS: [f64; FILTER_COUNT] = [12.0, 16.0, 9.5, 21.0, 7.0, 28.0, 5.0, 40.0];
+const FILTER_COUNT: usize = 8;
 /// Variance of a step's usual level around that of its image.
 const USUAL_VARIANCE: f64 = 0.3;
 /// Variance of a load's swing: loads that swing by half were seen.
-const SWING_VARIANCE: f64 = 0.5;
+const OFFSET_VARIANCE: f64 = 0.5;
 /// How fast the usual level wanders, per second.
 const USUAL_DRIFT: f64 = 0.001;
 /// How fast a swing wanders off the pendulum's, per second. A quarter or four times as much foretold
 /// recorded readings worse, by up to 4 %; the variance of bursts below, by up to 2 %.
-const SWING_DRIFT: f64 = 0.02;
+const OFFSET_DRIFT: f64 = 0.02;
 /// How fast a swing that isn't read fades, per second.
-const SWING_FADE: f64 = 0.03;
+const OFFSET_DECAY: f64 = 0.03;
 /// Variance of single tasks around their step's load, which bursts make.
 const BURST_VARIANCE: f64 = 0.1;
 /// Weight of the newest reading in how well a filter fits a step: some tens of readings, a few
 /// seconds of a step with several tasks.
-const FIT_PART: f64 = 0.03;
+const FIT_WEIGHT: f64 = 0.03;
 /// The same for the whole cell, which reads a few hundred tasks a second.
-const CELL_FIT_PART: f64 = 0.002;
+const CELL_FIT_WEIGHT: f64 = 0.002;
 /// Part of the cell in how well a filter fits.
-const CELL_PART: f64 = 0.5;
+const CELL_FRACTION: f64 = 0.5;
 /// Errors count up to this many standard deviations; what is beyond is a task's own burst.
-const CUT_OFF: f64 = 2.5;
+const MAX_DEVIATIONS: f64 = 2.5;
 /// Weight of the newest reading in a task's own deviation: bursts begin and end at once and last
 /// for two readings or four.
-const DEVIATION_PART: f64 = 0.7;
+const DEVIATION_WEIGHT: f64 = 0.7;
 /// Part of a task's deviation that is a burst, which may go on, and not a rough reading.
-const BURST_PART: f64 = 0.7;
+const BURST_FRACTION: f64 = 0.7;
 /// How fast bursts end, per second.
-const BURST_FADE: f64 = 1.2;
+const BURST_DECAY: f64 = 1.2;
 
 /// Follows the swing of one period.
 #[derive(Clone, Copy, Debug)]
@@ -78,8 +78,8 @@
 impl Filter {
     fn open(period: f64, usual: f64) -> Filter {
         let frequency = TAU / period;
-        let speed = SWING_VARIANCE * frequency * frequency;
-        let variance = [USUAL_VARIANCE, 0.0, 0.0, SWING_VARIANCE, 0.0, speed];
+        let speed = OFFSET_VARIANCE * frequency * frequency;
+        let variance = [USUAL_VARIANCE, 0.0, 0.0, OFFSET_VARIANCE, 0.0, speed];
         Filter { frequency, usual, offset: 0.0, speed: 0.0, variance, misfit: 0.0 }
     }
 
@@ -87,7 +87,7 @@
     /// surely known afterwards.
     fn advance(&mut self, passed: f64) {
         let (sin, cos) = (self.frequency * passed).sin_cos();
-        let fade = (-SWING_FADE * passed).exp();
+        let fade = (-OFFSET_DECAY * passed).exp();
         let keep = fade * cos;
         let from_speed = fade * sin / self.frequency;
         let from_offset = -fade * sin * self.frequency;
@@ -95,7 +95,7 @@
         self.offset = keep * offset + from_speed * speed;
         self.speed = from_offset * offset + keep * speed;
         let [uu, uo, us, oo, os, ss] = self.variance;
-        let drift = SWING_DRIFT * passed;
+        let drift = OFFSET_DRIFT * passed;
         self.variance = [
             uu + USUAL_DRIFT * passed,
             keep * uo + from_speed * us,
@@ -124,7 +124,7 @@
     fn correct(&mut self, own: f64, noise: f64) -> f64 {
         let [uu, uo, us, oo, os, ss] = self.variance;
         let total = self.level_variance() + noise;
-        let error = cut_off(own - self.usual - self.offset, total);
+        let error = clamp_error(own - self.usual - self.offset, total);
         let (usual, offset, speed) = (uu + uo, uo + oo, us + os);
         self.usual += usual / total * error;
         self.offset += offset / total * error;
@@ -138,7 +138,7 @@
             ss - speed * speed / total,
         ];
         let surprise = error * error / total + total.ln();
-        self.misfit += FIT_PART * (surprise - self.misfit);
+        self.misfit += FIT_WEIGHT * (surprise - self.misfit);
         surprise
     }
 }
@@ -146,15 +146,15 @@
 /// Which period fits the loads of the whole cell.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
-pub(crate) struct Rhythm {
-    misfits: [f64; FILTERS],
+pub(crate) struct Periodicity {
+    misfits: [f64; FILTER_COUNT],
 }
 
 /// The load of a step that serves.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Load {
     at: Time,
-    filters: [Filter; FILTERS],
+    filters: [Filter; FILTER_COUNT],
     /// The filter that is believed.
     best: usize,
 }
@@ -182,15 +182,16 @@
     }
 
     /// Takes in the headroom that a task has without what fills beside it, read with this variance.
-    pub(crate) fn correct(&mut self, own: f64, noise: f64, rhythm: &mut Rhythm) {
+    pub(crate) fn correct(&mut self, own: f64, noise: f64, rhythm: &mut Periodicity) {
         for (filter, cell) in self.filters.iter_mut().zip(&mut rhythm.misfits) {
             let surprise = filter.correct(own, noise + BURST_VARIANCE);
-            *cell += CELL_FIT_PART * (surprise - *cell);
+            *cell += CELL_FIT_WEIGHT * (surprise - *cell);
         }
         let misfit = |index: usize| {
-            self.filters[index].misfit * (1.0 - CELL_PART) + rhythm.misfits[index] * CELL_PART
+            self.filters[index].misfit * (1.0 - CELL_FRACTION)
+                + rhythm.misfits[index] * CELL_FRACTION
         };
-        let best = (0..FILTERS).min_by(|&a, &b| misfit(a).total_cmp(&misfit(b)));
+        let best = (0..FILTER_COUNT).min_by(|&a, &b| misfit(a).total_cmp(&misfit(b)));
         self.best = best.expect("there are several filters");
     }
 
@@ -218,18 +219,18 @@
 
 impl Deviation {
     /// Takes in a reading.
-    pub(crate) fn read(&mut self, difference: f64) {
-        self.0 += DEVIATION_PART * (difference - self.0);
+    pub(crate) fn update(&mut self, difference: f64) {
+        self.0 += DEVIATION_WEIGHT * (difference - self.0);
     }
 
     /// Returns what is expected of it so much later.
     pub(crate) fn forecast(self, ahead: Duration) -> f64 {
-        self.0 * BURST_PART * (-BURST_FADE * ahead.as_secs_f64()).exp()
+        self.0 * BURST_FRACTION * (-BURST_DECAY * ahead.as_secs_f64()).exp()
     }
 }
 
 /// Cuts an error off at a few of its standard deviations.
-pub(crate) fn cut_off(error: f64, variance: f64) -> f64 {
-    let most = CUT_OFF * variance.sqrt();
+pub(crate) fn clamp_error(error: f64, variance: f64) -> f64 {
+    let most = MAX_DEVIATIONS * variance.sqrt();
     error.clamp(-most, most)
 }
--- a/crates/planner/src/locality.rs
+++ b/crates/planner/src/locality.rs
@@ -9,19 +9,24 @@
 use cowslipchute_ports::job::Step;
 use cowslipchute_ports::job::StepId;
 
+use crate::command::Timer;
 use crate::job::Place;
-use crate::order::Timer;
 use crate::planner::Planner;
 use crate::worker::WorkerId;
 
 /// Part of what is lost elsewhere for which a task waits for a near worker: on average the wait is
 /// then as long again, were it continued.
-const WAIT_PART: f64 = 0.5;
+const WAIT_FRACTION: f64 = 0.5;
 
 impl Planner {
     /// Narrows the open workers down to those near a step's data or near its other tasks, unless
     /// its tasks have waited for that long enough.
-    pub(crate) fn near(&mut self, step: StepId, spec: &Step, open: Vec<WorkerId>) -> Vec<WorkerId> {
+    pub(crate) fn prefer_rack(
+        &mut self,
+        step: StepId,
+        spec: &Step,
+        open: Vec<WorkerId>,
+    ) -> Vec<WorkerId> {
         if spec.data_rack.is_none() && !spec.same_rack {
             return open;
         }
@@ -35,7 +40,7 @@
             .copied()
             .filter(|&worker| self.workers[worker].rack.as_ref() == Some(&rack))
             .collect();
-        let until = self.near_until(step, spec);
+        let until = self.rack_deadline(step, spec);
         if near.is_empty() || self.now >= until {
             return open;
         }
@@ -44,8 +49,9 @@
     }
 
     /// Tells until when it pays that a step's tasks wait for near workers.
-    fn near_until(&self, step: StepId, spec: &Step) -> Time {
-        let lost = spec.estimate.mul_f64((self.settings.remote_factor - 1.0).max(0.0) * WAIT_PART);
+    fn rack_deadline(&self, step: StepId, spec: &Step) -> Time {
+        let lost =
+            spec.estimate.mul_f64((self.settings.remote_slowdown - 1.0).max(0.0) * WAIT_FRACTION);
         let state = self.jobs[&step.job].step(step);
         let tasks = state.into_iter().flat_map(|state| &state.tasks);
         let since =
@@ -72,8 +78,9 @@
                 None => racks.push((rack.clone(), vec![worker])),
             }
         }
-        let roomiest =
-            racks.into_iter().max_by_key(|(_, workers)| self.slots(step, spec, workers, false));
+        let roomiest = racks
+            .into_iter()
+            .max_by_key(|(_, workers)| self.count_slots(step, spec, workers, false));
         roomiest.map(|(rack, _)| rack)
     }
 }
--- a/crates/planner/src/occurrence.rs
+++ b/crates/planner/src/occurrence.rs
@@ -8,41 +8,42 @@
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::job::JobId;
 
-use crate::order::Timer;
+use crate::command::Timer;
 use crate::planner::Planner;
 
 /// A difference below this is drift and followed at once.
-const DRIFT: Duration = Duration::from_millis(100);
+const MAX_DRIFT: Duration = Duration::from_millis(100);
 /// A larger one is followed when it has stayed for this long: the time of day may jump and jump
 /// back within ten seconds.
-const STAY: Duration = Duration::from_secs(20);
+const JUMP_CONFIRM_TIME: Duration = Duration::from_secs(20);
 
 /// The time of day, counted on the steady clock.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Calendar {
+pub(crate) struct WallClock {
     /// Time of day at the steady clock's zero.
     base: Option<Duration>,
     /// A reading that differs, and since when it has.
-    other: Option<Time>,
+    deviates_since: Option<Time>,
 }
 
-impl Calendar {
+impl WallClock {
     /// Takes in a reading of the time of day.
-    pub(crate) fn read(&mut self, now: Time, wall: Duration) {
+    pub(crate) fn update(&mut self, now: Time, wall: Duration) {
         let read = wall.saturating_sub(now);
         let Some(base) = self.base else {
             self.base = Some(read);
             return;
         };
-        let drift = read.abs_diff(base) <= DRIFT;
-        if drift || self.other.get_or_insert(now).saturating_add(STAY) <= now {
+        let drift = read.abs_diff(base) <= MAX_DRIFT;
+        if drift || self.deviates_since.get_or_insert(now).saturating_add(JUMP_CONFIRM_TIME) <= now
+        {
             self.base = Some(read);
-            self.other = None;
+            self.deviates_since = None;
         }
     }
 
     /// Returns when a time of day comes on the steady clock.
-    fn when(&self, wall: Duration) -> Option<Time> {
+    fn steady_time(&self, wall: Duration) -> Option<Time> {
         Some(wall.saturating_sub(self.base?))
     }
 }
@@ -51,11 +52,11 @@
     /// Opens the occurrences of a job that have become due, and comes back for the next.
     pub(crate) fn open_due(&mut self, job: JobId) {
         let now = self.now;
-        let calendar = self.calendar;
+        let calendar = self.wall_clock;
         let Some(state) = self.jobs.get_mut(&job) else { return };
         let mut opened = false;
         while let Some(due) = state.next_due() {
-            let Some(at) = calendar.when(due) else { return };
+            let Some(at) = calendar.steady_time(due) else { return };
             if at > now {
                 self.timers.insert((at, Timer::Occurrence(job)));
                 break;
--- a/crates/planner/src/pin.rs
+++ b/crates/planner/src/pin.rs
@@ -22,15 +22,15 @@
 use cowslipchute_ports::job::StepId;
 use cowslipchute_ports::job::TaskId;
 
+use crate::command::Timer;
 use crate::fit::Request;
 use crate::host::Hosted;
 use crate::host::Stage;
 use crate::job::Place;
 use crate::job::Task;
-use crate::order::Timer;
 use crate::planner::Planner;
+use crate::rate_limit::START_RETRY;
 use crate::record::Outstanding;
-use crate::sending::SENDING_LOOK;
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
@@ -49,8 +49,8 @@
     /// Returns `true` if a start of the run that went unanswered may still be carried out. Of one that an earlier owner
     /// placed nobody knows, until the worker has listed it.
     pub(crate) fn has_outstanding_start(&self, now: Time) -> bool {
-        let is_out = self.starts_out > 0 || matches!(self.stage, Stage::Inherited);
-        is_out && now < self.last_start + START_EXPIRY
+        let is_out = self.starts_in_flight > 0 || matches!(self.stage, Stage::Inherited);
+        is_out && now < self.start_last_sent + START_EXPIRY
     }
 }
 
@@ -58,12 +58,12 @@
     /// Pins a task whose run has left a worker, if a start of that run is outstanding.
     pub(crate) fn pin(&mut self, worker: WorkerId, run: Run, hosted: &Hosted) {
         if hosted.has_outstanding_start(self.now) {
-            self.pin_until(worker, run.task, hosted.last_start + START_EXPIRY);
+            self.pin_until(worker, run.task, hosted.start_last_sent + START_EXPIRY);
         }
     }
 
     /// Pins a task that waits while a worker runs it: an outstanding start was carried out there.
-    pub(crate) fn pin_stray(&mut self, worker: WorkerId, run: Run) {
+    pub(crate) fn pin_to_orphan(&mut self, worker: WorkerId, run: Run) {
         let task = self.jobs.get(&run.task.job).and_then(|job| job.task(run.task));
         if task.is_some_and(|task| task.place == Place::Waiting) {
             self.pin_until(worker, run.task, self.now + START_EXPIRY);
@@ -72,7 +72,7 @@
 
     fn pin_until(&mut self, worker: WorkerId, task: TaskId, until: Time) {
         let Some(state) = self.workers.get(worker) else { return };
-        if state.born.is_none() || self.releases_pins(state) {
+        if state.started_at.is_none() || self.releases_pins(state) {
             return;
         }
         self.pins.insert(task, Pin { worker: state.name.clone(), until });
@@ -90,19 +90,20 @@
 
     /// Returns the worker that a task is pinned to; nothing while no incarnation of it is known.
     pub(crate) fn pinned_worker(&self, task: TaskId) -> Option<WorkerId> {
-        self.names.get(&self.pins.get(&task)?.worker).copied()
+        self.workers_by_name.get(&self.pins.get(&task)?.worker).copied()
     }
 
     /// Returns what the record of a job keeps of its pins.
-    pub(crate) fn outstanding(&self, job: JobId) -> Vec<Outstanding> {
+    pub(crate) fn outstanding_starts(&self, job: JobId) -> Vec<Outstanding> {
         let pins = self.pins.iter().filter(|(task, _)| task.job == job);
         let pinned = pins.map(|(task, pin)| Outstanding::new(*task, pin.worker.clone()));
-        let unanswered = self.unanswered(job).filter(|start| !self.is_pinned(start.task(job)));
+        let unanswered =
+            self.unanswered_starts(job).filter(|start| !self.is_pinned(start.task(job)));
         pinned.chain(unanswered).collect()
     }
 
     /// Returns the starts of runs in their places that went unanswered, on workers that may be restarted under their names.
-    fn unanswered(&self, job: JobId) -> impl Iterator<Item = Outstanding> {
+    fn unanswered_starts(&self, job: JobId) -> impl Iterator<Item = Outstanding> {
         let steps = self.jobs.get(&job).into_iter().flat_map(move |state| state.steps(job));
         let tasks =
             steps.flat_map(|(step, state)| (0..).map(move |at| step.task(at)).zip(&state.tasks));
@@ -110,8 +111,9 @@
             let Place::At(worker) = task.place else { return None };
             let worker = self.workers.get(worker)?;
             let hosted = worker.runs.get(&Run { task: id, attempt: task.attempt })?;
-            let is_out = hosted.unanswered && hosted.has_outstanding_start(self.now);
-            (is_out && worker.born.is_some()).then(|| Outstanding::new(id, worker.name.clone()))
+            let is_out = hosted.start_unanswered && hosted.has_outstanding_start(self.now);
+            (is_out && worker.started_at.is_some())
+                .then(|| Outstanding::new(id, worker.name.clone()))
         })
     }
 
@@ -135,11 +137,11 @@
 
     /// Starts pinned tasks again where they are pinned, ahead of everything else that might take their room there.
     pub(crate) fn place_pinned(&mut self) {
-        self.unpin();
+        self.drop_expired_pins();
         let waiting: Vec<TaskId> = self.pins.keys().copied().collect();
         for task in waiting {
             if !self.sending.allows(self.now) {
-                self.timers.insert((self.now + SENDING_LOOK, Timer::Place));
+                self.timers.insert((self.now + START_RETRY, Timer::Place));
                 return;
             }
             self.place_pinned_task(task);
@@ -147,10 +149,10 @@
     }
 
     /// Releases tasks whose starts have expired, or whose workers won't carry them out.
-    fn unpin(&mut self) {
+    fn drop_expired_pins(&mut self) {
         let mut pins = std::mem::take(&mut self.pins);
         pins.retain(|task, pin| {
-            let worker = self.names.get(&pin.worker).and_then(|&id| self.workers.get(id));
+            let worker = self.workers_by_name.get(&pin.worker).and_then(|&id| self.workers.get(id));
             self.now < pin.until
                 && self.jobs.contains_key(&task.job)
                 && !worker.is_some_and(|worker| self.releases_pins(worker))
@@ -167,49 +169,50 @@
         // A gang is placed as a whole.
         let step = &accepted.spec.steps[usize::from(task.step)];
         if waits && is_open && !step.gang {
-            self.start_again(task, worker, step);
+            self.restart_pinned(task, worker, step);
         }
     }
 
-    fn start_again(&mut self, task: TaskId, worker: WorkerId, step: &Step) {
-        if !self.takes_back(worker, task.step_id()) || self.runs_there(worker, task) {
+    fn restart_pinned(&mut self, task: TaskId, worker: WorkerId, step: &Step) {
+        if !self.accepts_step(worker, task.step_id()) || self.has_run_of(worker, task) {
             return;
         }
         if let Some(advice) = self.queue(task.job).and_then(|queue| queue.advice)
             && !self.has_ticket(task.step_id(), worker)
         {
             // Tickets of the incarnation before are of no use to this one.
-            self.ask(task.step_id(), step, advice, &[worker]);
+            self.query_advice(task.step_id(), step, advice, &[worker]);
             return;
         }
-        if !self.may_begin(task, worker) {
+        if !self.may_start(task, worker) {
             return;
         }
-        let request = Request::new(&self.model, task, step);
+        let request = Request::new(&self.interference, task, step);
         if self.has_room(&self.workers[worker], &request) {
-            self.intend(task, worker);
+            self.assign(task, worker);
             if step.fills {
-                self.refresh_beside(worker);
+                self.refresh_colocation(worker);
             }
         }
     }
 
     /// Returns `true` if a worker takes new tasks of a step's service.
-    fn takes_back(&self, worker: WorkerId, step: StepId) -> bool {
+    fn accepts_step(&self, worker: WorkerId, step: StepId) -> bool {
         let state = &self.workers[worker];
         self.is_open(state) && state.service == self.service(step.job)
     }
 
     /// Returns `true` if a worker still holds a run of a task, which may have been carried out late.
-    pub(crate) fn runs_there(&self, worker: WorkerId, task: TaskId) -> bool {
+    pub(crate) fn has_run_of(&self, worker: WorkerId, task: TaskId) -> bool {
         self.workers[worker].runs.keys().any(|run| run.task == task)
     }
 
     /// Returns `true` unless a task is on probation and the worker isn't isolated.
-    fn may_begin(&self, task: TaskId, worker: WorkerId) -> bool {
+    fn may_start(&self, task: TaskId, worker: WorkerId) -> bool {
         let state = self.jobs.get(&task.job).and_then(|job| job.task(task));
         let probation = state.filter(|state| state.is_on_probation());
-        probation.is_none_or(|state| !self.quiet(state.waiting_since, &[worker]).is_empty())
+        probation
+            .is_none_or(|state| !self.probation_workers(state.waiting_since, &[worker]).is_empty())
     }
 }
 
--- a/crates/planner/src/progress.rs
+++ b/crates/planner/src/progress.rs
@@ -10,72 +10,74 @@
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::executor::Run;
 
-use crate::host::FULL_PACE;
+use crate::host::FULL_SPEED;
 use crate::host::Hosted;
+use crate::host::Reason;
 use crate::host::Stage;
-use crate::host::Why;
 use crate::planner::Planner;
 use crate::worker::WorkerId;
 
 /// A run that hasn't moved by one part in a hundred for this long stands still, unless its work is
 /// so long that it couldn't have.
-const STILL: Duration = Duration::from_millis(1500);
+const STALL_TIME: Duration = Duration::from_millis(1500);
 /// The same as a part of the run's estimate.
-const STILL_PART: f64 = 0.15;
+const STALL_FRACTION: f64 = 0.15;
 /// A task that lasts and isn't at work for this long after its start won't be: starts take a second
 /// at most.
-const IDLE: Duration = Duration::from_millis(3500);
+const SERVICE_START_TIMEOUT: Duration = Duration::from_millis(3500);
 /// A run's speed tells something after this time.
-const SETTLED: Duration = Duration::from_millis(700);
+const SPEED_WARMUP: Duration = Duration::from_millis(700);
 /// A speed below this part of the cell's is slow: estimates alone differ by half that much.
-const SLOW_PART: f64 = 0.33;
+const SLOW_FRACTION: f64 = 0.33;
 /// The same for a worker of which only one run tells.
-const SLOW_PART_ALONE: f64 = 0.2;
+const SLOW_FRACTION_SINGLE: f64 = 0.2;
 /// How long nothing is placed on a slow worker; it is looked at again with what still runs there.
-const SLOW_PAUSE: Duration = Duration::from_secs(4);
+const SLOW_WORKER_PAUSE: Duration = Duration::from_secs(4);
 /// A run on a slow worker is moved if what is left of it would take this many times what the whole
 /// takes elsewhere.
-const MOVE_GAIN: f64 = 1.3;
+const MIN_MOVE_GAIN: f64 = 1.3;
 /// Weight of one run in the cell's speed.
-const SPEED_PART: f64 = 0.02;
+const SPEED_WEIGHT: f64 = 0.02;
 
 impl Hosted {
-    fn is_short(&self) -> bool {
-        !self.lasts && !self.fills && matches!(self.stage, Stage::Running { .. })
+    fn is_running_short_task(&self) -> bool {
+        !self.long_running && !self.best_effort && matches!(self.stage, Stage::Running { .. })
     }
 
-    fn stands_still(&self, now: Time) -> bool {
+    fn is_stalled(&self, now: Time) -> bool {
         let Stage::Running { .. } = self.stage else { return false };
-        if self.lasts {
-            return self.percent < 100 && now >= self.moved + IDLE;
+        if self.long_running {
+            return self.progress < 100 && now >= self.progressed_at + SERVICE_START_TIMEOUT;
         }
-        let still = STILL.max(self.estimate.mul_f64(STILL_PART));
-        self.pace == FULL_PACE && self.paced == Some(FULL_PACE) && now >= self.moved + still
+        let still = STALL_TIME.max(self.estimate.mul_f64(STALL_FRACTION));
+        self.speed_limit == FULL_SPEED
+            && self.confirmed_speed_limit == Some(FULL_SPEED)
+            && now >= self.progressed_at + still
     }
 
     /// Returns the work done for each second, as a part of the estimate's.
     fn speed(&self, now: Time) -> Option<f64> {
         let Stage::Running { since } = self.stage else { return None };
         let passed = now.saturating_sub(since);
-        if passed < SETTLED || self.estimate.is_zero() {
+        if passed < SPEED_WARMUP || self.estimate.is_zero() {
             return None;
         }
-        let done = f64::from(self.percent.saturating_sub(self.first_percent)) / 100.0;
+        let done = f64::from(self.progress.saturating_sub(self.first_progress)) / 100.0;
         Some(done * self.estimate.as_secs_f64() / passed.as_secs_f64())
     }
 }
 
 impl Planner {
     /// Looks at what a worker's runs have done since they began.
-    pub(crate) fn watch_progress(&mut self, worker: WorkerId) {
+    pub(crate) fn check_progress(&mut self, worker: WorkerId) {
         let now = self.now;
-        for run in self.workers[worker].runs_where(|hosted| hosted.stands_still(now)) {
-            self.shun(worker, run);
-            self.strike(worker);
-            self.stop_run(worker, run, Why::Stalled);
+        for run in self.workers[worker].runs_where(|hosted| hosted.is_stalled(now)) {
+            self.avoid_worker(worker, run);
+            self.record_worker_failure(worker);
+            self.stop_run(worker, run, Reason::Stalled);
         }
         if self.is_slow(worker) {
-            self.leave_slow(worker);
+            self.avoid_slow_worker(worker);
         }
     }
 
@@ -84,46 +86,47 @@
         let now = self.now;
         let Stage::Running { since } = hosted.stage else { return };
         let passed = now.saturating_sub(since).as_secs_f64();
-        if !hosted.is_short() || passed <= 0.0 || hosted.estimate.is_zero() {
+        if !hosted.is_running_short_task() || passed <= 0.0 || hosted.estimate.is_zero() {
             return;
         }
         let speed = (hosted.estimate.as_secs_f64() / passed).clamp(0.05, 20.0);
-        self.speed += SPEED_PART * (speed.ln() - self.speed);
+        self.log_speed += SPEED_WEIGHT * (speed.ln() - self.log_speed);
     }
 
     fn is_slow(&self, worker: WorkerId) -> bool {
-        let usual = self.speed.exp();
-        let runs = self.workers[worker].runs.values().filter(|hosted| hosted.is_short());
+        let usual = self.log_speed.exp();
+        let runs =
+            self.workers[worker].runs.values().filter(|hosted| hosted.is_running_short_task());
         let speeds: Vec<f64> = runs.filter_map(|hosted| hosted.speed(self.now)).collect();
         let part = match speeds.len() {
             0 => return false,
-            1 => SLOW_PART_ALONE,
-            _ => SLOW_PART,
+            1 => SLOW_FRACTION_SINGLE,
+            _ => SLOW_FRACTION,
         };
         speeds.iter().all(|speed| *speed < usual * part)
     }
 
-    fn leave_slow(&mut self, worker: WorkerId) {
+    fn avoid_slow_worker(&mut self, worker: WorkerId) {
         let now = self.now;
         let state = &mut self.workers[worker];
-        state.closed_until = state.closed_until.max(now + SLOW_PAUSE);
-        let usual = self.speed.exp();
+        state.closed_until = state.closed_until.max(now + SLOW_WORKER_PAUSE);
+        let usual = self.log_speed.exp();
         let gains = |hosted: &Hosted| {
             let Some(speed) = hosted.speed(now) else { return false };
-            let left = 1.0 - f64::from(hosted.percent) / 100.0;
-            hosted.is_short() && left / speed.max(0.01) > MOVE_GAIN / usual
+            let left = 1.0 - f64::from(hosted.progress) / 100.0;
+            hosted.is_running_short_task() && left / speed.max(0.01) > MIN_MOVE_GAIN / usual
         };
         for run in self.workers[worker].runs_where(gains) {
-            self.shun(worker, run);
-            self.stop_run(worker, run, Why::Stalled);
+            self.avoid_worker(worker, run);
+            self.stop_run(worker, run, Reason::Stalled);
         }
     }
 
     /// Keeps a task from being placed again where it made no progress, if there is room elsewhere.
-    pub(crate) fn shun(&mut self, worker: WorkerId, run: Run) {
+    pub(crate) fn avoid_worker(&mut self, worker: WorkerId, run: Run) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         if job.end.is_none() && job.task(run.task).is_some() {
-            job.task_mut(run.task).shunned = Some(worker);
+            job.task_mut(run.task).avoided_worker = Some(worker);
         }
     }
 }
--- a/crates/planner/src/share.rs
+++ b/crates/planner/src/quota.rs
@@ -15,51 +15,51 @@
 use crate::worker::WorkerId;
 
 /// How long it is remembered what part they held: longer than a task that failed takes to find its room again.
-const MEMORY: Duration = Duration::from_secs(10);
+const DECAY_TIME: Duration = Duration::from_secs(10);
 
 /// What tasks that last hold of a cell, and held a moment ago.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Share {
+pub(crate) struct Quota {
     /// The part of the processors that they held lately.
-    part: f64,
+    fraction: f64,
     /// Thousandths of a processor of all open workers.
-    capacity: f64,
+    capacity_milli: f64,
     /// Thousandths that they hold.
-    held: f64,
+    held_milli: f64,
     at: Time,
 }
 
-impl Share {
+impl Quota {
     /// Takes in what there is and what they hold of it.
-    fn look(&mut self, now: Time, capacity: f64, held: f64) {
-        let current = held / capacity.max(1.0);
+    fn update(&mut self, now: Time, capacity_milli: f64, held_milli: f64) {
+        let current = held_milli / capacity_milli.max(1.0);
         let passed = now.saturating_sub(self.at).as_secs_f64();
-        let faded = (self.part - current) * (-passed / MEMORY.as_secs_f64()).exp();
-        *self = Share { part: current + faded.max(0.0), capacity, held, at: now };
+        let faded = (self.fraction - current) * (-passed / DECAY_TIME.as_secs_f64()).exp();
+        *self = Quota { fraction: current + faded.max(0.0), capacity_milli, held_milli, at: now };
     }
 
     /// Counts a task that lasts as placed.
     pub(crate) fn take(&mut self, step: &Step) {
-        self.held += f64::from(step.demand.cpu_milli);
-        self.part = self.part.max(self.held / self.capacity.max(1.0));
+        self.held_milli += f64::from(step.demand.cpu_milli);
+        self.fraction = self.fraction.max(self.held_milli / self.capacity_milli.max(1.0));
     }
 
     /// Tells whether a task of a step that lasts can be given its room back.
     pub(crate) fn allows(&self, step: &Step) -> bool {
-        self.held + f64::from(step.demand.cpu_milli) <= self.part * self.capacity
+        self.held_milli + f64::from(step.demand.cpu_milli) <= self.fraction * self.capacity_milli
     }
 }
 
 impl Planner {
     /// Looks what tasks that last hold on the open workers.
-    pub(crate) fn look_at_share(&mut self, open: impl Iterator<Item = WorkerId>) {
+    pub(crate) fn update_quota(&mut self, open: impl Iterator<Item = WorkerId>) {
         let mut capacity = 0.0;
         let mut held = 0.0;
         for worker in open {
             let worker = &self.workers[worker];
             capacity += f64::from(worker.capacity.cpu_milli);
-            held += f64::from(worker.lasting.cpu_milli);
+            held += f64::from(worker.reserved_by_services.cpu_milli);
         }
-        self.share.look(self.now, capacity, held);
+        self.share.update(self.now, capacity, held);
     }
 }
--- a/crates/planner/src/rank.rs
+++ b/crates/planner/src/rank.rs
@@ -14,17 +14,17 @@
 use crate::planner::Planner;
 
 /// Part of a job's worth that doesn't depend on its size (the users' page on payoff).
-const FIXED_PART: f64 = 0.3;
+const FIXED_VALUE: f64 = 0.3;
 /// What a job is still worth between one and three times its objective (the users' sheets: 0.15 of
 /// the worth in time).
-const LATE_WORTH: f64 = 0.15;
+const LATE_VALUE: f64 = 0.15;
 /// What a late short job counts whose work has begun: it comes before those that can be in time, since what is done of it
 /// would be lost. A job of many tasks gathers its room piece by piece, and is often late before it has all.
-const BEGUN_LATE_WORTH: f64 = 1.5;
+const STARTED_LATE_VALUE: f64 = 1.5;
 /// What a job that is later still is worth here: not nothing, so that it is done in idle time.
-const LOST_WORTH: f64 = 0.02;
+const LOST_VALUE: f64 = 0.02;
 /// Core-seconds below which a job counts no smaller.
-const LEAST_WORK: f64 = 0.5;
+const MIN_WORK: f64 = 0.5;
 
 /// How soon a job is done if all goes well from now on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,8 +42,8 @@
     fn weight(self) -> f64 {
         match self {
             Prospect::InTime => 1.0,
-            Prospect::Late => LATE_WORTH,
-            Prospect::Lost => LOST_WORTH,
+            Prospect::Late => LATE_VALUE,
+            Prospect::Lost => LOST_VALUE,
         }
     }
 }
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Rank {
     priority: u8,
-    gain: f64,
+    value: f64,
     order: u64,
 }
 
@@ -60,7 +60,7 @@
     pub(crate) fn compare(&self, other: &Rank) -> std::cmp::Ordering {
         self.priority
             .cmp(&other.priority)
-            .then(other.gain.total_cmp(&self.gain))
+            .then(other.value.total_cmp(&self.value))
             .then(self.order.cmp(&other.order))
     }
 }
@@ -78,7 +78,7 @@
     }
 
     fn prospect(&self, job: &Job) -> Prospect {
-        let finish = self.now.saturating_sub(job.due_since()) + job.chain_left();
+        let finish = self.now.saturating_sub(job.due_since()) + job.remaining_critical_path();
         let objective = job.objective();
         if finish <= objective {
             Prospect::InTime
@@ -101,24 +101,24 @@
 
     fn rank(&self, job: &Job) -> Rank {
         let steps = &job.accepted.spec.steps;
-        let gain = if steps.iter().all(|step| step.long_running) {
+        let value = if steps.iter().all(|step| step.long_running) {
             f64::INFINITY
         } else if steps.iter().any(|step| step.fills) {
-            self.prospect(job).weight() * self.value_by_work(job)
+            self.prospect(job).weight() * self.value_density(job)
         } else {
             match self.prospect(job) {
-                Prospect::Late if job.started => BEGUN_LATE_WORTH,
+                Prospect::Late if job.started => STARTED_LATE_VALUE,
                 prospect => prospect.weight(),
             }
         };
-        Rank { priority: job.terms.priority, gain, order: job.order }
+        Rank { priority: job.policy.priority, value, order: job.arrival }
     }
 
     /// Returns a job's worth against its queue's mean, for each core-second that is left of it.
-    fn value_by_work(&self, job: &Job) -> f64 {
-        let work = job.work.max(LEAST_WORK);
+    fn value_density(&self, job: &Job) -> f64 {
+        let work = job.work.max(MIN_WORK);
         let mean = self.mean_work(&job.accepted.queue).unwrap_or(work);
-        let value = FIXED_PART + (1.0 - FIXED_PART) * work / mean;
-        value / job.work_left().max(LEAST_WORK)
+        let value = FIXED_VALUE + (1.0 - FIXED_VALUE) * work / mean;
+        value / job.remaining_work().max(MIN_WORK)
     }
 }
--- a/crates/planner/src/sending.rs
+++ b/crates/planner/src/rate_limit.rs
@@ -20,15 +20,15 @@
 
 /// Part of the link for starts. Holds with their accounts, the workers' directory and writes of records
 /// take about as much again.
-const PART: f64 = 0.5;
+const START_FRACTION: f64 = 0.5;
 /// Part of the link for jobs that have had nothing at work for a while: a fifth of what the others have, so that a
 /// backlog grows no older than it must, and shrinks first of all by what the others leave.
-const STARVED_PART: f64 = 0.1;
+const STARVED_FRACTION: f64 = 0.1;
 /// Starts that may be sent at once, in time of their part of the link: short against the time after which
 /// a call is given up, and against a lease.
-const BURST: Duration = Duration::from_millis(200);
+const BURST_TIME: Duration = Duration::from_millis(200);
 /// How soon a start that has to wait for the link is looked at again.
-pub(crate) const SENDING_LOOK: Duration = Duration::from_millis(50);
+pub(crate) const START_RETRY: Duration = Duration::from_millis(50);
 /// Bytes that a start takes beside its job's payload: heads of the order and of its answer, and the order's
 /// other fields.
 const START_BYTES: usize = 600;
@@ -39,42 +39,43 @@
     /// How many a second.
     rate: f64,
     /// How many at `at`; below zero what was sent in advance.
-    left: f64,
+    available: f64,
     at: Time,
 }
 
 impl Bucket {
     fn open(rate: f64) -> Bucket {
-        Bucket { rate, left: 0.0, at: Time::ZERO }
+        Bucket { rate, available: 0.0, at: Time::ZERO }
     }
 
     fn allows(&mut self, now: Time) -> bool {
         let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.left = (self.left + passed * self.rate).min(self.rate * BURST.as_secs_f64());
+        self.available =
+            (self.available + passed * self.rate).min(self.rate * BURST_TIME.as_secs_f64());
         self.at = now;
-        self.left > 0.0
+        self.available > 0.0
     }
 }
 
 /// What may be sent now.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Sending {
+pub(crate) struct Limiter {
     /// For all starts; none where the link's rate isn't known.
-    usual: Option<Bucket>,
+    general: Option<Bucket>,
     /// For jobs that have had nothing at work for a while.
     starved: Option<Bucket>,
 }
 
-impl Sending {
+impl Limiter {
     /// Opens with a link that carries so many bytes a second.
-    pub(crate) fn open(link: Option<f64>) -> Sending {
+    pub(crate) fn open(link: Option<f64>) -> Limiter {
         let bucket = |part: f64| link.map(|link| Bucket::open(link * part));
-        Sending { usual: bucket(PART), starved: bucket(STARVED_PART) }
+        Limiter { general: bucket(START_FRACTION), starved: bucket(STARVED_FRACTION) }
     }
 
     /// Tells whether another start may be sent.
     pub(crate) fn allows(&mut self, now: Time) -> bool {
-        self.usual.as_mut().is_none_or(|bucket| bucket.allows(now))
+        self.general.as_mut().is_none_or(|bucket| bucket.allows(now))
     }
 
     /// Tells whether another start may be sent for a job that has had nothing at work for a while.
@@ -83,24 +84,24 @@
     }
 
     /// Notes a start that is to be sent for a job with a payload of so many bytes.
-    pub(crate) fn spend(&mut self, payload: usize) {
-        if let Some(bucket) = &mut self.usual {
-            bucket.left -= bytes(payload);
+    pub(crate) fn charge(&mut self, payload: usize) {
+        if let Some(bucket) = &mut self.general {
+            bucket.available -= bytes(payload);
         }
     }
 
     /// Takes a start back that was noted and isn't sent after all.
     pub(crate) fn refund(&mut self, payload: usize) {
-        if let Some(bucket) = &mut self.usual {
-            bucket.left += bytes(payload);
+        if let Some(bucket) = &mut self.general {
+            bucket.available += bytes(payload);
         }
     }
 
     /// Charges the start that was noted last to the part of jobs that had nothing at work.
-    pub(crate) fn charge_starved(&mut self, payload: usize) {
-        if let (Some(usual), Some(starved)) = (&mut self.usual, &mut self.starved) {
-            usual.left += bytes(payload);
-            starved.left -= bytes(payload);
+    pub(crate) fn shift_to_starved(&mut self, payload: usize) {
+        if let (Some(usual), Some(starved)) = (&mut self.general, &mut self.starved) {
+            usual.available += bytes(payload);
+            starved.available -= bytes(payload);
         }
     }
 }
--- a/crates/planner/src/reclaim.rs
+++ b/crates/planner/src/reclaim.rs
@@ -24,14 +24,14 @@
 use crate::worker::WorkerId;
 
 /// How long a service task waits to come back before lost jobs are passed over: most find room within less.
-const RECLAIM_AFTER: Duration = Duration::from_millis(1000);
+const RECLAIM_DELAY: Duration = Duration::from_millis(1000);
 /// How long it waits before late jobs are passed over too: they are still worth something.
-const RECLAIM_LATE_AFTER: Duration = Duration::from_secs(4);
+const RECLAIM_LATE_DELAY: Duration = Duration::from_secs(4);
 /// How long no job has come once the load counts as over: far longer than the pause between two jobs of a load that fills a
 /// cell. What is left of it can wait, so late jobs make way then even if they have begun.
 const LOAD_PAUSE: Duration = Duration::from_millis(500);
 /// How long jobs are passed over for a task that still waits. One that fits nowhere holds them up no longer.
-const RECLAIM_TIME: Duration = Duration::from_secs(30);
+const RECLAIM_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Which short jobs of a service make way for its service tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,7 +39,7 @@
     /// Those that count as lost.
     Lost,
     /// Late ones as well that haven't begun.
-    LateUnbegun,
+    LateUnstarted,
     /// All late ones.
     Late,
 }
@@ -55,7 +55,7 @@
 
 impl Planner {
     /// Notes which jobs of a service are to make way for a service step.
-    pub(crate) fn note_reclaiming(&self, step: StepId, reclaiming: &mut Vec<Reclaim>) {
+    pub(crate) fn add_reclaim(&self, step: StepId, reclaiming: &mut Vec<Reclaim>) {
         let Some(extent) = self.extent(step) else { return };
         let service = self.service(step.job);
         match reclaiming.iter_mut().find(|known| known.service == service) {
@@ -74,19 +74,19 @@
     fn extent_for(&self, task: &Task) -> Option<Extent> {
         let waited = self.now.saturating_sub(task.waiting_since);
         let returns = task.place == Place::Waiting && task.attempt > 0;
-        if !returns || waited < RECLAIM_AFTER || waited >= RECLAIM_AFTER + RECLAIM_TIME {
+        if !returns || waited < RECLAIM_DELAY || waited >= RECLAIM_DELAY + RECLAIM_TIMEOUT {
             None
-        } else if waited < RECLAIM_LATE_AFTER {
+        } else if waited < RECLAIM_LATE_DELAY {
             Some(Extent::Lost)
-        } else if self.reserve.has_paused(self.now, LOAD_PAUSE) {
+        } else if self.reserve.is_idle_for(self.now, LOAD_PAUSE) {
             Some(Extent::Late)
         } else {
-            Some(Extent::LateUnbegun)
+            Some(Extent::LateUnstarted)
         }
     }
 
     /// Returns `true` if a job makes way for service tasks of the same service, and counts what it yields.
-    pub(crate) fn makes_way(&self, id: JobId, reclaiming: &mut [Reclaim]) -> bool {
+    pub(crate) fn yields(&self, id: JobId, reclaiming: &mut [Reclaim]) -> bool {
         if reclaiming.is_empty() {
             return false;
         }
@@ -100,7 +100,7 @@
         let makes_way = is_short
             && match reclaim.extent {
                 Extent::Lost => self.is_lost(job),
-                Extent::LateUnbegun => self.is_lost(job) || (self.is_late(job) && !job.started),
+                Extent::LateUnstarted => self.is_lost(job) || (self.is_late(job) && !job.started),
                 Extent::Late => self.is_late(job),
             };
         if makes_way {
@@ -142,8 +142,8 @@
                 return;
             }
             let Some(worker) = self.choose(task, spec, workers) else { continue };
-            self.intend(task, worker);
-            self.give_up_room(task.step_id());
+            self.assign(task, worker);
+            self.record_reserve_override(task.step_id());
             left = left.saturating_sub(spec.demand.cpu_milli.into());
         }
     }
--- a/crates/planner/src/record.rs
+++ b/crates/planner/src/record.rs
@@ -3,7 +3,7 @@
 //! It names every place where a task may be running, since it is written before the start is
 //! ordered.
 
-mod named;
+mod v1;
 
 use cowslipchute_base::id;
 use cowslipchute_ports::executor::Incarnation;
@@ -14,11 +14,11 @@
 use thiserror::Error;
 
 /// First byte of a stored value; another one is of a version that this program can't read.
-const VERSION: u8 = 1;
+const VALUE_VERSION: u8 = 1;
 /// The same of a job's record.
 const RECORD_VERSION: u8 = 3;
 /// Records that name incarnations of workers where the first version had their names, and keep no outstanding starts.
-const UNPINNED_VERSION: u8 = 2;
+const RECORD_VERSION_2: u8 = 2;
 
 /// Attempts of a task that ended failed; few tasks have any.
 pub type Attempts = SmallVec<[id::Attempt; 2]>;
@@ -67,16 +67,16 @@
 
 /// A record as it was before outstanding starts were kept.
 #[derive(Deserialize)]
-struct Unpinned {
+struct RecordV2 {
     started: bool,
     opened: u32,
     occurrences: Vec<Occurrence>,
     crashes: Vec<Crashes>,
 }
 
-impl From<Unpinned> for Record {
-    fn from(record: Unpinned) -> Record {
-        let Unpinned { started, opened, occurrences, crashes } = record;
+impl From<RecordV2> for Record {
+    fn from(record: RecordV2) -> Record {
+        let RecordV2 { started, opened, occurrences, crashes } = record;
         Record { started, opened, occurrences, crashes, outstanding: Vec::new() }
     }
 }
@@ -134,8 +134,8 @@
     pub fn decode(bytes: &[u8]) -> Result<Record, Error> {
         match bytes.split_first() {
             Some((&RECORD_VERSION, rest)) => Ok(postcard::from_bytes(rest)?),
-            Some((&UNPINNED_VERSION, rest)) => Ok(postcard::from_bytes::<Unpinned>(rest)?.into()),
-            Some((&VERSION, rest)) => Ok(named::decode(rest)?),
+            Some((&RECORD_VERSION_2, rest)) => Ok(postcard::from_bytes::<RecordV2>(rest)?.into()),
+            Some((&VALUE_VERSION, rest)) => Ok(v1::decode(rest)?),
             _ => Err(Error::Version),
         }
     }
@@ -160,7 +160,7 @@
 /// Panics if the value can't be rendered, which only happens to types that hold maps of unknown
 /// length; none of ours does.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    encode_as(VERSION, value)
+    encode_as(VALUE_VERSION, value)
 }
 
 fn encode_as<T: Serialize>(version: u8, value: &T) -> Vec<u8> {
@@ -174,7 +174,7 @@
 /// When it is of another version or damaged.
 pub fn decode<T: for<'de> Deserialize<'de>>(bytes: &[u8]) -> Result<T, Error> {
     match bytes.split_first() {
-        Some((&VERSION, rest)) => Ok(postcard::from_bytes(rest)?),
+        Some((&VALUE_VERSION, rest)) => Ok(postcard::from_bytes(rest)?),
         _ => Err(Error::Version),
     }
 }
--- a/crates/planner/src/record/named.rs
+++ b/crates/planner/src/record/v1.rs
@@ -33,7 +33,7 @@
 
 /// A record as it was before crashes were kept.
 #[derive(Deserialize)]
-struct Uncounted {
+struct WithoutCrashes {
     started: bool,
     opened: u32,
     occurrences: Vec<Occurrence>,
@@ -68,7 +68,7 @@
 pub(super) fn decode(bytes: &[u8]) -> Result<super::Record, postcard::Error> {
     let record = match postcard::from_bytes(bytes) {
         Err(postcard::Error::DeserializeUnexpectedEnd) => {
-            let Uncounted { started, opened, occurrences } = postcard::from_bytes(bytes)?;
+            let WithoutCrashes { started, opened, occurrences } = postcard::from_bytes(bytes)?;
             Record { started, opened, occurrences, crashes: Vec::new() }
         }
         read => read?,
--- a/crates/planner/src/reservation.rs
+++ b/crates/planner/src/reservation.rs
@@ -24,18 +24,18 @@
 
 /// How long a task waits before a worker is kept for it: longer than an end takes to become known and used, so
 /// that nothing is kept where room would have come anyway.
-const RESERVE_AFTER: Duration = Duration::from_millis(150);
+const RESERVATION_DELAY: Duration = Duration::from_millis(150);
 /// Fraction of the CPU beside tasks that last which reservations may hold at a time: enough for large tasks to have
 /// their share, little enough to stand idle.
-const RESERVED_PART: f64 = 0.08;
+const RESERVED_FRACTION: f64 = 0.08;
 /// Part of them that a step may keep where even one step is more than the part above, as a large task is in a small
 /// cell, or a gang, which needs all its workers at once. Half goes on for all others.
-const MOST_RESERVED_PART: f64 = 0.5;
+const MAX_STEP_FRACTION: f64 = 0.5;
 /// Workers kept for one step at a time, so that a wide step leaves some for others.
-const MOST_A_STEP: usize = 2;
+const MAX_WORKERS_PER_STEP: usize = 2;
 /// How long a worker is kept: a few times as long as short tasks take. What runs there longer isn't ending as it
 /// should, and another worker may be free sooner.
-const LONGEST: Duration = Duration::from_secs(3);
+const MAX_RESERVATION_TIME: Duration = Duration::from_secs(3);
 
 /// A worker that is kept for a step's next task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
         if spec.fills || spec.data_rack.is_some() || spec.same_rack {
             return None;
         }
-        let waiting = planner.reserving(step, spec);
+        let waiting = planner.reservable_tasks(step, spec);
         let since = waiting.map(|task| task.waiting_since).min()?;
         Some(Unplaced { step, since })
     }
@@ -74,10 +74,10 @@
         for reservation in kept {
             let Some(worker) = self.workers.get(reservation.worker) else { continue };
             let lasts = self.is_open(worker) && self.now < reservation.until;
-            if lasts && self.deserves(reservation.step) {
+            if lasts && self.needs_reservation(reservation.step) {
                 self.reservations.push(reservation);
             } else {
-                self.workers[reservation.worker].kept_for = None;
+                self.workers[reservation.worker].reserved_for = None;
             }
         }
     }
@@ -87,7 +87,7 @@
         let kept = std::mem::take(&mut self.reservations);
         for reservation in kept {
             if self.use_reservation(reservation) {
-                self.workers[reservation.worker].kept_for = None;
+                self.workers[reservation.worker].reserved_for = None;
             } else {
                 self.reservations.push(reservation);
             }
@@ -111,15 +111,15 @@
         };
         let Some((index, _)) = (0..).zip(&state.tasks).find(ready) else { return false };
         let task = step.task(index);
-        let request = Request::new(&self.model, task, spec);
+        let request = Request::new(&self.interference, task, spec);
         if !self.may_take(&self.workers[worker], &request) || !self.sending.allows(now) {
             return false;
         }
-        self.intend(task, worker);
+        self.assign(task, worker);
         true
     }
 
-    /// Tells whether a worker may be kept for a task. For one that lasts only to give its room back ([`crate::share`]): a new
+    /// Tells whether a worker may be kept for a task. For one that lasts only to give its room back ([`crate::quota`]): a new
     /// one takes only what short tasks leave.
     fn may_reserve(&self, spec: &Step, task: &Task) -> bool {
         let returns = task.attempt > 0 && self.share.allows(spec);
@@ -127,32 +127,36 @@
     }
 
     /// Returns the tasks of a step for which a worker may be kept.
-    fn reserving<'a>(&'a self, step: StepId, spec: &'a Step) -> impl Iterator<Item = &'a Task> {
+    fn reservable_tasks<'a>(
+        &'a self,
+        step: StepId,
+        spec: &'a Step,
+    ) -> impl Iterator<Item = &'a Task> {
         let state = self.jobs.get(&step.job).and_then(|job| job.step(step));
         let tasks = state.into_iter().flat_map(|state| &state.tasks);
         tasks.filter(|task| self.may_reserve(spec, task))
     }
 
     /// Tells whether a step waits and can still be served.
-    fn deserves(&self, step: StepId) -> bool {
+    fn needs_reservation(&self, step: StepId) -> bool {
         let Some(job) = self.jobs.get(&step.job).filter(|job| job.end.is_none()) else {
             return false;
         };
         let spec = job.spec(step.step);
         let hopeless = !spec.long_running && self.is_lost(job);
-        !hopeless && self.reserving(step, spec).next().is_some()
+        !hopeless && self.reservable_tasks(step, spec).next().is_some()
     }
 
     /// Keeps workers for steps that found no room: for those that can be in time first, and for those that have
     /// waited for longer.
     pub(crate) fn reserve_workers(&mut self, mut unplaced: Vec<Unplaced>, open: &[WorkerId]) {
         unplaced.retain(|unplaced| {
-            self.now >= unplaced.since + RESERVE_AFTER && self.deserves(unplaced.step)
+            self.now >= unplaced.since + RESERVATION_DELAY && self.needs_reservation(unplaced.step)
         });
         unplaced
             .sort_by_key(|unplaced| (self.is_late(&self.jobs[&unplaced.step.job]), unplaced.since));
-        let shared = self.shared(open);
-        let mut left = shared * RESERVED_PART - self.reserved_milli();
+        let shared = self.short_task_milli(open);
+        let mut left = shared * RESERVED_FRACTION - self.reserved_milli();
         // A demand for which no worker could be kept; a larger one finds none either.
         let mut refused = u32::MAX;
         for Unplaced { step, .. } in unplaced {
@@ -160,7 +164,7 @@
             let spec = &accepted.spec.steps[usize::from(step.step)];
             let cpu = spec.demand.cpu_milli;
             let own = self.reservations.iter().filter(|kept| kept.step == step).count();
-            for _ in own..self.most_kept(step, spec, shared) {
+            for _ in own..self.max_reservations(step, spec, shared) {
                 // One step is served even where a part of the cell is less than it needs.
                 let only = self.reservations.iter().all(|kept| kept.step == step);
                 if left < f64::from(cpu) && !only {
@@ -169,37 +173,37 @@
                 if cpu >= refused {
                     break;
                 }
-                let Some(worker) = self.soonest(spec, step, open) else {
+                let Some(worker) = self.first_free_worker(spec, step, open) else {
                     if spec.required_label.is_none() && spec.max_per_worker == 0 {
                         refused = cpu;
                     }
                     break;
                 };
-                let until = self.now + LONGEST;
+                let until = self.now + MAX_RESERVATION_TIME;
                 self.reservations.push(Reservation { step, worker, until });
-                self.workers[worker].kept_for = Some(step);
+                self.workers[worker].reserved_for = Some(step);
                 left -= f64::from(cpu);
             }
         }
     }
 
     /// Returns how many workers may be kept for a step at a time: for a gang as many as it has members, or none.
-    fn most_kept(&self, step: StepId, spec: &Step, shared: f64) -> usize {
-        let waiting = self.reserving(step, spec).count();
-        let bearable = shared * MOST_RESERVED_PART / f64::from(spec.demand.cpu_milli.max(1));
+    fn max_reservations(&self, step: StepId, spec: &Step, shared: f64) -> usize {
+        let waiting = self.reservable_tasks(step, spec).count();
+        let bearable = shared * MAX_STEP_FRACTION / f64::from(spec.demand.cpu_milli.max(1));
         let bearable = bearable as usize;
         match spec.gang {
             true if waiting <= bearable => waiting,
             true => 0,
-            false => waiting.min(MOST_A_STEP).min(bearable),
+            false => waiting.min(MAX_WORKERS_PER_STEP).min(bearable),
         }
     }
 
     /// Returns the thousandths of a processor that tasks which last leave.
-    fn shared(&self, open: &[WorkerId]) -> f64 {
+    fn short_task_milli(&self, open: &[WorkerId]) -> f64 {
         let shared = open.iter().map(|&id| {
             let worker = &self.workers[id];
-            f64::from(worker.capacity.minus(worker.lasting).cpu_milli)
+            f64::from(worker.capacity.minus(worker.reserved_by_services).cpu_milli)
         });
         shared.sum()
     }
@@ -214,19 +218,19 @@
     }
 
     /// Returns the worker that is expected to have room for a step's task first.
-    fn soonest(&self, spec: &Step, step: StepId, open: &[WorkerId]) -> Option<WorkerId> {
-        let request = Request::new(&self.model, step.task(0), spec);
+    fn first_free_worker(&self, spec: &Step, step: StepId, open: &[WorkerId]) -> Option<WorkerId> {
+        let request = Request::new(&self.interference, step.task(0), spec);
         let mut best: Option<(Duration, WorkerId)> = None;
         for &id in open {
             let worker = &self.workers[id];
-            let shared = worker.capacity.minus(worker.lasting);
-            if worker.kept_for.is_some()
+            let shared = worker.capacity.minus(worker.reserved_by_services);
+            if worker.reserved_for.is_some()
                 || !spec.demand.fits(shared)
-                || !self.suits(worker, &request)
+                || !self.is_eligible(worker, &request)
             {
                 continue;
             }
-            let wait = self.wait_for_room(worker, spec.demand);
+            let wait = self.estimate_wait(worker, spec.demand);
             if best.is_none_or(|(shortest, _)| wait < shortest) {
                 best = Some((wait, id));
             }
@@ -235,9 +239,11 @@
     }
 
     /// Estimates how long it takes until a worker has so much room, if nothing else is placed there.
-    fn wait_for_room(&self, worker: &Worker, demand: Amount) -> Duration {
+    fn estimate_wait(&self, worker: &Worker, demand: Amount) -> Duration {
         let mut ends: SmallVec<[(Duration, Amount); 16]> = SmallVec::new();
-        for hosted in worker.runs.values().filter(|hosted| !hosted.lasts && !hosted.fills) {
+        for hosted in
+            worker.runs.values().filter(|hosted| !hosted.long_running && !hosted.best_effort)
+        {
             let worked = match hosted.stage {
                 Stage::Running { since } => self.now.saturating_sub(since),
                 _ => Duration::ZERO,
--- a/crates/planner/src/reserve.rs
+++ b/crates/planner/src/reserve.rs
@@ -12,15 +12,15 @@
 use cowslipchute_ports::job::Spec;
 
 /// Work of the last so many seconds decides: a few times what a short job takes.
-const MEMORY: Duration = Duration::from_secs(8);
+const DECAY_TIME: Duration = Duration::from_secs(8);
 /// Reserve over the mean need, for bursts and for gaps that are too small to use.
-const BURST: f64 = 1.7;
+const BURST_FACTOR: f64 = 1.7;
 /// Part of the cell reserved before anything is known of short tasks.
-const FIRST_PART: f64 = 0.12;
+const INITIAL_FRACTION: f64 = 0.12;
 /// How fast that fades.
-const FIRST_MEMORY: Duration = Duration::from_secs(20);
+const INITIAL_DECAY_TIME: Duration = Duration::from_secs(20);
 /// The reserve never takes more of the cell than this: what lasts is also served.
-const MOST_PART: f64 = 0.2;
+const MAX_FRACTION: f64 = 0.2;
 
 /// What short tasks have needed lately.
 #[derive(Clone, Debug, Default)]
@@ -36,34 +36,35 @@
         Reserve { work: 0.0, at: now, since: now }
     }
 
-    fn faded(&self, now: Time) -> f64 {
-        self.work * fade(now.saturating_sub(self.at), MEMORY)
+    fn decayed_work(&self, now: Time) -> f64 {
+        self.work * decay(now.saturating_sub(self.at), DECAY_TIME)
     }
 
     /// Counts the work of a job that has come.
-    pub(crate) fn count(&mut self, now: Time, spec: &Spec) {
+    pub(crate) fn add_job(&mut self, now: Time, spec: &Spec) {
         let short = spec.steps.iter().filter(|step| !step.long_running && !step.fills);
         let work = short.map(|step| {
             let cores = f64::from(step.demand.cpu_milli) / 1e3;
             f64::from(step.count) * cores * step.estimate.as_secs_f64()
         });
-        self.work = self.faded(now) + work.sum::<f64>();
+        self.work = self.decayed_work(now) + work.sum::<f64>();
         self.at = now;
     }
 
     /// Returns `true` if no job has come for so long.
-    pub(crate) fn has_paused(&self, now: Time, span: Duration) -> bool {
+    pub(crate) fn is_idle_for(&self, now: Time, span: Duration) -> bool {
         now >= self.at + span
     }
 
     /// Returns the thousandths of a processor to keep free of tasks that last, of `capacity`.
     pub(crate) fn milli(&self, now: Time, capacity: f64) -> f64 {
-        let need = self.faded(now) / MEMORY.as_secs_f64() * 1e3 * BURST;
-        let first = FIRST_PART * capacity * fade(now.saturating_sub(self.since), FIRST_MEMORY);
-        need.max(first).min(MOST_PART * capacity)
+        let need = self.decayed_work(now) / DECAY_TIME.as_secs_f64() * 1e3 * BURST_FACTOR;
+        let first =
+            INITIAL_FRACTION * capacity * decay(now.saturating_sub(self.since), INITIAL_DECAY_TIME);
+        need.max(first).min(MAX_FRACTION * capacity)
     }
 }
 
-fn fade(passed: Duration, memory: Duration) -> f64 {
+fn decay(passed: Duration, memory: Duration) -> f64 {
     (-passed.as_secs_f64() / memory.as_secs_f64()).exp()
 }
--- a/crates/planner/src/risk.rs
+++ b/crates/planner/src/risk.rs
@@ -9,7 +9,7 @@
 
 /// What a second over its target costs, as a part of what the worker's processors do in a second
 /// for tasks that fill.
-const OVER_COST: f64 = 0.3;
+const VIOLATION_COST: f64 = 0.3;
 /// What is left of the worth of a fill's work while none waits: it is done a little later and still
 /// in time.
 const IDLE_VALUE: f64 = 0.4;
@@ -17,34 +17,34 @@
 /// is done later then makes all that waits later.
 const BACKLOG_VALUE: f64 = 1.0;
 /// Most that a fill's work is worth.
-const MOST_VALUE: f64 = 3.0;
+const MAX_VALUE: f64 = 3.0;
 
 /// Returns what a fill's work is worth while so many seconds of the cell's work wait.
-pub(crate) fn fill_value(backlog: f64) -> f64 {
+pub(crate) fn best_effort_value(backlog: f64) -> f64 {
     if backlog <= 0.0 {
         return IDLE_VALUE;
     }
-    (1.0 + BACKLOG_VALUE * backlog).min(MOST_VALUE)
+    (1.0 + BACKLOG_VALUE * backlog).min(MAX_VALUE)
 }
 
 /// What each part of a headroom below the target costs beyond the chance: more than any work is
 /// worth, since paying tasks are to be slowed by none that fills.
-const BREACH_COST: f64 = 0.5;
+const EXCESS_COST: f64 = 0.5;
 /// Slope of the logistic curve that lies nearest to the normal distribution.
-const LOGISTIC: f64 = 1.702;
+const LOGISTIC_SLOPE: f64 = 1.702;
 /// Beyond so many deviations nothing is at stake.
-const FAR: f64 = 3.5;
+const MAX_DEVIATIONS: f64 = 3.5;
 
 /// Returns what it costs that a serving task's headroom is expected to be this far above its target,
 /// with this standard deviation.
 pub(crate) fn cost(margin: f64, deviation: f64) -> f64 {
-    OVER_COST * chance(margin, deviation) + BREACH_COST * (-margin).max(0.0)
+    VIOLATION_COST * violation_probability(margin, deviation) + EXCESS_COST * (-margin).max(0.0)
 }
 
 /// Returns the chance that it is below the target in truth.
-fn chance(margin: f64, deviation: f64) -> f64 {
-    if margin > FAR * deviation {
+fn violation_probability(margin: f64, deviation: f64) -> f64 {
+    if margin > MAX_DEVIATIONS * deviation {
         return 0.0;
     }
-    1.0 / (1.0 + (LOGISTIC * margin / deviation).exp())
+    1.0 / (1.0 + (LOGISTIC_SLOPE * margin / deviation).exp())
 }
--- a/crates/planner/src/wave.rs
+++ b/crates/planner/src/rollout.rs
@@ -16,7 +16,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::executor::Run;
@@ -28,39 +28,39 @@
 use cowslipchute_ports::machine::WaveNumber;
 
 use crate::action::Action;
-use crate::host::Why;
-use crate::order::Timer;
+use crate::command::Timer;
+use crate::host::Reason;
 use crate::planner::Planner;
 use crate::worker::WorkerId;
 
 /// How long a machine is away for the wave: a second until it goes down, two or three of upkeep.
-const CYCLE: Duration = Duration::from_secs(4);
+const MACHINE_CYCLE: Duration = Duration::from_secs(4);
 /// How long tasks that don't last are waited for before they are stopped. Longer, and tasks that last would wait too long
 /// beside room that is kept free.
-const EMPTY_TIME: Duration = Duration::from_millis(600);
+const DRAIN_GRACE: Duration = Duration::from_millis(600);
 /// How long a machine is kept free at most, if its tasks can't be spared after all.
-const GIVE_UP: Duration = Duration::from_millis(2000);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(2000);
 /// How long it takes tasks as ever before it is tried again: what waits beside free room for three
 /// seconds counts as lost.
-const REST: Duration = Duration::from_millis(2500);
+const DRAIN_RETRY_PAUSE: Duration = Duration::from_millis(2500);
 /// How often machines that are being emptied are looked at.
-const LOOK: Duration = Duration::from_millis(100);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a new owner gives no order: one of its predecessor's may still arrive.
-const INHERIT_TIME: Duration = Duration::from_secs(2);
+const TAKEOVER_DELAY: Duration = Duration::from_secs(2);
 /// Pause before an order that wasn't carried out is given again.
-const AGAIN: Duration = Duration::from_millis(400);
+const REQUEST_RETRY_PAUSE: Duration = Duration::from_millis(400);
 /// Part of the time that is aimed at: many machines can't be spared at once.
-const TIME_PART: f64 = 0.35;
+const TARGET_FRACTION: f64 = 0.35;
 
 /// How far a machine of a wave is, before and after its upkeep begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// It is being emptied, since then.
-    Emptying(Time),
+    Draining(Time),
     /// The upkeep is asked for, at this time.
-    Ordered(Time),
-    /// It wasn't begun, or `maybe` was; it is asked for again at this time.
-    Again { at: Time, maybe: bool },
+    Requested(Time),
+    /// It wasn't begun, or `may_have_begun` was; it is asked for again at this time.
+    Retry { at: Time, may_have_begun: bool },
     /// It has begun, now or under an earlier owner: the answer came at this time, and no list since.
     Begun(Time),
     /// The machine is down.
@@ -69,42 +69,42 @@
 
 /// A wave whose machines aren't all back.
 #[derive(Clone, Debug)]
-pub(crate) struct Upkeep {
+pub(crate) struct Rollout {
     wave: Wave,
-    since: Time,
+    started_at: Time,
     /// Whether it has been told to be completed: each upkeep has begun. Until a list shows that they are over, it is known
     /// which workers take nothing for them.
     completed: bool,
     begun: BTreeSet<Name>,
     phases: BTreeMap<Name, Phase>,
     /// Machines that could not be spared, and when they are tried again.
-    resting: BTreeMap<Name, Time>,
+    retry_after: BTreeMap<Name, Time>,
 }
 
 /// The waves in progress, and the machines as they were last listed.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Waves {
-    open: BTreeMap<WaveNumber, Upkeep>,
+pub(crate) struct Rollouts {
+    by_number: BTreeMap<WaveNumber, Rollout>,
     machines: HashMap<Name, Machine>,
     /// Machines whose upkeep has begun, and when, as long as no list shows it.
-    unlisted: BTreeMap<Name, Time>,
+    unconfirmed: BTreeMap<Name, Time>,
     /// When that list was asked for; none before the first.
     listed_at: Option<Time>,
     /// When they are looked at next.
-    due: Option<Time>,
+    next_check: Option<Time>,
 }
 
-impl Waves {
+impl Rollouts {
     /// Tells whether an upkeep of a machine may have begun that isn't over, whichever wave it is of.
     fn is_going_down(&self, name: &Name) -> bool {
-        if self.unlisted.contains_key(name) {
+        if self.unconfirmed.contains_key(name) {
             return true;
         }
-        self.open.values().any(|upkeep| match upkeep.phases.get(name) {
-            Some(Phase::Emptying(_) | Phase::Again { maybe: false, .. }) | None => false,
+        self.by_number.values().any(|upkeep| match upkeep.phases.get(name) {
+            Some(Phase::Draining(_) | Phase::Retry { may_have_begun: false, .. }) | None => false,
             Some(
-                Phase::Ordered(_)
-                | Phase::Again { maybe: true, .. }
+                Phase::Requested(_)
+                | Phase::Retry { may_have_begun: true, .. }
                 | Phase::Begun(_)
                 | Phase::Down,
             ) => true,
@@ -112,18 +112,21 @@
     }
 }
 
-impl Upkeep {
+impl Rollout {
     /// Returns the machines whose upkeep has yet to begin.
-    fn left<'a>(&'a self, machines: &'a HashMap<Name, Machine>) -> impl Iterator<Item = &'a Name> {
+    fn remaining<'a>(
+        &'a self,
+        machines: &'a HashMap<Name, Machine>,
+    ) -> impl Iterator<Item = &'a Name> {
         let wanted = self.wave.machines.iter();
         wanted.filter(|name| machines.contains_key(*name) && !self.begun.contains(*name))
     }
 
     /// Returns how many machines are to be away at once.
-    fn width(&self, left: usize, now: Time) -> usize {
-        let aim = self.since + self.wave.duration.mul_f64(TIME_PART);
-        let time = aim.saturating_sub(now).max(CYCLE);
-        let rounds = (time.as_secs_f64() / CYCLE.as_secs_f64()).floor().max(1.0);
+    fn concurrency(&self, left: usize, now: Time) -> usize {
+        let aim = self.started_at + self.wave.duration.mul_f64(TARGET_FRACTION);
+        let time = aim.saturating_sub(now).max(MACHINE_CYCLE);
+        let rounds = (time.as_secs_f64() / MACHINE_CYCLE.as_secs_f64()).floor().max(1.0);
         ((left as f64 / rounds).ceil() as usize).clamp(1, self.wave.cap)
     }
 }
@@ -131,57 +134,57 @@
 impl Planner {
     /// Tells whether a wave is in progress.
     pub(crate) fn has_waves(&self) -> bool {
-        !self.waves.open.is_empty()
+        !self.rollouts.by_number.is_empty()
     }
 
     /// A wave is in the store, with the machines whose upkeep earlier owners have begun.
-    pub(crate) fn demand(&mut self, wave: Wave, begun: Vec<Name>) {
+    pub(crate) fn add_rollout(&mut self, wave: Wave, begun: Vec<Name>) {
         let number = wave.number;
-        if self.epoch.is_none() || self.waves.open.contains_key(&number) {
+        if self.epoch.is_none() || self.rollouts.by_number.contains_key(&number) {
             return;
         }
         let detail =
             format!("wave {number}: {} machines, {} at once", wave.machines.len(), wave.cap);
-        self.note(Number::WaveBegun, None, None, None, detail);
+        self.note(LogEvent::WaveBegun, None, None, None, detail);
         let begun: BTreeSet<Name> = begun.into_iter().collect();
-        let upkeep = Upkeep {
+        let upkeep = Rollout {
             wave,
-            since: self.now,
+            started_at: self.now,
             completed: false,
             begun,
             phases: BTreeMap::new(),
-            resting: BTreeMap::new(),
+            retry_after: BTreeMap::new(),
         };
-        self.waves.open.insert(number, upkeep);
-        self.keep_wave(number, Progress::Active);
+        self.rollouts.by_number.insert(number, upkeep);
+        self.store_rollout(number, Progress::Active);
     }
 
     /// The machines were listed; the list was asked for at this time.
     pub(crate) fn list_machines(&mut self, machines: Vec<Machine>, asked: Time) {
-        let numbers: Vec<WaveNumber> = self.waves.open.keys().copied().collect();
+        let numbers: Vec<WaveNumber> = self.rollouts.by_number.keys().copied().collect();
         for machine in &machines {
             for &number in &numbers {
-                self.see_machine(number, machine, asked);
+                self.update_phase(number, machine, asked);
             }
         }
         self.drop_completed(&machines);
-        self.end_unlisted(&machines, asked);
-        self.waves.unlisted.retain(|_, at| *at >= asked);
-        self.waves.machines =
+        self.end_absent_workers(&machines, asked);
+        self.rollouts.unconfirmed.retain(|_, at| *at >= asked);
+        self.rollouts.machines =
             machines.into_iter().map(|machine| (machine.name.clone(), machine)).collect();
-        self.waves.listed_at = Some(asked);
-        self.look_at_waves(self.now);
+        self.rollouts.listed_at = Some(asked);
+        self.schedule_rollouts(self.now);
     }
 
     /// Takes in what has become of a machine since its upkeep has begun.
-    fn see_machine(&mut self, number: WaveNumber, machine: &Machine, asked: Time) {
+    fn update_phase(&mut self, number: WaveNumber, machine: &Machine, asked: Time) {
         let before = self.worker_of(&machine.name);
-        let Some(upkeep) = self.waves.open.get_mut(&number) else { return };
+        let Some(upkeep) = self.rollouts.by_number.get_mut(&number) else { return };
         let Some(phase) = upkeep.phases.get_mut(&machine.name) else { return };
         let listed_later = match *phase {
             Phase::Begun(at) => at < asked,
             Phase::Down => true,
-            Phase::Emptying(_) | Phase::Ordered(_) | Phase::Again { .. } => return,
+            Phase::Draining(_) | Phase::Requested(_) | Phase::Retry { .. } => return,
         };
         if !listed_later {
             return;
@@ -196,7 +199,7 @@
         if machine.up && same {
             // It was begun before this incarnation, by an earlier owner whose word was lost; or the worker has started
             // again under its name, which its next account tells.
-            self.workers[before].upkeep = false;
+            self.workers[before].draining_for_maintenance = false;
             self.workers[before].listed_up = Some(self.now);
             self.room_changed = true;
         } else {
@@ -207,7 +210,7 @@
     /// Forgets the waves that are completed and whose machines have been listed since, or are gone for good.
     fn drop_completed(&mut self, machines: &[Machine]) {
         let listed: BTreeSet<&Name> = machines.iter().map(|machine| &machine.name).collect();
-        self.waves.open.retain(|_, upkeep| {
+        self.rollouts.by_number.retain(|_, upkeep| {
             if upkeep.completed {
                 let lasts = |phase: &Phase| matches!(phase, Phase::Begun(_) | Phase::Down);
                 upkeep.phases.retain(|name, phase| lasts(phase) && listed.contains(name));
@@ -217,108 +220,124 @@
     }
 
     /// An upkeep was begun, or not.
-    pub(crate) fn upkept(&mut self, number: WaveNumber, name: &Name, outcome: Result<(), Failure>) {
+    pub(crate) fn handle_maintenance_result(
+        &mut self,
+        number: WaveNumber,
+        name: &Name,
+        outcome: Result<(), Failure>,
+    ) {
         let now = self.now;
-        let Some(upkeep) = self.waves.open.get_mut(&number) else { return };
+        let Some(upkeep) = self.rollouts.by_number.get_mut(&number) else { return };
         match outcome {
             Ok(()) => {
                 upkeep.begun.insert(name.clone());
                 upkeep.phases.insert(name.clone(), Phase::Begun(now));
-                self.waves.unlisted.insert(name.clone(), now);
-                self.note(Number::UpkeepBegun, None, None, None, format!("wave {number}: {name}"));
-                self.keep_wave(number, Progress::Active);
+                self.rollouts.unconfirmed.insert(name.clone(), now);
+                self.note(
+                    LogEvent::UpkeepBegun,
+                    None,
+                    None,
+                    None,
+                    format!("wave {number}: {name}"),
+                );
+                self.store_rollout(number, Progress::Active);
             }
             Err(Failure::Missing | Failure::NotOfWave) => {
                 upkeep.phases.remove(name);
-                self.waves.machines.remove(name);
-                self.take_back(name);
+                self.rollouts.machines.remove(name);
+                self.reopen_machine(name);
             }
             Err(failure) => {
-                let maybe = failure == Failure::Unknown;
-                upkeep.phases.insert(name.clone(), Phase::Again { at: now + AGAIN, maybe });
+                let may_have_begun = failure == Failure::Unknown;
+                upkeep.phases.insert(
+                    name.clone(),
+                    Phase::Retry { at: now + REQUEST_RETRY_PAUSE, may_have_begun },
+                );
                 let detail = format!("wave {number}: {name}: {failure}");
-                self.note(Number::UpkeepDelayed, None, None, None, detail);
+                self.note(LogEvent::UpkeepDelayed, None, None, None, detail);
             }
         }
-        self.look_at_waves(now);
+        self.schedule_rollouts(now);
     }
 
     /// Goes on with every wave, and comes back while there are any.
     pub(crate) fn run_waves(&mut self) {
-        if self.waves.due.is_none_or(|due| due > self.now) {
+        if self.rollouts.next_check.is_none_or(|due| due > self.now) {
             return;
         }
-        self.waves.due = None;
-        let open: Vec<WaveNumber> = self.waves.open.keys().copied().collect();
+        self.rollouts.next_check = None;
+        let open: Vec<WaveNumber> = self.rollouts.by_number.keys().copied().collect();
         for number in open {
-            if self.waves.listed_at.is_some() {
+            if self.rollouts.listed_at.is_some() {
                 self.run_wave(number);
             }
         }
-        if !self.waves.open.is_empty() {
-            self.look_at_waves(self.now + LOOK);
+        if !self.rollouts.by_number.is_empty() {
+            self.schedule_rollouts(self.now + DRAIN_CHECK_INTERVAL);
         }
     }
 
-    fn look_at_waves(&mut self, at: Time) {
-        if self.waves.due.is_none_or(|due| at < due) {
-            self.waves.due = Some(at);
-            self.timers.insert((at, Timer::Waves));
+    fn schedule_rollouts(&mut self, at: Time) {
+        if self.rollouts.next_check.is_none_or(|due| at < due) {
+            self.rollouts.next_check = Some(at);
+            self.timers.insert((at, Timer::Rollouts));
         }
     }
 
     fn run_wave(&mut self, number: WaveNumber) {
-        if self.waves.open.get(&number).is_none_or(|upkeep| upkeep.completed) {
+        if self.rollouts.by_number.get(&number).is_none_or(|upkeep| upkeep.completed) {
             return;
         }
-        self.begin_emptying(number);
-        let Some(upkeep) = self.waves.open.get(&number) else { return };
+        self.begin_draining(number);
+        let Some(upkeep) = self.rollouts.by_number.get(&number) else { return };
         let phases: Vec<(Name, Phase)> =
             upkeep.phases.iter().map(|(name, phase)| (name.clone(), *phase)).collect();
         for (name, phase) in phases {
             let may = self.may_go_down(number);
             match phase {
-                Phase::Emptying(since) if may && self.is_empty(&name, since) => {
-                    self.order(number, &name);
+                Phase::Draining(since) if may && self.continue_drain(&name, since) => {
+                    self.request_maintenance(number, &name);
                 }
-                Phase::Emptying(since) if self.now >= since + GIVE_UP => {
-                    self.give_up(number, &name)
+                Phase::Draining(since) if self.now >= since + DRAIN_TIMEOUT => {
+                    self.abort_drain(number, &name)
                 }
-                Phase::Again { at, maybe } if (may || maybe) && at <= self.now => {
-                    self.order(number, &name)
+                Phase::Retry { at, may_have_begun }
+                    if (may || may_have_begun) && at <= self.now =>
+                {
+                    self.request_maintenance(number, &name)
                 }
                 _ => {}
             }
         }
-        let Some(upkeep) = self.waves.open.get_mut(&number) else { return };
-        if upkeep.left(&self.waves.machines).next().is_none() {
+        let Some(upkeep) = self.rollouts.by_number.get_mut(&number) else { return };
+        if upkeep.remaining(&self.rollouts.machines).next().is_none() {
             upkeep.completed = true;
-            self.note(Number::WaveCompleted, None, None, None, format!("wave {number}"));
-            self.keep_wave(number, Progress::Completed);
+            self.note(LogEvent::WaveCompleted, None, None, None, format!("wave {number}"));
+            self.store_rollout(number, Progress::Completed);
         }
     }
 
     /// Takes as many more machines as may be away at once, those first that have the least to lose.
-    fn begin_emptying(&mut self, number: WaveNumber) {
+    fn begin_draining(&mut self, number: WaveNumber) {
         let now = self.now;
         if !self.may_go_down(number) {
             return;
         }
-        let Some(upkeep) = self.waves.open.get(&number) else { return };
-        let left = upkeep.left(&self.waves.machines).count();
+        let Some(upkeep) = self.rollouts.by_number.get(&number) else { return };
+        let left = upkeep.remaining(&self.rollouts.machines).count();
         // Machines that an earlier owner sent down, or that went down by themselves, count too.
         let down = upkeep.wave.machines.iter().filter(|name| {
-            let machine = self.waves.machines.get(*name);
+            let machine = self.rollouts.machines.get(*name);
             !upkeep.phases.contains_key(*name) && machine.is_some_and(|machine| !machine.up)
         });
         let away = upkeep.phases.len() + down.count();
-        let mut width = upkeep.width(left, now).saturating_sub(away);
+        let mut width = upkeep.concurrency(left, now).saturating_sub(away);
         let mut free: Vec<(usize, Name)> = upkeep
-            .left(&self.waves.machines)
-            .filter(|name| !upkeep.phases.contains_key(*name) && self.waves.machines[*name].up)
-            .filter(|name| !self.waves.is_going_down(name))
-            .filter(|name| upkeep.resting.get(*name).is_none_or(|until| *until <= now))
-            .map(|name| (self.lasting_on(name), name.clone()))
+            .remaining(&self.rollouts.machines)
+            .filter(|name| !upkeep.phases.contains_key(*name) && self.rollouts.machines[*name].up)
+            .filter(|name| !self.rollouts.is_going_down(name))
+            .filter(|name| upkeep.retry_after.get(*name).is_none_or(|until| *until <= now))
+            .map(|name| (self.service_tasks_on(name), name.clone()))
             .collect();
         free.sort();
         for (_, name) in free {
@@ -326,15 +345,15 @@
                 return;
             }
             let worker = self.worker_of(&name);
-            if worker.is_some_and(|worker| !self.can_be_spared(worker)) {
-                self.thin_out(worker);
+            if worker.is_some_and(|worker| !self.is_within_disruption_budget(worker)) {
+                self.move_excess_service_task(worker);
                 continue;
             }
             if let Some(worker) = worker {
-                self.workers[worker].upkeep = true;
+                self.workers[worker].draining_for_maintenance = true;
             }
-            if let Some(upkeep) = self.waves.open.get_mut(&number) {
-                upkeep.phases.insert(name, Phase::Emptying(now));
+            if let Some(upkeep) = self.rollouts.by_number.get_mut(&number) {
+                upkeep.phases.insert(name, Phase::Draining(now));
             }
             width -= 1;
         }
@@ -343,79 +362,79 @@
     /// Tells whether one more machine of a wave may go down: fewer than its operator allows are down,
     /// for whatever reason, or may be after an order that isn't settled.
     fn may_go_down(&self, number: WaveNumber) -> bool {
-        let Some(upkeep) = self.waves.open.get(&number) else { return false };
-        if self.now < self.owned_at + INHERIT_TIME {
+        let Some(upkeep) = self.rollouts.by_number.get(&number) else { return false };
+        if self.now < self.owned_at + TAKEOVER_DELAY {
             return false;
         }
         let down = upkeep.wave.machines.iter().filter(|name| {
-            let listed_down = self.waves.machines.get(*name).is_some_and(|machine| !machine.up);
-            listed_down || self.waves.is_going_down(name)
+            let listed_down = self.rollouts.machines.get(*name).is_some_and(|machine| !machine.up);
+            listed_down || self.rollouts.is_going_down(name)
         });
         down.count() < upkeep.wave.cap
     }
 
     /// Takes a machine back; it is tried again later.
-    fn give_up(&mut self, number: WaveNumber, name: &Name) {
-        if let Some(upkeep) = self.waves.open.get_mut(&number) {
+    fn abort_drain(&mut self, number: WaveNumber, name: &Name) {
+        if let Some(upkeep) = self.rollouts.by_number.get_mut(&number) {
             upkeep.phases.remove(name);
-            upkeep.resting.insert(name.clone(), self.now + REST);
+            upkeep.retry_after.insert(name.clone(), self.now + DRAIN_RETRY_PAUSE);
         }
-        self.take_back(name);
+        self.reopen_machine(name);
     }
 
-    fn order(&mut self, number: WaveNumber, name: &Name) {
+    fn request_maintenance(&mut self, number: WaveNumber, name: &Name) {
         let now = self.now;
-        let Some(upkeep) = self.waves.open.get_mut(&number) else { return };
-        upkeep.phases.insert(name.clone(), Phase::Ordered(now));
+        let Some(upkeep) = self.rollouts.by_number.get_mut(&number) else { return };
+        upkeep.phases.insert(name.clone(), Phase::Requested(now));
         if let Some(worker) = self.worker_of(name) {
-            self.workers[worker].going_down = true;
+            self.workers[worker].maintenance_ordered = true;
         }
-        self.actions.push(Action::Upkeep { wave: number, machine: name.clone() });
+        self.actions.push(Action::StartMaintenance { rollout: number, machine: name.clone() });
     }
 
     fn worker_of(&self, name: &Name) -> Option<WorkerId> {
-        let worker: &id::Instance = self.waves.machines.get(name)?.worker.as_ref()?;
-        self.names.get(worker).copied()
+        let worker: &id::Instance = self.rollouts.machines.get(name)?.worker.as_ref()?;
+        self.workers_by_name.get(worker).copied()
     }
 
-    fn lasting_on(&self, name: &Name) -> usize {
+    fn service_tasks_on(&self, name: &Name) -> usize {
         let worker = self.worker_of(name).and_then(|worker| self.workers.get(worker));
-        worker.map_or(0, |worker| worker.runs.values().filter(|hosted| hosted.lasts).count())
+        worker.map_or(0, |worker| worker.runs.values().filter(|hosted| hosted.long_running).count())
     }
 
     /// Lets a machine take tasks again that has no upkeep after all.
-    fn take_back(&mut self, name: &Name) {
+    fn reopen_machine(&mut self, name: &Name) {
         if let Some(worker) = self.worker_of(name) {
-            self.workers[worker].upkeep = false;
-            self.workers[worker].going_down = false;
+            self.workers[worker].draining_for_maintenance = false;
+            self.workers[worker].maintenance_ordered = false;
             self.room_changed = true;
         }
     }
 
     /// Goes on emptying a machine; tells whether its upkeep may begin.
-    fn is_empty(&mut self, name: &Name, since: Time) -> bool {
+    fn continue_drain(&mut self, name: &Name, since: Time) -> bool {
         let Some(worker) = self.worker_of(name) else { return true };
-        if !self.can_be_spared(worker) {
+        if !self.is_within_disruption_budget(worker) {
             // Another of its steps' tasks went away meanwhile.
             return false;
         }
         let passing: Vec<(Run, bool)> = self.workers[worker]
             .runs
             .iter()
-            .filter(|(_, hosted)| !hosted.lasts)
+            .filter(|(_, hosted)| !hosted.long_running)
             .map(|(run, hosted)| (*run, hosted.checkpointing))
             .collect();
-        let late = self.now >= since + EMPTY_TIME;
+        let late = self.now >= since + DRAIN_GRACE;
         for &(run, _) in passing.iter().filter(|(_, checkpointing)| *checkpointing || late) {
-            self.stop_run(worker, run, Why::Leaving);
+            self.stop_run(worker, run, Reason::WorkerDraining);
         }
         // An end that went down with its worker would be forgotten, and its task run again.
         passing.is_empty() && self.workers[worker].unacknowledged.is_empty()
     }
 
-    fn keep_wave(&mut self, number: WaveNumber, progress: Progress) {
-        let Some(upkeep) = self.waves.open.get(&number) else { return };
-        let begun = upkeep.begun.iter().cloned().collect();
-        self.actions.push(Action::KeepWave { wave: number, progress, begun });
+    fn store_rollout(&mut self, number: WaveNumber, progress: Progress) {
+        let Some(upkeep) = self.rollouts.by_number.get(&number) else { return };
+        let started = upkeep.begun.iter().cloned().collect();
+        self.actions.push(Action::SaveRollout { rollout: number, progress, started });
     }
 }
--- a/crates/planner/src/takeover.rs
+++ b/crates/planner/src/takeover.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_ports::executor::Incarnation;
 use cowslipchute_ports::executor::Registration;
@@ -15,37 +15,37 @@
 use cowslipchute_ports::job::StepIndex;
 use cowslipchute_ports::job::TaskId;
 
+use crate::command::Timer;
+use crate::estimates::Estimates;
 use crate::host::Hosted;
-use crate::host::Why;
+use crate::host::Reason;
 use crate::job::Job;
 use crate::job::Place;
-use crate::job::Terms;
-use crate::learnt::Learnt;
-use crate::order::Timer;
+use crate::job::Policy;
 use crate::planner::Planner;
 use crate::record;
 use crate::record::Record;
 use crate::reserve::Reserve;
-use crate::worker::Hold;
+use crate::worker::Heartbeat;
 use crate::worker::Worker;
 use crate::worker::WorkerId;
-use crate::write::Writing;
+use crate::write::Writes;
 
 /// How soon a worker that does not answer is looked at for its deadline having passed.
-pub(crate) const LAPSE_CHECK: Duration = Duration::from_millis(250);
+pub(crate) const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Planner {
     /// Begins with what the store holds.
-    pub(crate) fn own(
+    pub(crate) fn take_over(
         &mut self,
         epoch: id::Epoch,
         jobs: Vec<(JobId, Arc<Accepted>)>,
         records: Vec<(JobId, Record)>,
-        learnt: Option<Learnt>,
+        learnt: Option<Estimates>,
     ) {
-        self.disown();
+        self.release_ownership();
         if let Some(learnt) = learnt {
-            self.take_learnt(learnt);
+            self.restore_estimates(learnt);
         }
         self.epoch = Some(epoch);
         self.owned_at = self.now;
@@ -58,43 +58,43 @@
         }
         let known: Vec<JobId> = self.jobs.keys().copied().collect();
         for job in known {
-            self.conclude(job);
+            self.end_if_settled(job);
         }
         self.room_changed = true;
     }
 
     /// Forgets everything; another owner decides from now on.
-    pub(crate) fn disown(&mut self) {
+    pub(crate) fn release_ownership(&mut self) {
         self.epoch = None;
-        self.valid_until = id::Time::ZERO;
+        self.lease_until = id::Time::ZERO;
         self.jobs.clear();
         self.waiting.clear();
         self.ended.clear();
-        self.ended_order.clear();
+        self.ended_expiry.clear();
         self.workers = Default::default();
-        self.names.clear();
+        self.workers_by_name.clear();
         self.incarnations_ended = 0;
         self.crashed_at.clear();
-        self.strangers.clear();
-        self.asking = None;
-        self.waves = Default::default();
-        self.fills_at = id::Time::ZERO;
+        self.unconfigured.clear();
+        self.pending_query = None;
+        self.rollouts = Default::default();
+        self.best_effort_due = id::Time::ZERO;
         self.pins.clear();
         self.placements = Default::default();
         self.reservations.clear();
-        self.quiet_first = None;
+        self.isolation_priority = None;
         self.share = Default::default();
         self.ratings = 0;
         self.timers.clear();
-        self.writing = Writing::after(&self.writing);
+        self.writes = Writes::restart(&self.writes);
     }
 
     fn insert_job(&mut self, job: JobId, accepted: Arc<Accepted>) {
         self.arrivals += 1;
-        let terms = Terms::of(self.config.as_deref(), &accepted.queue);
+        let terms = Policy::of(self.config.as_deref(), &accepted.queue);
         let state = Job::new(accepted, terms, self.now, self.arrivals);
-        self.reserve.count(self.now, &state.accepted.spec);
-        Planner::learn_work(&mut self.works, &state.accepted.queue, state.work);
+        self.reserve.add_job(self.now, &state.accepted.spec);
+        Planner::learn_work(&mut self.mean_work, &state.accepted.queue, state.work);
         let scheduled = state.next_due().is_some();
         self.jobs.insert(job, state);
         self.waiting.insert(job);
@@ -133,50 +133,50 @@
         state.open_steps();
         self.restore_pins(job, &record.outstanding);
         for (run, worker) in placed {
-            self.inherit(run, &worker);
+            self.restore_run(run, &worker);
         }
     }
 
     /// A record names a run with the incarnation that it was placed on. Whichever of them answers first, its account
     /// tells which of the runs it holds.
-    fn inherit(&mut self, run: Run, host: &Incarnation) {
+    fn restore_run(&mut self, run: Run, host: &Incarnation) {
         let worker = self.ensure_worker(&host.name);
         let state = &mut self.workers[worker];
-        state.met = id::Time::ZERO;
-        state.born = state.born.max(host.born);
+        state.first_seen = id::Time::ZERO;
+        state.started_at = state.started_at.max(host.born);
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         let crashes = job.task(run.task).map_or(0, |task| task.crashed.len());
-        let unanswered = self.pins.contains_key(&run.task);
+        let start_unanswered = self.pins.contains_key(&run.task);
         let hosted = Hosted {
             crashes,
-            unanswered,
-            starts_out: u32::from(unanswered),
+            start_unanswered,
+            starts_in_flight: u32::from(start_unanswered),
             ..Hosted::inherited(job.spec(run.task.step), now)
         };
         job.move_task(run.task, Place::At(worker));
-        self.workers[worker].host(run, hosted);
+        self.workers[worker].add_run(run, hosted);
     }
 
     /// Ends a job for which nothing is left to do but to say so.
-    fn conclude(&mut self, job: JobId) {
+    fn end_if_settled(&mut self, job: JobId) {
         let Some(state) = self.jobs.get(&job) else { return };
-        let most = state.terms.max_attempts as usize;
+        let most = state.policy.max_attempts as usize;
         let spent = state.steps(job).any(|(id, step)| {
             let lasts = state.spec(id.step).long_running;
             !lasts && step.tasks.iter().any(|task| task.failed.len() >= most)
         });
         if state.accepted.cancelled {
-            self.finish(job, State::Cancelled);
+            self.finish_job(job, State::Cancelled);
         } else if state.is_done() {
-            self.finish(job, State::Completed);
+            self.finish_job(job, State::Completed);
         } else if spent {
-            self.finish(job, State::Failed);
+            self.finish_job(job, State::Failed);
         }
     }
 
     /// A job is in the store, or was changed there.
-    pub(crate) fn learn(&mut self, job: JobId, accepted: Arc<Accepted>) {
+    pub(crate) fn update_job(&mut self, job: JobId, accepted: Arc<Accepted>) {
         if self.epoch.is_none() || self.ended.contains_key(&job) {
             return;
         }
@@ -186,49 +186,50 @@
                 self.insert_job(job, accepted);
                 self.room_changed = true;
                 let size = self.jobs[&job].size().to_string();
-                self.note(Number::JobKnown, Some(job), None, None, size);
+                self.note(LogEvent::JobKnown, Some(job), None, None, size);
             }
         }
         if self.jobs[&job].end.is_none() && self.jobs[&job].accepted.cancelled {
-            self.finish(job, State::Cancelled);
+            self.finish_job(job, State::Cancelled);
         }
     }
 
     fn ensure_worker(&mut self, name: &id::Instance) -> WorkerId {
-        if let Some(&worker) = self.names.get(name) {
+        if let Some(&worker) = self.workers_by_name.get(name) {
             return worker;
         }
         let rank = self.incarnations_ended;
         let worker = self.workers.insert(Worker::unlisted(name.clone(), rank, self.now));
-        self.names.insert(name.clone(), worker);
-        self.timers.insert((self.now + LAPSE_CHECK, Timer::Lapse(worker)));
+        self.workers_by_name.insert(name.clone(), worker);
+        self.timers.insert((self.now + EXPIRY_CHECK_INTERVAL, Timer::LeaseExpiry(worker)));
         worker
     }
 
     /// A worker is in the directory, or its entry has changed.
-    pub(crate) fn list(&mut self, registration: &Registration) {
+    pub(crate) fn update_entry(&mut self, registration: &Registration) {
         if self.epoch.is_none() {
             return;
         }
-        let known = self.names.get(&registration.name).map(|&worker| &self.workers[worker]);
-        if known.is_some_and(|worker| worker.succeeds(registration)) {
+        let known =
+            self.workers_by_name.get(&registration.name).map(|&worker| &self.workers[worker]);
+        if known.is_some_and(|worker| worker.is_newer_than(registration)) {
             return;
         }
         let is_known = known.is_some();
-        let is_news = known.is_none_or(|worker| !worker.is_listed_as(registration));
-        if !self.names_service(&registration.service) && !self.is_sought(&registration.name) {
-            self.set_aside(registration);
+        let is_news = known.is_none_or(|worker| !worker.matches_registration(registration));
+        if !self.is_configured(&registration.service) && !self.lacks_address(&registration.name) {
+            self.defer_entry(registration);
             return;
         }
         if !is_news {
             return;
         }
-        self.strangers.remove(&registration.name);
+        self.unconfigured.remove(&registration.name);
         let worker = self.ensure_worker(&registration.name);
-        let worker = self.admit_entry(worker, registration);
+        let worker = self.match_incarnation(worker, registration);
         let was_draining = self.workers[worker].draining;
         let was_nowhere = self.workers[worker].address.is_none();
-        self.workers[worker].list(registration);
+        self.workers[worker].update_registration(registration);
         if was_nowhere {
             self.resume_orders(worker);
         }
@@ -236,15 +237,15 @@
         if !is_known {
             let name = registration.name.clone();
             let detail = format!("{} in {}", registration.address, registration.domain);
-            self.note(Number::WorkerKnown, None, None, Some(name), detail);
+            self.note(LogEvent::WorkerKnown, None, None, Some(name), detail);
         }
-        if let Hold::Due(at) = self.workers[worker].hold {
-            self.timers.insert((at, Timer::Hold(worker)));
+        if let Heartbeat::Due(at) = self.workers[worker].heartbeat {
+            self.timers.insert((at, Timer::Heartbeat(worker)));
         }
         if registration.draining && !was_draining {
             let name = registration.name.clone();
-            self.note(Number::WorkerLeaving, None, None, Some(name), "");
-            self.vacate(worker);
+            self.note(LogEvent::WorkerLeaving, None, None, Some(name), "");
+            self.move_tasks_off(worker);
         }
     }
 
@@ -252,13 +253,13 @@
     fn resume_orders(&mut self, worker: WorkerId) {
         let runs: Vec<Run> = self.workers[worker].runs.keys().copied().collect();
         for run in runs {
-            self.schedule(worker, run, Duration::ZERO);
+            self.schedule_command(worker, run, Duration::ZERO);
         }
     }
 
     /// Tells whether the configuration in force names a service, as one of its own or as that of a
     /// queue.
-    fn names_service(&self, service: &id::Service) -> bool {
+    fn is_configured(&self, service: &id::Service) -> bool {
         let Some(config) = &self.config else { return false };
         config.services.iter().any(|known| known.name == *service)
             || config.queues.iter().any(|queue| queue.service == *service)
@@ -266,39 +267,39 @@
 
     /// Tells whether a record names a worker of which nobody has said yet where it is. What it runs has
     /// to be held, also after its service was dropped.
-    fn is_sought(&self, name: &id::Instance) -> bool {
-        let worker = self.names.get(name).and_then(|&worker| self.workers.get(worker));
+    fn lacks_address(&self, name: &id::Instance) -> bool {
+        let worker = self.workers_by_name.get(name).and_then(|&worker| self.workers.get(worker));
         worker.is_some_and(|worker| worker.address.is_none())
     }
 
     /// Keeps an entry whose service nobody has named, which may be a stray writer's, until the
     /// configuration names it. A worker that is known already gets nothing new meanwhile.
-    fn set_aside(&mut self, registration: &Registration) {
+    fn defer_entry(&mut self, registration: &Registration) {
         let name = &registration.name;
-        if self.names.contains_key(name) {
-            self.unlist(name);
+        if self.workers_by_name.contains_key(name) {
+            self.remove_entry(name);
         }
-        self.strangers.insert(name.clone(), registration.clone());
+        self.unconfigured.insert(name.clone(), registration.clone());
     }
 
     /// Takes in the entries that were set aside and whose service is named now.
-    pub(crate) fn admit_strangers(&mut self) {
-        for (_, registration) in std::mem::take(&mut self.strangers) {
-            self.list(&registration);
+    pub(crate) fn apply_deferred_entries(&mut self) {
+        for (_, registration) in std::mem::take(&mut self.unconfigured) {
+            self.update_entry(&registration);
         }
     }
 
     /// A worker is in the directory no more. It may run on, so its runs keep their places.
-    pub(crate) fn unlist(&mut self, name: &id::Instance) {
-        self.strangers.remove(name);
-        let Some(&worker) = self.names.get(name) else { return };
+    pub(crate) fn remove_entry(&mut self, name: &id::Instance) {
+        self.unconfigured.remove(name);
+        let Some(&worker) = self.workers_by_name.get(name) else { return };
         self.workers[worker].listed = false;
-        self.note(Number::WorkerUnlisted, None, None, Some(name.clone()), "");
-        self.drop_if_needless(worker);
+        self.note(LogEvent::WorkerUnlisted, None, None, Some(name.clone()), "");
+        self.forget_if_unused(worker);
     }
 
     /// Forgets a worker that is neither listed, nor answers, nor may run anything.
-    pub(crate) fn drop_if_needless(&mut self, worker: WorkerId) {
+    pub(crate) fn forget_if_unused(&mut self, worker: WorkerId) {
         let state = &self.workers[worker];
         if !state.listed && !state.answers() && state.runs.is_empty() {
             self.forget_incarnation(worker);
@@ -306,9 +307,11 @@
     }
 
     /// Moves off a leaving worker what lasts, and what saves its progress.
-    fn vacate(&mut self, worker: WorkerId) {
-        for run in self.workers[worker].runs_where(|hosted| hosted.lasts || hosted.checkpointing) {
-            self.stop_run(worker, run, Why::Leaving);
+    fn move_tasks_off(&mut self, worker: WorkerId) {
+        for run in
+            self.workers[worker].runs_where(|hosted| hosted.long_running || hosted.checkpointing)
+        {
+            self.stop_run(worker, run, Reason::WorkerDraining);
         }
     }
 }
--- a/crates/planner/src/worker.rs
+++ b/crates/planner/src/worker.rs
@@ -21,16 +21,16 @@
 
 use crate::health::Health;
 use crate::host::Hosted;
-use crate::interfere::Served;
-use crate::interfere::Shares;
-use crate::probation::Quiet;
+use crate::interference::ImageIndex;
+use crate::interference::Shares;
+use crate::probation::Isolation;
 use crate::settings::Settings;
 
 /// Bits of an order's epoch that tell incarnations within one ownership apart: as many as end in years of it. The
 /// rest leaves room for 2^33 epochs below 2^53, up to which any reader of numbers is exact.
-const RANK_BITS: u32 = 20;
+const GENERATION_BITS: u32 = 20;
 /// Incarnations past this one share their epoch, which only widens what a late order may do.
-const HIGHEST_RANK: u32 = (1 << RANK_BITS) - 1;
+const MAX_GENERATION: u32 = (1 << GENERATION_BITS) - 1;
 
 /// Index of a worker in the planner's table.
 pub(crate) type WorkerId = Id<Worker>;
@@ -39,11 +39,11 @@
 const CLOCK_DRIFT: f64 = 0.02;
 /// Added before a deadline counts as surely passed: the answer's way, and the worker's own delay
 /// in acting on it.
-const LAPSE_SLACK: Duration = Duration::from_millis(300);
+const LEASE_EXPIRY_SLACK: Duration = Duration::from_millis(300);
 
 /// What a worker's clock showed when its answer arrived.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Reading {
+pub(crate) struct ClockReading {
     pub(crate) stamp: Stamp,
     pub(crate) at: Time,
 }
@@ -61,7 +61,7 @@
 
 /// The order that extends the deadline and lists the runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Hold {
+pub(crate) enum Heartbeat {
     /// To be sent at this time.
     Due(Time),
     /// Sent at this time.
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Margin {
     /// What it runs, once an account has told of that image.
-    pub(crate) image: Option<Served>,
+    pub(crate) image: Option<ImageIndex>,
     pub(crate) margin: f64,
     /// Standard deviation of that.
     pub(crate) deviation: f64,
@@ -83,13 +83,13 @@
 /// What a task that fills would find on a worker. Placing passes ask for it many times between two
 /// changes there.
 #[derive(Clone, Debug)]
-pub(crate) struct Beside {
+pub(crate) struct Colocation {
     /// The tasks that serve.
     pub(crate) margins: SmallVec<[Margin; 8]>,
     /// Thousandths of a processor that tasks which fill can still use.
-    pub(crate) fill_room: i64,
+    pub(crate) best_effort_room: i64,
     /// Since when the task that has been over its target for the longest has been.
-    pub(crate) over_since: Option<Time>,
+    pub(crate) over_target_since: Option<Time>,
 }
 
 /// An end that the worker lists until it is acknowledged.
@@ -106,9 +106,9 @@
 pub(crate) struct Worker {
     pub(crate) name: id::Instance,
     /// Unix milliseconds of its start, once it has told.
-    pub(crate) born: Option<id::Incarnation>,
+    pub(crate) started_at: Option<id::Incarnation>,
     /// Rises from one incarnation of a name to the next; the lower part of its orders' epoch.
-    pub(crate) rank: u32,
+    pub(crate) generation: u32,
     /// None for one that only records name.
     pub(crate) address: Option<SocketAddr>,
     pub(crate) service: id::Service,
@@ -119,60 +119,60 @@
     pub(crate) listed: bool,
     pub(crate) draining: bool,
     /// Whether its machine is being emptied for its upkeep.
-    pub(crate) upkeep: bool,
+    pub(crate) draining_for_maintenance: bool,
     /// Whether its upkeep is ordered, which ends its incarnation.
-    pub(crate) going_down: bool,
+    pub(crate) maintenance_ordered: bool,
     /// When its machine was listed as up after its upkeep had been ordered. An account that is asked for later tells
     /// whether it outlived that.
     pub(crate) listed_up: Option<Time>,
     /// When this owner first heard of it; the beginning of time if it heard from a record, which an
     /// earlier owner wrote.
-    pub(crate) met: Time,
+    pub(crate) first_seen: Time,
     pub(crate) contact: Contact,
     /// What its clock showed with its last account. Answers to other orders aren't read for that: they may be the
     /// next incarnation's, and overtake accounts.
-    pub(crate) reading: Option<Reading>,
+    pub(crate) clock_reading: Option<ClockReading>,
     /// When it last answered a hold or any other order.
-    pub(crate) heard: Option<Time>,
+    pub(crate) last_answer: Option<Time>,
     /// The latest deadline that was sent to it.
-    pub(crate) granted: Stamp,
+    pub(crate) lease_deadline: Stamp,
     /// The highest end that was taken in.
-    pub(crate) seen: EndNumber,
+    pub(crate) last_end_seen: EndNumber,
     /// The highest end that may be acknowledged.
     pub(crate) acknowledged: EndNumber,
     pub(crate) unacknowledged: VecDeque<Unacknowledged>,
-    pub(crate) hold: Hold,
+    pub(crate) heartbeat: Heartbeat,
     pub(crate) runs: BTreeMap<Run, Hosted>,
     /// The sum of what its runs reserve.
     pub(crate) reserved: Amount,
     /// What of that is reserved by tasks that last.
-    pub(crate) lasting: Amount,
+    pub(crate) reserved_by_services: Amount,
     pub(crate) health: Health,
     /// How many of its runs are suspects ([`crate::crash`]).
     pub(crate) suspects: u32,
     /// When it was last ordered to start a run.
-    pub(crate) newest: Time,
+    pub(crate) last_start_sent: Time,
     /// None when something has changed since it was worked out.
-    pub(crate) beside: Option<Beside>,
+    pub(crate) colocation: Option<Colocation>,
     /// What filling images used when figures were last read.
     pub(crate) shares: Shares,
     /// When that was.
-    pub(crate) figures_at: Time,
+    pub(crate) measured_at: Time,
     /// Nothing is placed there before this.
     pub(crate) closed_until: Time,
     /// The step for whose next task it is kept.
-    pub(crate) kept_for: Option<StepId>,
+    pub(crate) reserved_for: Option<StepId>,
     /// The step on probation for which nothing else begins there.
-    pub(crate) quiet_for: Option<Quiet>,
+    pub(crate) isolated_for: Option<Isolation>,
 }
 
 impl Worker {
     /// A worker of which only a record tells.
-    pub(crate) fn unlisted(name: id::Instance, rank: u32, now: Time) -> Worker {
+    pub(crate) fn unlisted(name: id::Instance, generation: u32, now: Time) -> Worker {
         Worker {
             name,
-            born: None,
-            rank,
+            started_at: None,
+            generation,
             address: None,
             service: id::Service::from(""),
             domain: id::Domain::from(""),
@@ -181,35 +181,35 @@
             capacity: Amount::ZERO,
             listed: false,
             draining: false,
-            upkeep: false,
-            going_down: false,
+            draining_for_maintenance: false,
+            maintenance_ordered: false,
             listed_up: None,
-            met: now,
+            first_seen: now,
             contact: Contact::Unfenced { since: now },
-            reading: None,
-            heard: None,
-            granted: 0,
-            seen: 0,
+            clock_reading: None,
+            last_answer: None,
+            lease_deadline: 0,
+            last_end_seen: 0,
             acknowledged: 0,
             unacknowledged: VecDeque::new(),
-            hold: Hold::Due(now),
+            heartbeat: Heartbeat::Due(now),
             runs: BTreeMap::new(),
             reserved: Amount::ZERO,
-            lasting: Amount::ZERO,
+            reserved_by_services: Amount::ZERO,
             health: Health::default(),
             suspects: 0,
-            newest: Time::ZERO,
-            beside: None,
+            last_start_sent: Time::ZERO,
+            colocation: None,
             shares: Shares::new(),
-            figures_at: Time::ZERO,
+            measured_at: Time::ZERO,
             closed_until: Time::ZERO,
-            kept_for: None,
-            quiet_for: None,
+            reserved_for: None,
+            isolated_for: None,
         }
     }
 
     /// Takes over what the directory says.
-    pub(crate) fn list(&mut self, registration: &Registration) {
+    pub(crate) fn update_registration(&mut self, registration: &Registration) {
         self.address = Some(registration.address);
         self.service = registration.service.clone();
         self.domain = registration.domain.clone();
@@ -221,10 +221,10 @@
     }
 
     /// Tells whether the directory said the same before. Workers refresh their entries each second or two.
-    pub(crate) fn is_listed_as(&self, registration: &Registration) -> bool {
+    pub(crate) fn matches_registration(&self, registration: &Registration) -> bool {
         self.listed
             && self.address == Some(registration.address)
-            && (self.born == registration.born || registration.born.is_none())
+            && (self.started_at == registration.born || registration.born.is_none())
             && self.draining == registration.draining
             && self.capacity == registration.capacity
             && self.service == registration.service
@@ -234,51 +234,51 @@
     }
 
     pub(crate) fn incarnation(&self) -> Incarnation {
-        Incarnation { name: self.name.clone(), born: self.born }
+        Incarnation { name: self.name.clone(), born: self.started_at }
     }
 
     /// Returns the epoch of orders to it: above those of earlier owners and of earlier incarnations.
-    pub(crate) fn order_epoch(&self, owned: id::Epoch) -> id::Epoch {
-        (owned << RANK_BITS) | id::Epoch::from(self.rank.min(HIGHEST_RANK))
+    pub(crate) fn command_epoch(&self, owned: id::Epoch) -> id::Epoch {
+        (owned << GENERATION_BITS) | id::Epoch::from(self.generation.min(MAX_GENERATION))
     }
 
     /// Estimates the worker's clock now.
     pub(crate) fn clock(&self, now: Time) -> Option<Stamp> {
-        let reading = self.reading?;
+        let reading = self.clock_reading?;
         Some(reading.stamp + now.saturating_sub(reading.at).as_millis() as Stamp)
     }
 
     /// Counts the latest deadline that an earlier owner may have given, or this one to an earlier incarnation:
     /// deadlines never shorten, and none was given for so long.
     pub(crate) fn inherit_deadline(&mut self, since: Duration, max_hold: Duration) {
-        let Some(reading) = self.reading else { return };
+        let Some(reading) = self.clock_reading else { return };
         let passed = since.mul_f64(1.0 - CLOCK_DRIFT).as_millis() as Stamp;
         let begun = reading.stamp.saturating_sub(passed);
-        self.granted = self.granted.max(begun + max_hold.as_millis() as Stamp);
+        self.lease_deadline = self.lease_deadline.max(begun + max_hold.as_millis() as Stamp);
     }
 
     /// Tells whether whatever ran there has surely ended for want of a deadline.
-    pub(crate) fn has_lapsed(&self, now: Time, settings: &Settings) -> bool {
+    pub(crate) fn has_lease_expired(&self, now: Time, settings: &Settings) -> bool {
         // What is killed takes as long to end as what is stopped.
-        let slack = LAPSE_SLACK + settings.stop_time;
-        match (self.contact, self.reading) {
+        let slack = LEASE_EXPIRY_SLACK + settings.max_stop_time;
+        match (self.contact, self.clock_reading) {
             (Contact::Unfenced { since }, _) | (Contact::Silent { at: since }, None) => {
                 // Earlier owners' deadlines aren't known, only how far ahead they can be.
-                now >= since + settings.max_hold.mul_f64(1.0 + CLOCK_DRIFT) + slack
+                now >= since + settings.max_lease.mul_f64(1.0 + CLOCK_DRIFT) + slack
             }
             (_, Some(reading)) => {
                 let passed = now.saturating_sub(reading.at).saturating_sub(slack);
                 let least = passed.mul_f64(1.0 - CLOCK_DRIFT).as_millis() as Stamp;
-                reading.stamp + least > self.granted
+                reading.stamp + least > self.lease_deadline
             }
             (Contact::Answering { .. }, None) => false,
         }
     }
 
     /// An order sent at a time was carried out: if the machine had been listed as up by then, its upkeep is over.
-    pub(crate) fn outlive_upkeep(&mut self, sent: Time) {
+    pub(crate) fn end_maintenance_if_outlived(&mut self, sent: Time) {
         if self.listed_up.take_if(|at| *at <= sent).is_some() {
-            self.going_down = false;
+            self.maintenance_ordered = false;
         }
     }
 
@@ -290,30 +290,30 @@
         self.labels.iter().any(|own| &**own == label)
     }
 
-    pub(crate) fn host(&mut self, run: Run, hosted: Hosted) {
+    pub(crate) fn add_run(&mut self, run: Run, hosted: Hosted) {
         self.reserved = self.reserved.plus(hosted.reserved());
-        if hosted.lasts {
-            self.lasting = self.lasting.plus(hosted.reserved());
+        if hosted.long_running {
+            self.reserved_by_services = self.reserved_by_services.plus(hosted.reserved());
         }
         self.suspects += u32::from(hosted.crashes > 0);
-        self.beside = None;
+        self.colocation = None;
         let before = self.runs.insert(run, hosted);
         debug_assert!(before.is_none(), "a run is hosted once");
     }
 
-    pub(crate) fn release(&mut self, run: Run) -> Option<Hosted> {
+    pub(crate) fn remove_run(&mut self, run: Run) -> Option<Hosted> {
         let hosted = self.runs.remove(&run)?;
         self.reserved = self.reserved.minus(hosted.reserved());
-        if hosted.lasts {
-            self.lasting = self.lasting.minus(hosted.reserved());
+        if hosted.long_running {
+            self.reserved_by_services = self.reserved_by_services.minus(hosted.reserved());
         }
         self.suspects -= u32::from(hosted.crashes > 0);
-        self.beside = None;
+        self.colocation = None;
         Some(hosted)
     }
 
     /// A run is no suspect any more.
-    pub(crate) fn clear(&mut self, run: Run) {
+    pub(crate) fn clear_suspect(&mut self, run: Run) {
         let Some(hosted) = self.runs.get_mut(&run) else { return };
         self.suspects -= u32::from(std::mem::take(&mut hosted.crashes) > 0);
     }
@@ -324,8 +324,8 @@
     }
 
     /// Returns since when the run has been missing from its accounts that has been for the longest.
-    pub(crate) fn absent_since(&self) -> Option<Time> {
-        self.runs.values().filter_map(|hosted| hosted.absent_since).min()
+    pub(crate) fn missing_since(&self) -> Option<Time> {
+        self.runs.values().filter_map(|hosted| hosted.missing_since).min()
     }
 
     pub(crate) fn room(&self) -> Amount {
@@ -333,11 +333,11 @@
     }
 
     /// Tells whether a task that serves runs there.
-    pub(crate) fn serves(&self) -> bool {
-        self.runs.values().any(Hosted::serves)
+    pub(crate) fn has_latency_critical(&self) -> bool {
+        self.runs.values().any(Hosted::is_latency_critical)
     }
 
-    pub(crate) fn fills(&self) -> bool {
-        self.runs.values().any(|hosted| hosted.fills)
+    pub(crate) fn has_best_effort(&self) -> bool {
+        self.runs.values().any(|hosted| hosted.best_effort)
     }
 }
--- a/crates/planner/src/write.rs
+++ b/crates/planner/src/write.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::executor::Incarnation;
 use cowslipchute_ports::executor::Run;
@@ -12,25 +12,25 @@
 
 use crate::action::Action;
 use crate::action::Change;
-use crate::event::Batch;
-use crate::host::Order;
+use crate::command::Timer;
+use crate::event::BatchNumber;
+use crate::host::Command;
 use crate::host::Stage;
 use crate::job::Job;
-use crate::order::Timer;
 use crate::planner::Planner;
 use crate::record::Record;
-use crate::worker::Hold;
+use crate::worker::Heartbeat;
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
 /// Writes that may be on their way together: enough that a store that takes a few hundred
 /// milliseconds an answer delays each job by its own write only.
-const FLIGHTS: usize = 12;
+const MAX_IN_FLIGHT: usize = 12;
 
 /// A write on its way.
 #[derive(Debug)]
-struct Flight {
-    batch: Batch,
+struct Write {
+    batch: BatchNumber,
     /// The jobs and the version of each that is written.
     jobs: Vec<(JobId, u64, Option<State>)>,
     /// Runs that may be ordered once it is written.
@@ -39,11 +39,11 @@
 
 /// What is to be written.
 #[derive(Debug, Default)]
-pub(crate) struct Writing {
-    last: Batch,
+pub(crate) struct Writes {
+    last: BatchNumber,
     /// Writes on their way, each of other jobs, so that the order in which they end is of no
     /// matter.
-    flights: Vec<Flight>,
+    in_flight: Vec<Write>,
     /// Jobs that are part of a write on its way.
     busy: HashSet<JobId>,
     dirty: BTreeSet<JobId>,
@@ -51,44 +51,44 @@
     next_at: Time,
 }
 
-impl Writing {
+impl Writes {
     /// Begins anew; numbers of earlier writes are not used again.
-    pub(crate) fn after(earlier: &Writing) -> Writing {
-        Writing { last: earlier.last, ..Writing::default() }
+    pub(crate) fn restart(earlier: &Writes) -> Writes {
+        Writes { last: earlier.last, ..Writes::default() }
     }
 
-    pub(crate) fn intend(&mut self, worker: WorkerId, run: Run) {
+    pub(crate) fn add_intent(&mut self, worker: WorkerId, run: Run) {
         self.intents.push((worker, run));
     }
 }
 
 impl Planner {
     /// Notes that the store has to hold more of a job than it does.
-    pub(crate) fn touch(&mut self, job: JobId) {
+    pub(crate) fn mark_dirty(&mut self, job: JobId) {
         let Some(state) = self.jobs.get_mut(&job) else { return };
         state.version += 1;
-        self.writing.dirty.insert(job);
+        self.writes.dirty.insert(job);
     }
 
     pub(crate) fn write_due(&self) -> Option<Time> {
-        let changed = self.writing.dirty.iter().any(|job| !self.writing.busy.contains(job));
+        let changed = self.writes.dirty.iter().any(|job| !self.writes.busy.contains(job));
         let wanted = self.room_changed || changed;
-        (wanted && self.writing.flights.len() < FLIGHTS).then_some(self.writing.next_at)
+        (wanted && self.writes.in_flight.len() < MAX_IN_FLIGHT).then_some(self.writes.next_at)
     }
 
     /// Places what can be placed and writes what has changed of jobs that aren't being written.
-    pub(crate) fn write(&mut self) {
-        if self.writing.flights.len() >= FLIGHTS || self.now < self.writing.next_at {
+    pub(crate) fn place_and_write(&mut self) {
+        if self.writes.in_flight.len() >= MAX_IN_FLIGHT || self.now < self.writes.next_at {
             return;
         }
         if self.room_changed {
             self.room_changed = false;
             self.place();
         }
-        let busy = &self.writing.busy;
+        let busy = &self.writes.busy;
         let (later, dirty): (BTreeSet<JobId>, BTreeSet<JobId>) =
-            std::mem::take(&mut self.writing.dirty).into_iter().partition(|job| busy.contains(job));
-        self.writing.dirty = later;
+            std::mem::take(&mut self.writes.dirty).into_iter().partition(|job| busy.contains(job));
+        self.writes.dirty = later;
         if dirty.is_empty() {
             return;
         }
@@ -102,20 +102,20 @@
                 None => Change::Progress { job, record: self.record(job, state) },
             });
         }
-        self.writing.last += 1;
-        self.writing.next_at = self.now + self.settings.write_gap;
-        let batch = self.writing.last;
+        self.writes.last += 1;
+        self.writes.next_at = self.now + self.settings.min_write_interval;
+        let batch = self.writes.last;
         let written = |&(_, run): &(WorkerId, Run)| jobs.iter().any(|job| job.0 == run.task.job);
         let (intents, later) =
-            std::mem::take(&mut self.writing.intents).into_iter().partition(written);
-        self.writing.intents = later;
-        self.writing.busy.extend(jobs.iter().map(|job| job.0));
-        self.writing.flights.push(Flight { batch, jobs, intents });
+            std::mem::take(&mut self.writes.intents).into_iter().partition(written);
+        self.writes.intents = later;
+        self.writes.busy.extend(jobs.iter().map(|job| job.0));
+        self.writes.in_flight.push(Write { batch, jobs, intents });
         self.actions.push(Action::Write { batch, changes });
     }
 
     fn record(&self, id: JobId, job: &Job) -> Record {
-        Record { outstanding: self.outstanding(id), ..job.record(|id| self.incarnation(id)) }
+        Record { outstanding: self.outstanding_starts(id), ..job.record(|id| self.incarnation(id)) }
     }
 
     fn incarnation(&self, worker: WorkerId) -> Option<Incarnation> {
@@ -123,64 +123,64 @@
     }
 
     /// A write is in the store: what depended on it may happen.
-    pub(crate) fn written(&mut self, batch: Batch) {
-        let Some(at) = self.writing.flights.iter().position(|flight| flight.batch == batch) else {
+    pub(crate) fn handle_written(&mut self, batch: BatchNumber) {
+        let Some(at) = self.writes.in_flight.iter().position(|flight| flight.batch == batch) else {
             return;
         };
-        let flight = self.writing.flights.swap_remove(at);
+        let flight = self.writes.in_flight.swap_remove(at);
         for (job, version, end) in flight.jobs {
-            self.writing.busy.remove(&job);
+            self.writes.busy.remove(&job);
             match end {
-                Some(state) => self.forget(job, state),
+                Some(state) => self.move_to_ended(job, state),
                 None => {
                     if let Some(state) = self.jobs.get_mut(&job) {
-                        state.stored = version;
+                        state.stored_version = version;
                     }
                 }
             }
         }
         for (worker, run) in flight.intents {
-            self.order_start(worker, run);
+            self.schedule_start(worker, run);
         }
-        self.acknowledge();
+        self.acknowledge_ends();
     }
 
     /// A job's end is in the store: its client may be shown it.
-    fn forget(&mut self, job: JobId, state: State) {
+    fn move_to_ended(&mut self, job: JobId, state: State) {
         if self.jobs.remove(&job).is_none() {
             return;
         }
-        self.writing.dirty.remove(&job);
+        self.writes.dirty.remove(&job);
         self.ended.insert(job, state);
-        self.ended_order.push_back((self.now + self.settings.remember, job));
-        self.note(Number::JobEnded, Some(job), None, None, end_text(state));
+        self.ended_expiry.push_back((self.now + self.settings.ended_job_retention, job));
+        self.note(LogEvent::JobEnded, Some(job), None, None, end_text(state));
     }
 
     pub(crate) fn forget_ended(&mut self) {
-        while let Some(&(at, job)) = self.ended_order.front() {
+        while let Some(&(at, job)) = self.ended_expiry.front() {
             if at > self.now {
                 break;
             }
-            self.ended_order.pop_front();
+            self.ended_expiry.pop_front();
             self.ended.remove(&job);
         }
     }
 
-    fn order_start(&mut self, worker: WorkerId, run: Run) {
+    fn schedule_start(&mut self, worker: WorkerId, run: Run) {
         let now = self.now;
-        let stored = self.jobs.get(&run.task.job).map_or(0, |job| job.stored);
+        let stored = self.jobs.get(&run.task.job).map_or(0, |job| job.stored_version);
         let Some(state) = self.workers.get_mut(worker) else { return };
         let Some(hosted) = state.runs.get_mut(&run) else { return };
         // A place that was taken back and given again waits for the later write.
         if !matches!(hosted.stage, Stage::Intended { version } if version <= stored) {
             return;
         }
-        hosted.stage = Stage::Starting { order: Order::Due(now), unsettled: false };
-        self.timers.insert((now, Timer::Order(worker, run)));
+        hosted.stage = Stage::Starting { command: Command::Due(now), unsettled: false };
+        self.timers.insert((now, Timer::Command(worker, run)));
     }
 
     /// Asks workers again whose ends can be acknowledged now.
-    fn acknowledge(&mut self) {
+    fn acknowledge_ends(&mut self) {
         let listing: Vec<WorkerId> = self
             .workers
             .iter()
@@ -190,9 +190,9 @@
         for worker in listing {
             self.advance_acknowledged(worker);
             let state = &self.workers[worker];
-            let waits = matches!(state.hold, Hold::Due(at) if at > self.now);
+            let waits = matches!(state.heartbeat, Heartbeat::Due(at) if at > self.now);
             if waits && state.answers() && state.unacknowledged.is_empty() {
-                self.hold_at(worker, self.now);
+                self.schedule_heartbeat(worker, self.now);
             }
         }
     }
--- a/crates/planner/tests/interleavings.rs
+++ b/crates/planner/tests/interleavings.rs
@@ -194,9 +194,9 @@
             let machines = (0..WORKERS).filter(|at| of & (1 << at) != 0);
             let machines = machines.map(|at| name(at).as_str().into()).collect();
             *waves += 1;
-            world.demand(*waves, machines, Duration::from_secs(10), usize::from(*cap));
+            world.add_rollout(*waves, machines, Duration::from_secs(10), usize::from(*cap));
         }
-        Step::LoseUpkeep(answers) => world.machines.lose = *answers,
+        Step::LoseUpkeep(answers) => world.machines.lost_answers = *answers,
         Step::StoreDown => world.store_up = false,
         Step::StoreSlow => world.store_delay = Duration::from_millis(300),
         Step::StoreUp => {
@@ -219,8 +219,8 @@
             let rack = if *first { 0..WORKERS / 2 } else { WORKERS / 2..WORKERS };
             rack.for_each(|at| world.restart(&name(at), Duration::from_millis(*down)));
         }
-        Step::Former(at) => world.list_former(&name(*at)),
-        Step::Unlisted(unlisted) => world.machines.unlisted = *unlisted,
+        Step::Former(at) => world.deliver_former_entry(&name(*at)),
+        Step::Unlisted(unlisted) => world.machines.list_unavailable = *unlisted,
         Step::Evacuate(first) => world.evacuate(domain(*first)),
         Step::Restore(first) => world.restore(domain(*first)),
         Step::NoRenewal => world.renewals = false,
@@ -256,7 +256,7 @@
     world.store_up = true;
     world.store_delay = Duration::from_millis(4);
     world.renewals = true;
-    world.machines.unlisted = false;
+    world.machines.list_unavailable = false;
     [true, false].into_iter().for_each(|first| world.restore(domain(first)));
     for at in 0..WORKERS {
         let worker = world.workers.get_mut(&name(at)).expect("workers stay");
@@ -292,12 +292,12 @@
     }
     mend(&mut world);
     world.run(SETTLED);
-    world.idle = Some(world::idle::Watch::default());
-    world.beside = Some(world::beside::Watch::default());
+    world.job_wait = Some(world::job_wait::Watch::default());
+    world.service_wait = Some(world::service_wait::Watch::default());
     world.run(END / 2 - SETTLED);
-    let idle = world.idle.as_ref().expect("it is watched");
+    let idle = world.job_wait.as_ref().expect("it is watched");
     assert!(idle.longest <= IDLE, "{:?} idle for {:?}", idle.job, idle.longest);
-    let beside = world.beside.as_ref().expect("it is watched");
+    let beside = world.service_wait.as_ref().expect("it is watched");
     assert!(beside.longest <= BESIDE, "a service task waited for {:?}", beside.longest);
     // Tasks that last may hold all the room that a gang needs; their clients cancel them at last.
     let lasting: Vec<u64> = world.specs.keys().copied().filter(|id| lasts(&world, *id)).collect();
--- a/crates/planner/tests/learnt.rs
+++ b/crates/planner/tests/learnt.rs
@@ -1,6 +1,6 @@
 //! What an owner has learnt, as the next one reads it.
 
-use cowslipchute_planner::learnt::Learnt;
+use cowslipchute_planner::estimates::Estimates;
 use cowslipchute_planner::record;
 
 /// How many bytes the last field takes: one number for each of eight periods.
@@ -8,8 +8,8 @@
 
 #[test]
 fn what_an_earlier_version_left_is_refused_and_not_misread() {
-    let stored = record::encode(&Learnt::default());
-    assert_eq!(record::decode::<Learnt>(&stored).unwrap(), Learnt::default());
+    let stored = record::encode(&Estimates::default());
+    assert_eq!(record::decode::<Estimates>(&stored).unwrap(), Estimates::default());
     let earlier = &stored[..stored.len() - LAST_FIELD];
-    assert!(record::decode::<Learnt>(earlier).is_err());
+    assert!(record::decode::<Estimates>(earlier).is_err());
 }
--- a/crates/planner/tests/listing.rs
+++ b/crates/planner/tests/listing.rs
@@ -53,25 +53,25 @@
     let (jobs, records) = (Vec::new(), Vec::new());
     let events = [
         Event::Config { config: config() },
-        Event::Owned { epoch: 1, jobs, records, learnt: None },
-        Event::Renewed { until: NOW + Duration::from_secs(60) },
+        Event::OwnershipAcquired { epoch: 1, jobs, records, learnt: None },
+        Event::LeaseRenewed { until: NOW + Duration::from_secs(60) },
         Event::Listed { registration: registration() },
     ];
     for event in events {
         planner.step(NOW, event, &mut Vec::new());
     }
     let mut actions = Vec::new();
-    planner.settle(NOW, &mut actions);
+    planner.advance(NOW, &mut actions);
     let hold = actions.into_iter().find_map(|action| match action {
-        Action::Hold { target, .. } => Some(target),
+        Action::Heartbeat { target, .. } => Some(target),
         _ => None,
     });
     let target = hold.expect("a worker that becomes known is asked what it runs");
     let outcome = Ok(Report { born: BORN, clock: 5000, ..Report::default() });
-    planner.step(NOW, Event::Held { target, outcome }, &mut Vec::new());
+    planner.step(NOW, Event::HeartbeatResult { target, outcome }, &mut Vec::new());
     let later = NOW + Duration::from_secs(1);
-    planner.settle(later, &mut Vec::new());
-    planner.settle(later + Duration::from_secs(1), &mut Vec::new());
+    planner.advance(later, &mut Vec::new());
+    planner.advance(later + Duration::from_secs(1), &mut Vec::new());
     planner
 }
 
--- a/crates/planner/tests/scenarios.rs
+++ b/crates/planner/tests/scenarios.rs
@@ -217,9 +217,9 @@
             let accepted = accepted(world, case);
             let jobs = number(case, "jobs").expect("how many");
             if let Some(work) = number(case, "work").map(Duration::from_millis) {
-                world.work.extend((id(case)..id(case) + jobs).map(|job| (job, work)));
+                world.actual_work.extend((id(case)..id(case) + jobs).map(|job| (job, work)));
             }
-            world.stream(id(case), &accepted, jobs, every);
+            world.submit_stream(id(case), &accepted, jobs, every);
         }
         "served" => return served(world, case),
         "culprit" => culprit(world, case),
@@ -232,7 +232,7 @@
         "crash" => world.crash(name, false),
         "rebirth" => world.crash(name, true),
         "restart" => restart(world, case),
-        "former" => world.list_former(name),
+        "former" => world.deliver_former_entry(name),
         "idle" => return idle(world, case),
         "evacuate" => world.evacuate(arg(case, "domain").expect("a failure domain")),
         "restore" => world.restore(arg(case, "domain").expect("a failure domain")),
@@ -253,8 +253,8 @@
         }
         "wave" => wave(world, case),
         "waves" => return world.describe_waves(),
-        "lose_upkeep" => world.machines.lose = number(case, "answers").unwrap_or(1),
-        "machines" => world.machines.unlisted = arg(case, "state") == Some("down"),
+        "lose_upkeep" => world.machines.lost_answers = number(case, "answers").unwrap_or(1),
+        "machines" => world.machines.list_unavailable = arg(case, "state") == Some("down"),
         "ratings" => return ratings(world, case),
         "harm" => return harm(world, case),
         "notes" => return notes(world, case),
@@ -293,10 +293,10 @@
 /// Watches from now on how long jobs have nothing at work beside free room, or tells whether one had for longer.
 fn idle(world: &mut World, case: &TestCase) -> String {
     let Some(most) = number(case, "most").map(Duration::from_millis) else {
-        world.idle = Some(world::idle::Watch::default());
+        world.job_wait = Some(world::job_wait::Watch::default());
         return String::new();
     };
-    let watch = world.idle.as_ref().expect("it is watched");
+    let watch = world.job_wait.as_ref().expect("it is watched");
     if watch.longest <= most {
         return String::from("within");
     }
@@ -355,7 +355,7 @@
 fn ratings(world: &mut World, case: &TestCase) -> String {
     let most: f64 = number(case, "most").expect("how many a second");
     let planner = world.planner.as_ref().expect("somebody owns the cell");
-    let ratings = planner.census().ratings() as f64 / world.owned_for().as_secs_f64();
+    let ratings = planner.census().scores() as f64 / world.owned_for().as_secs_f64();
     if ratings <= most { String::from("within") } else { format!("over: {ratings:.0} a second") }
 }
 
@@ -364,7 +364,7 @@
     let names = names.iter().map(|name| name.as_str().into()).collect();
     let duration = Duration::from_millis(number(case, "time").unwrap_or(20_000));
     let cap = number(case, "cap").unwrap_or(1);
-    world.demand(number(case, "number").unwrap_or(1), names, duration, cap);
+    world.add_rollout(number(case, "number").unwrap_or(1), names, duration, cap);
 }
 
 fn load(worker: &mut Worker, case: &TestCase) {
@@ -418,7 +418,7 @@
         cancelled: false,
     };
     if let Some(work) = number(case, "work") {
-        world.work.insert(id(case), Duration::from_millis(work));
+        world.actual_work.insert(id(case), Duration::from_millis(work));
     }
     accepted
 }
@@ -428,7 +428,7 @@
     let count = number(case, "jobs").expect("how many");
     let within = Duration::from_millis(number(case, "within").expect("how soon"));
     let least: u64 = number(case, "least").expect("how many at least");
-    let served = world.served(id(case), count, within);
+    let served = world.completed_within(id(case), count, within);
     if served >= least { String::from("enough") } else { format!("{served} of {count}") }
 }
 
@@ -445,10 +445,10 @@
 /// waited for longer.
 fn beside(world: &mut World, case: &TestCase) -> String {
     let Some(most) = number(case, "most").map(Duration::from_millis) else {
-        world.beside = Some(world::beside::Watch::default());
+        world.service_wait = Some(world::service_wait::Watch::default());
         return String::new();
     };
-    let longest = world.beside.as_ref().expect("it is watched").longest;
+    let longest = world.service_wait.as_ref().expect("it is watched").longest;
     if longest <= most { String::from("within") } else { format!("{} ms", longest.as_millis()) }
 }
 
--- a/crates/planner/tests/world/capacity.rs
+++ b/crates/planner/tests/world/capacity.rs
@@ -8,10 +8,10 @@
 
 use super::Arrival;
 use super::World;
-use super::lives::registration;
+use super::workers::registration;
 
 /// How long the directory takes to tell of a new capacity.
-const BEAT: Duration = Duration::from_millis(1500);
+const ENTRY_DELAY: Duration = Duration::from_millis(1500);
 /// For so long starts may still go by the capacity before: contact, and one beat.
 const GRACE: Duration = Duration::from_millis(4500);
 
@@ -26,7 +26,7 @@
 }
 
 /// The larger of two amounts in every dimension.
-fn most(a: Amount, b: Amount) -> Amount {
+fn max_each(a: Amount, b: Amount) -> Amount {
     Amount {
         cpu_milli: a.cpu_milli.max(b.cpu_milli),
         memory_mib: a.memory_mib.max(b.memory_mib),
@@ -35,7 +35,7 @@
 }
 
 /// The smaller of two amounts in every dimension.
-fn least(a: Amount, b: Amount) -> Amount {
+fn min_each(a: Amount, b: Amount) -> Amount {
     Amount {
         cpu_milli: a.cpu_milli.min(b.cpu_milli),
         memory_mib: a.memory_mib.min(b.memory_mib),
@@ -48,15 +48,15 @@
     pub(super) fn allowed(&mut self, now: Time, capacity: Amount, sum: Amount) -> Amount {
         if now <= self.shrunk_at + GRACE {
             self.held = sum;
-            return most(self.before, capacity);
+            return max_each(self.before, capacity);
         }
-        let allowed = most(self.held, capacity);
-        self.held = least(self.held, sum);
+        let allowed = max_each(self.held, capacity);
+        self.held = min_each(self.held, sum);
         allowed
     }
 
     /// A start of before was carried out late.
-    pub(super) fn excuse(&mut self, demand: Amount) {
+    pub(super) fn allow_late_start(&mut self, demand: Amount) {
         self.before = self.before.plus(demand);
         self.held = self.held.plus(demand);
     }
@@ -70,11 +70,11 @@
         let held = self.bounds.get(name).map_or(Amount::ZERO, |bound| {
             if now <= bound.shrunk_at + GRACE { bound.before } else { bound.held }
         });
-        let before = most(worker.capacity, held);
+        let before = max_each(worker.capacity, held);
         self.bounds.insert(name.to_owned(), Bound { shrunk_at: now, before, held: before });
         worker.capacity = capacity;
         let registration = registration(worker);
         let event = Event::Listed { registration };
-        self.push(now + BEAT, Arrival::Event(self.term, event));
+        self.push(now + ENTRY_DELAY, Arrival::Event(self.term, event));
     }
 }
--- a/crates/planner/tests/world/check.rs
+++ b/crates/planner/tests/world/check.rs
@@ -45,7 +45,7 @@
 
     pub(super) fn check_start(&mut self, run: Run) {
         let task = run.task;
-        self.check_budget(run);
+        self.check_crash_limit(run);
         let step = &self.specs[&task.job].spec.steps[usize::from(task.step)];
         assert!(
             step.long_running || !self.acknowledged.contains(&task),
--- a/crates/planner/tests/world/crashes.rs
+++ b/crates/planner/tests/world/crashes.rs
@@ -10,7 +10,7 @@
 use super::World;
 
 /// A worker that ends so soon after a start by itself looks as if it died of it.
-const INDISTINCT: Duration = Duration::from_millis(150);
+const CRASH_WINDOW: Duration = Duration::from_millis(150);
 
 impl World {
     /// Crashes the workers that run a culprit for long enough, and brings back those whose time is over.
@@ -38,23 +38,23 @@
     }
 
     /// A task that has crashed its share of workers isn't started again and again.
-    pub(super) fn check_budget(&mut self, run: Run) {
+    pub(super) fn check_crash_limit(&mut self, run: Run) {
         let broken = self.crashes.start(run);
         assert_eq!(broken, None, "noted before:\n{}", self.notes.join("\n"));
     }
 
     /// A worker ends by itself: whoever was started there a moment before can't be told from a culprit.
-    pub(super) fn note_unlucky(&mut self, name: &str) {
+    pub(super) fn record_crash_victims(&mut self, name: &str) {
         let now = self.now;
         let active = self.workers[name].active.iter();
-        let begun = active.filter(|(_, active)| now < active.since + INDISTINCT);
-        self.unlucky.extend(begun.map(|(run, _)| run.task.job));
+        let begun = active.filter(|(_, active)| now < active.since + CRASH_WINDOW);
+        self.crash_victims.extend(begun.map(|(run, _)| run.task.job));
     }
 
     /// Only a job with a culprit may be given up for crashes, or one that met one by itself right after a start.
     pub(super) fn check_given_up(&self, job: JobId, state: State) {
         let culprit = self.crashes.culprits.keys().any(|task| task.job == job);
-        let guilty = culprit || self.unlucky.contains(&job);
+        let guilty = culprit || self.crash_victims.contains(&job);
         let notes = || self.notes.join("\n");
         let told = "is given up and crashed no worker";
         assert!(guilty || state != State::Crashed, "{job:x} {told}; noted before:\n{}", notes());
--- a/crates/planner/tests/world/evacuations.rs
+++ b/crates/planner/tests/world/evacuations.rs
@@ -13,7 +13,7 @@
 use super::World;
 
 /// By then an evacuation that an owner could read is in force.
-const IN_FORCE: Duration = Duration::from_millis(500);
+const EFFECT_DELAY: Duration = Duration::from_millis(500);
 
 /// What the operator has evacuated.
 #[derive(Clone, Debug, Default)]
@@ -64,7 +64,7 @@
         let worker = self.workers.values().find(|known| &*known.name == worker);
         let domain = &worker.expect("it has just begun the run").domain;
         let Some(&known) = self.evacuations.known.get(domain) else { return };
-        let late = self.now > known + IN_FORCE;
+        let late = self.now > known + EFFECT_DELAY;
         assert!(!late, "{run:?} is started in {domain}, which is evacuated");
     }
 }
--- a/crates/planner/tests/world/idle.rs
+++ b/crates/planner/tests/world/job_wait.rs
@@ -14,11 +14,11 @@
 use super::World;
 
 /// How often it is looked at: far more often than a task that could run may wait.
-const LOOK: Duration = Duration::from_millis(50);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 /// There has to be room for so many of what could run.
-const ROOM_FOR: u64 = 2;
+const MIN_SLOTS: u64 = 2;
 /// The part of the processors of all workers that may be in use, as its inverse.
-const IN_USE: u64 = 2;
+const INVERSE_BUSY_FRACTION: u64 = 2;
 
 /// Since when jobs have had nothing at work, though a task's turn had come and there was room, and the longest
 /// that one had, and which.
@@ -34,23 +34,23 @@
 
 impl World {
     /// Looks at the jobs of which nothing runs.
-    pub(super) fn watch_idle(&mut self) {
-        let Some(mut watch) = self.idle.take() else { return };
+    pub(super) fn watch_job_wait(&mut self) {
+        let Some(mut watch) = self.job_wait.take() else { return };
         if self.now >= watch.next_at {
-            watch.next_at = self.now + LOOK;
-            self.look_idle(&mut watch);
+            watch.next_at = self.now + SAMPLE_INTERVAL;
+            self.sample_job_wait(&mut watch);
         }
-        self.idle = Some(watch);
+        self.job_wait = Some(watch);
     }
 
     /// Notes that a run of a job has begun.
-    pub(super) fn note_began(&mut self, job: JobId) {
-        if let Some(watch) = &mut self.idle {
+    pub(super) fn record_start(&mut self, job: JobId) {
+        if let Some(watch) = &mut self.job_wait {
             watch.began.insert(job);
         }
     }
 
-    fn look_idle(&self, watch: &mut Watch) {
+    fn sample_job_wait(&self, watch: &mut Watch) {
         let began_meanwhile = std::mem::take(&mut watch.began);
         watch.since.retain(|job, _| !began_meanwhile.contains(job));
         let idle = if self.is_mostly_free() { self.idle_jobs() } else { Vec::new() };
@@ -76,7 +76,7 @@
         let cpu = |amount: Amount| u64::from(amount.cpu_milli);
         let all: u64 = self.usable().map(|worker| cpu(worker.capacity)).sum();
         let free: u64 = self.usable().map(|worker| cpu(free(worker))).sum();
-        (all - free) * IN_USE < all
+        (all - free) * INVERSE_BUSY_FRACTION < all
     }
 
     /// Returns the jobs that haven't ended, of which nothing runs, and for whose next step there is room.
@@ -104,11 +104,11 @@
         };
         (0..steps.len()).filter(|&step| due(step)).any(|step| {
             let width = if steps[step].gang { u64::from(steps[step].count) } else { 1 };
-            self.slots(&steps[step]) >= ROOM_FOR * width
+            self.count_slots(&steps[step]) >= MIN_SLOTS * width
         })
     }
 
-    fn slots(&self, step: &Step) -> u64 {
+    fn count_slots(&self, step: &Step) -> u64 {
         let demand = step.demand;
         let slots = self.usable().map(|worker| {
             let room = free(worker);
--- a/crates/planner/tests/world/link.rs
+++ b/crates/planner/tests/world/link.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns how long what is sent now waits for what was sent before.
-    pub fn queue(&self, now: Time) -> Duration {
+    pub fn queue_delay(&self, now: Time) -> Duration {
         self.free_at.saturating_sub(now)
     }
 
@@ -32,7 +32,7 @@
     pub fn send(&mut self, now: Time, bytes: usize) -> Duration {
         let takes = Duration::from_secs_f64(bytes as f64 / self.rate);
         self.free_at = self.free_at.max(now) + takes;
-        self.queue(now)
+        self.queue_delay(now)
     }
 }
 
--- a/crates/planner/tests/world/machines.rs
+++ b/crates/planner/tests/world/machines.rs
@@ -15,7 +15,7 @@
 use cowslipchute_ports::machine::WaveNumber;
 
 use super::Arrival;
-use super::WAY;
+use super::ONE_WAY_DELAY;
 use super::World;
 
 /// How long an upkeep takes.
@@ -28,46 +28,52 @@
 pub struct Machines {
     waves: BTreeMap<WaveNumber, Wave>,
     /// How far each is, as the store holds it.
-    pub kept: BTreeMap<WaveNumber, (Progress, Vec<Name>)>,
+    pub stored: BTreeMap<WaveNumber, (Progress, Vec<Name>)>,
     /// Machines that are down, and when they are back.
-    back: BTreeMap<String, Time>,
+    up_at: BTreeMap<String, Time>,
     begun: BTreeSet<(WaveNumber, Name)>,
-    listed: Time,
+    listed_at: Time,
     /// Answers to the next so many orders get lost.
-    pub lose: u32,
+    pub lost_answers: u32,
     /// Whether the list can't be had.
-    pub unlisted: bool,
+    pub list_unavailable: bool,
     /// Steps whose tasks have all been at work.
-    whole: BTreeSet<StepId>,
+    full_steps: BTreeSet<StepId>,
     /// The most tasks of one step that were away at once.
-    pub most_away: usize,
+    pub max_unavailable: usize,
 }
 
 impl Machines {
     /// Tells whether a machine is down for its upkeep, so that nothing else happens to it.
-    pub fn is_off(&self, name: &str) -> bool {
-        self.back.contains_key(name)
+    pub fn is_down(&self, name: &str) -> bool {
+        self.up_at.contains_key(name)
     }
 }
 
 impl World {
     /// The operator asks for a wave.
-    pub fn demand(&mut self, number: WaveNumber, names: Vec<Name>, duration: Duration, cap: usize) {
-        let wave = Wave { number, machines: names, duration, cap };
-        self.machines.waves.insert(number, wave.clone());
-        self.tell(Event::Wave { wave, begun: Vec::new() });
+    pub fn add_rollout(
+        &mut self,
+        number: WaveNumber,
+        names: Vec<Name>,
+        duration: Duration,
+        cap: usize,
+    ) {
+        let rollout = Wave { number, machines: names, duration, cap };
+        self.machines.waves.insert(number, rollout.clone());
+        self.tell(Event::Rollout { rollout, started: Vec::new() });
     }
 
     /// Returns what a new owner is told of the waves that aren't completed.
     pub(super) fn open_waves(&self) -> Vec<Event> {
         let open = self.machines.waves.values().filter_map(|wave| {
-            let kept = self.machines.kept.get(&wave.number);
-            let begun = match kept {
+            let kept = self.machines.stored.get(&wave.number);
+            let started = match kept {
                 Some((Progress::Completed, _)) => return None,
-                Some((Progress::Active, begun)) => begun.clone(),
+                Some((Progress::Active, started)) => started.clone(),
                 None => Vec::new(),
             };
-            Some(Event::Wave { wave: wave.clone(), begun })
+            Some(Event::Rollout { rollout: wave.clone(), started })
         });
         open.collect()
     }
@@ -81,38 +87,39 @@
         let now = self.now;
         let back: Vec<String> = self
             .machines
-            .back
+            .up_at
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(name, _)| name.clone())
             .collect();
         for name in back {
-            self.machines.back.remove(&name);
+            self.machines.up_at.remove(&name);
             self.crash(&name, true);
         }
-        self.count_away();
-        let wanted = self.planner.as_ref().is_some_and(|planner| planner.wants_machines());
-        if wanted && !self.machines.unlisted && now >= self.machines.listed + LIST_PAUSE {
-            self.machines.listed = now;
+        self.count_unavailable();
+        let wanted = self.planner.as_ref().is_some_and(|planner| planner.needs_machine_list());
+        if wanted && !self.machines.list_unavailable && now >= self.machines.listed_at + LIST_PAUSE
+        {
+            self.machines.listed_at = now;
             let machines = self.workers.iter().map(|(name, worker)| Machine {
                 name: name.as_str().into(),
                 up: worker.up,
                 worker: worker.up.then(|| worker.name.clone()),
             });
-            let event = Event::Machines { machines: machines.collect(), asked: now };
+            let event = Event::Machines { machines: machines.collect(), requested_at: now };
             self.tell(event);
         }
     }
 
-    pub(super) fn upkeep(&mut self, term: u32, wave: WaveNumber, name: &Name) {
-        let outcome = self.begin_upkeep(wave, name);
-        let (at, outcome) = if self.machines.lose > 0 {
-            self.machines.lose -= 1;
+    pub(super) fn upkeep(&mut self, term: u32, rollout: WaveNumber, name: &Name) {
+        let outcome = self.begin_upkeep(rollout, name);
+        let (at, outcome) = if self.machines.lost_answers > 0 {
+            self.machines.lost_answers -= 1;
             (self.now + super::TIMEOUT, Err(Failure::Unknown))
         } else {
-            (self.now + WAY, outcome)
+            (self.now + ONE_WAY_DELAY, outcome)
         };
-        let event = Event::Upkept { wave, machine: name.clone(), outcome };
+        let event = Event::MaintenanceResult { rollout, machine: name.clone(), outcome };
         self.push(at, Arrival::Event(term, event));
     }
 
@@ -126,26 +133,26 @@
             Some(_) => {}
         }
         let wave = &self.machines.waves[&number];
-        let down = wave.machines.iter().filter(|name| self.machines.is_off(name));
+        let down = wave.machines.iter().filter(|name| self.machines.is_down(name));
         assert!(down.count() < wave.cap, "more machines of wave {number} are down than may be");
         self.machines.begun.insert((number, name.clone()));
         self.crash(name, false);
-        self.machines.back.insert(name.to_string(), self.now + UPKEEP);
+        self.machines.up_at.insert(name.to_string(), self.now + UPKEEP);
         Ok(())
     }
 
-    pub(super) fn keep_wave(&mut self, wave: WaveNumber, progress: Progress, begun: Vec<Name>) {
+    pub(super) fn store_rollout(&mut self, wave: WaveNumber, progress: Progress, begun: Vec<Name>) {
         if progress == Progress::Completed {
             let wanted = self.machines.waves[&wave].machines.iter();
             let mut left = wanted.filter(|name| self.workers.contains_key(&***name));
             let missed = left.find(|name| !self.machines.begun.contains(&(wave, (*name).clone())));
             assert_eq!(missed, None, "a wave is completed before the upkeep of a machine began");
         }
-        self.machines.kept.insert(wave, (progress, begun));
+        self.machines.stored.insert(wave, (progress, begun));
     }
 
     /// Counts how many tasks of a step that lasts are away, once it has been whole.
-    fn count_away(&mut self) {
+    fn count_unavailable(&mut self) {
         for (job, accepted) in &self.jobs {
             for (index, step) in accepted.spec.steps.iter().enumerate() {
                 if !step.long_running {
@@ -158,9 +165,9 @@
                     .filter(|(run, active)| run.task.step_id() == id && active.ending.is_none());
                 let away = (step.count as usize).saturating_sub(at_work.count());
                 if away == 0 {
-                    self.machines.whole.insert(id);
-                } else if self.machines.whole.contains(&id) {
-                    self.machines.most_away = self.machines.most_away.max(away);
+                    self.machines.full_steps.insert(id);
+                } else if self.machines.full_steps.contains(&id) {
+                    self.machines.max_unavailable = self.machines.max_unavailable.max(away);
                 }
             }
         }
@@ -169,10 +176,10 @@
     /// Tells how far the waves are, and how many tasks of a step were away at most.
     pub fn describe_waves(&self) -> String {
         let mut text = String::new();
-        for (number, (progress, begun)) in &self.machines.kept {
+        for (number, (progress, begun)) in &self.machines.stored {
             text.push_str(&format!("wave {number}: {progress:?}, {} begun\n", begun.len()));
         }
-        text.push_str(&format!("away at once: {}", self.machines.most_away));
+        text.push_str(&format!("away at once: {}", self.machines.max_unavailable));
         text
     }
 }
--- a/crates/planner/tests/world/mod.rs
+++ b/crates/planner/tests/world/mod.rs
@@ -8,20 +8,20 @@
 
 #![allow(dead_code, reason = "each test file uses a part of the world")]
 
-pub mod beside;
 mod capacity;
 mod check;
 mod crashes;
 mod evacuations;
 mod gangs;
-pub mod idle;
+pub mod job_wait;
 pub mod link;
-mod lives;
 mod machines;
 mod orders;
 mod owner;
 mod restarts;
+pub mod service_wait;
 mod stream;
+mod workers;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -44,9 +44,9 @@
 use cowslipchute_standin::site::worker::Worker;
 
 /// One way between the owner and anyone else.
-const WAY: Duration = Duration::from_millis(2);
+const ONE_WAY_DELAY: Duration = Duration::from_millis(2);
 /// How often time passes.
-const STEP: Duration = Duration::from_millis(5);
+const TICK: Duration = Duration::from_millis(5);
 /// After this an order without an answer is given up.
 const TIMEOUT: Duration = Duration::from_millis(700);
 /// How long the owner's lease lasts from a renewal.
@@ -60,7 +60,7 @@
     /// A waiting hold looks again whether something has ended.
     Hold(u32, Action, Time),
     /// An order that was left without an answer is carried out.
-    Late(Action),
+    DelayedOrder(Action),
     /// A write reaches the store.
     Write(u32, u64, Vec<Change>),
     /// An event reaches the owner of a term.
@@ -77,7 +77,7 @@
     pub term: u32,
     pub owned_at: Time,
     pub workers: BTreeMap<String, Worker>,
-    pub lives: u32,
+    pub incarnations: u32,
     pub jobs: BTreeMap<JobId, Arc<Accepted>>,
     pub records: BTreeMap<JobId, Record>,
     pub ends: BTreeMap<JobId, State>,
@@ -87,11 +87,11 @@
     pub submitted_at: BTreeMap<JobId, Time>,
     pub ended_at: BTreeMap<JobId, Time>,
     /// How tasks that last wait beside free room, if that is watched.
-    pub beside: Option<beside::Watch>,
+    pub service_wait: Option<service_wait::Watch>,
     /// How long jobs have nothing at work beside free room, if that is watched.
-    pub idle: Option<idle::Watch>,
+    pub job_wait: Option<job_wait::Watch>,
     /// How long a task really works, where it isn't as estimated.
-    pub work: BTreeMap<JobId, Duration>,
+    pub actual_work: BTreeMap<JobId, Duration>,
     /// Whether the store answers, and how long it takes.
     pub store_up: bool,
     pub store_delay: Duration,
@@ -115,7 +115,7 @@
     pub restarts: restarts::Restarts,
     pub evacuations: evacuations::Evacuations,
     /// Jobs with a task whose worker ended by itself right after its start.
-    unlucky: BTreeSet<JobId>,
+    crash_victims: BTreeSet<JobId>,
     /// How full workers may be that have shrunk.
     bounds: BTreeMap<String, capacity::Bound>,
 }
@@ -128,16 +128,16 @@
             term: 0,
             owned_at: Time::ZERO,
             workers: BTreeMap::new(),
-            lives: 0,
+            incarnations: 0,
             jobs: BTreeMap::new(),
             records: BTreeMap::new(),
             ends: BTreeMap::new(),
             specs: BTreeMap::new(),
             submitted_at: BTreeMap::new(),
             ended_at: BTreeMap::new(),
-            beside: None,
-            idle: None,
-            work: BTreeMap::new(),
+            service_wait: None,
+            job_wait: None,
+            actual_work: BTreeMap::new(),
             store_up: true,
             store_delay: Duration::from_millis(4),
             renewals: true,
@@ -154,7 +154,7 @@
             crashes: Crashes::default(),
             restarts: restarts::Restarts::default(),
             evacuations: evacuations::Evacuations::default(),
-            unlucky: BTreeSet::new(),
+            crash_victims: BTreeSet::new(),
             bounds: BTreeMap::new(),
         }
     }
@@ -183,14 +183,14 @@
 
     fn tell(&mut self, event: Event) {
         let term = self.term;
-        self.push(self.now + WAY, Arrival::Event(term, event));
+        self.push(self.now + ONE_WAY_DELAY, Arrival::Event(term, event));
     }
 
     /// Lets time pass.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
-            self.now += STEP;
+            self.now += TICK;
             for worker in self.workers.values_mut() {
                 worker.advance(self.now);
                 let finished = std::mem::take(&mut worker.finished);
@@ -202,8 +202,9 @@
             self.advance_machines();
             self.advance_evacuations();
             if self.renewals && self.store_up {
-                let queue = self.link.as_ref().map_or(Duration::ZERO, |link| link.queue(self.now));
-                let renewed = Event::Renewed { until: self.now + LEASE };
+                let queue =
+                    self.link.as_ref().map_or(Duration::ZERO, |link| link.queue_delay(self.now));
+                let renewed = Event::LeaseRenewed { until: self.now + LEASE };
                 self.push(self.now + queue, Arrival::Event(self.term, renewed));
             }
             while let Some((&key, _)) = self.arrivals.first_key_value() {
@@ -215,15 +216,15 @@
             }
             self.settle();
             self.check();
-            self.watch_beside();
-            self.watch_idle();
+            self.watch_service_wait();
+            self.watch_job_wait();
         }
     }
 
     fn settle(&mut self) {
         let Some(planner) = &mut self.planner else { return };
         let mut actions = Vec::new();
-        planner.settle(self.now, &mut actions);
+        planner.advance(self.now, &mut actions);
         self.act(actions);
     }
 
@@ -249,7 +250,7 @@
                     self.push(at, Arrival::Write(term, batch, changes));
                 }
                 order => {
-                    let asks = matches!(order, Action::Hold { .. });
+                    let asks = matches!(order, Action::Heartbeat { .. });
                     let delay = if asks { Duration::ZERO } else { self.order_delay };
                     let now = self.now;
                     let queue = self.transmit(link::order_bytes(&order));
@@ -257,7 +258,7 @@
                         let event = orders::failed(order, Failure::Unknown);
                         self.push(now + TIMEOUT, Arrival::Event(term, event));
                     } else {
-                        self.push(now + queue + delay + WAY, Arrival::Order(term, order));
+                        self.push(now + queue + delay + ONE_WAY_DELAY, Arrival::Order(term, order));
                     }
                 }
             }
@@ -284,8 +285,8 @@
             Arrival::Write(term, batch, changes) => self.write(term, batch, changes),
             Arrival::Order(term, action) => self.order(term, action),
             Arrival::Submit(id, accepted) => self.submit(id, accepted),
-            Arrival::Late(action) => self.carry_out_late(&action),
-            Arrival::Hold(term, action, until) => self.wait(term, action, until),
+            Arrival::DelayedOrder(action) => self.carry_out_late(&action),
+            Arrival::Hold(term, action, until) => self.wait_for_end(term, action, until),
         }
     }
 
@@ -317,7 +318,7 @@
     }
 
     fn answer(&mut self, term: u32, event: Event) {
-        self.push(self.now + WAY, Arrival::Event(term, event));
+        self.push(self.now + ONE_WAY_DELAY, Arrival::Event(term, event));
     }
 
     /// Renders how far each job is.
--- a/crates/planner/tests/world/orders.rs
+++ b/crates/planner/tests/world/orders.rs
@@ -14,10 +14,10 @@
 use cowslipchute_standin::site::worker::Worker;
 
 use super::Arrival;
-use super::STEP;
+use super::TICK;
 use super::TIMEOUT;
 use super::World;
-use super::lives::registration;
+use super::workers::registration;
 
 impl World {
     pub(super) fn order(&mut self, term: u32, action: Action) {
@@ -28,25 +28,27 @@
         if let Action::Start { target, start } = &action {
             // The sender looks once more before it sends.
             let planner = self.planner.as_ref().filter(|_| term == self.term);
-            if planner.is_some_and(|planner| !planner.wants_start(target, start.run)) {
+            if planner.is_some_and(|planner| !planner.is_start_wanted(target, start.run)) {
                 let event = failed(action, Failure::Unsent);
                 self.answer(term, event);
                 return;
             }
         }
         match action {
-            Action::Upkeep { wave, machine } => return self.upkeep(term, wave, &machine),
-            Action::KeepWave { wave, progress, begun } => {
+            Action::StartMaintenance { rollout, machine } => {
+                return self.upkeep(term, rollout, &machine);
+            }
+            Action::SaveRollout { rollout, progress, started } => {
                 if term == self.term {
-                    self.keep_wave(wave, progress, begun);
+                    self.store_rollout(rollout, progress, started);
                 }
                 return;
             }
             _ => {}
         }
-        if let Action::Hold { hold, .. } = &action {
-            let until = self.now + hold.wait;
-            self.wait(term, action, until);
+        if let Action::Heartbeat { heartbeat, .. } = &action {
+            let until = self.now + heartbeat.wait;
+            self.wait_for_end(term, action, until);
             return;
         }
         self.deliver(term, action);
@@ -60,13 +62,13 @@
             .collect();
         let at =
             self.now + Duration::from_millis(30) + Duration::from_millis(5) * workers.len() as u32;
-        self.push(at, Arrival::Event(term, Event::Advised { step, outcome: Ok(rows) }));
+        self.push(at, Arrival::Event(term, Event::AdviceResult { step, outcome: Ok(rows) }));
     }
 
     /// A hold is answered when something has ended, or when its wait is over.
-    pub(super) fn wait(&mut self, term: u32, action: Action, until: Time) {
-        let Action::Hold { target, hold } = &action else { return };
-        let acknowledged = hold.acknowledged;
+    pub(super) fn wait_for_end(&mut self, term: u32, action: Action, until: Time) {
+        let Action::Heartbeat { target, heartbeat } = &action else { return };
+        let acknowledged = heartbeat.acknowledged;
         let epoch = target.epoch;
         let worker = self.by_name(&target.name.clone());
         let ended = worker.is_none_or(|worker| {
@@ -79,13 +81,13 @@
             self.deliver(term, action);
         } else {
             // It holds from its arrival on, whenever it is answered.
-            let (name, hold) = (target.name.clone(), *hold);
+            let (name, heartbeat) = (target.name.clone(), *heartbeat);
             let now = self.now;
             self.acknowledge(&name, epoch, acknowledged);
             if let Some(worker) = self.by_name(&name) {
-                drop(worker.hold(epoch, &hold, now));
+                drop(worker.hold(epoch, &heartbeat, now));
             }
-            self.push(self.now + STEP, Arrival::Hold(term, action, until));
+            self.push(self.now + TICK, Arrival::Hold(term, action, until));
         }
     }
 
@@ -93,8 +95,8 @@
         let now = self.now;
         let (Action::Start { target, .. }
         | Action::Stop { target, .. }
-        | Action::Pace { target, .. }
-        | Action::Hold { target, .. }) = &action
+        | Action::Throttle { target, .. }
+        | Action::Heartbeat { target, .. }) = &action
         else {
             return;
         };
@@ -121,27 +123,27 @@
             self.push(now + TIMEOUT, Arrival::Event(term, event));
             return;
         }
-        if worker.late.0 > 0 && !matches!(action, Action::Hold { .. }) {
+        if worker.late.0 > 0 && !matches!(action, Action::Heartbeat { .. }) {
             worker.late.0 -= 1;
             let at = now + worker.late.1;
-            self.push(at, Arrival::Late(action.clone()));
+            self.push(at, Arrival::DelayedOrder(action.clone()));
             let event = failed(action, Failure::Unknown);
             self.push(now + TIMEOUT, Arrival::Event(term, event));
             return;
         }
-        if worker.late_holds.0 > 0 && matches!(action, Action::Hold { .. }) {
+        if worker.late_holds.0 > 0 && matches!(action, Action::Heartbeat { .. }) {
             worker.late_holds.0 -= 1;
             let at = now + worker.late_holds.1;
-            self.push(at, Arrival::Late(action.clone()));
+            self.push(at, Arrival::DelayedOrder(action.clone()));
             let event = failed(action, Failure::Unknown);
             self.push(now + TIMEOUT, Arrival::Event(term, event));
             return;
         }
-        if let Action::Hold { hold, .. } = &action {
-            self.acknowledge(&name, epoch, hold.acknowledged);
+        if let Action::Heartbeat { heartbeat, .. } = &action {
+            self.acknowledge(&name, epoch, heartbeat.acknowledged);
         }
         let worker = self.by_name(&name).expect("it was found a moment ago");
-        let lost = worker.lose > 0 && !matches!(action, Action::Hold { .. });
+        let lost = worker.lose > 0 && !matches!(action, Action::Heartbeat { .. });
         if lost {
             worker.lose -= 1;
         }
@@ -150,9 +152,9 @@
             _ => false,
         };
         let Some(event) = carry_out(worker, &action, spec, now) else { return };
-        if let Event::Started { run, outcome: Ok(_), .. } = &event {
+        if let Event::StartResult { run, outcome: Ok(_), .. } = &event {
             self.starts += 1;
-            self.note_began(run.task.job);
+            self.record_start(run.task.job);
             self.check_start(*run);
             if !is_there {
                 self.check_domain(&name, *run);
@@ -171,8 +173,8 @@
         let now = self.now;
         let (Action::Start { target, .. }
         | Action::Stop { target, .. }
-        | Action::Pace { target, .. }
-        | Action::Hold { target, .. }) = action
+        | Action::Throttle { target, .. }
+        | Action::Heartbeat { target, .. }) = action
         else {
             return;
         };
@@ -182,8 +184,8 @@
             Action::Start { start, .. } => Some(self.spec(start.run)),
             _ => None,
         };
-        if let Action::Hold { hold, .. } = action {
-            self.acknowledge(&name, epoch, hold.acknowledged);
+        if let Action::Heartbeat { heartbeat, .. } = action {
+            self.acknowledge(&name, epoch, heartbeat.acknowledged);
         }
         let machine = self.workers.iter().find(|(_, worker)| worker.name == name && worker.up);
         let Some(machine) = machine.map(|(machine, _)| machine.clone()) else { return };
@@ -191,10 +193,10 @@
         let worker = self.workers.get_mut(&machine).expect("it was found a moment ago");
         // Whatever it answers, nobody hears it.
         let event = carry_out(worker, action, spec, now);
-        let started = matches!(event, Some(Event::Started { outcome: Ok(_), .. }));
+        let started = matches!(event, Some(Event::StartResult { outcome: Ok(_), .. }));
         if let (true, Some(demand), Some(bound)) = (started, demand, self.bounds.get_mut(&machine))
         {
-            bound.excuse(demand);
+            bound.allow_late_start(demand);
         }
     }
 
@@ -202,7 +204,7 @@
         let accepted =
             self.specs.get(&run.task.job).expect("nothing is started that was not asked");
         let step = accepted.spec.steps[usize::from(run.task.step)].clone();
-        let work = self.work.get(&run.task.job).copied().unwrap_or(step.estimate);
+        let work = self.actual_work.get(&run.task.job).copied().unwrap_or(step.estimate);
         (step, work)
     }
 }
@@ -219,24 +221,24 @@
         Action::Start { target, start } => {
             let (step, work) = spec.expect("a start has a spec");
             let outcome = worker.start(target.epoch, start, &step, work, now);
-            Event::Started { target: target.clone(), run: start.run, outcome }
+            Event::StartResult { target: target.clone(), run: start.run, outcome }
         }
         Action::Stop { target, run } => {
             let outcome = worker.stop(target.epoch, *run, now);
-            Event::Stopped { target: target.clone(), run: *run, outcome }
+            Event::StopResult { target: target.clone(), run: *run, outcome }
         }
-        Action::Pace { target, run, percent } => {
+        Action::Throttle { target, run, percent } => {
             let outcome = worker.pace(target.epoch, *run, *percent, now);
-            Event::Paced { target: target.clone(), run: *run, percent: *percent, outcome }
+            Event::ThrottleResult { target: target.clone(), run: *run, percent: *percent, outcome }
         }
-        Action::Hold { target, hold } => {
-            let outcome = worker.hold(target.epoch, hold, now);
-            Event::Held { target: target.clone(), outcome }
+        Action::Heartbeat { target, heartbeat } => {
+            let outcome = worker.hold(target.epoch, heartbeat, now);
+            Event::HeartbeatResult { target: target.clone(), outcome }
         }
         Action::Advise { .. }
         | Action::Write { .. }
-        | Action::Upkeep { .. }
-        | Action::KeepWave { .. }
+        | Action::StartMaintenance { .. }
+        | Action::SaveRollout { .. }
         | Action::Note(_) => return None,
     })
 }
@@ -245,17 +247,19 @@
 pub(super) fn failed(action: Action, failure: Failure) -> Event {
     match action {
         Action::Start { target, start } => {
-            Event::Started { target, run: start.run, outcome: Err(failure) }
+            Event::StartResult { target, run: start.run, outcome: Err(failure) }
+        }
+        Action::Stop { target, run } => Event::StopResult { target, run, outcome: Err(failure) },
+        Action::Throttle { target, run, percent } => {
+            Event::ThrottleResult { target, run, percent, outcome: Err(failure) }
         }
-        Action::Stop { target, run } => Event::Stopped { target, run, outcome: Err(failure) },
-        Action::Pace { target, run, percent } => {
-            Event::Paced { target, run, percent, outcome: Err(failure) }
+        Action::Heartbeat { target, .. } => {
+            Event::HeartbeatResult { target, outcome: Err(failure) }
         }
-        Action::Hold { target, .. } => Event::Held { target, outcome: Err(failure) },
         Action::Advise { .. }
         | Action::Write { .. }
-        | Action::Upkeep { .. }
-        | Action::KeepWave { .. }
+        | Action::StartMaintenance { .. }
+        | Action::SaveRollout { .. }
         | Action::Note(_) => Event::Tick,
     }
 }
--- a/crates/planner/tests/world/owner.rs
+++ b/crates/planner/tests/world/owner.rs
@@ -15,7 +15,7 @@
 
 use super::LEASE;
 use super::World;
-use super::lives::registration;
+use super::workers::registration;
 
 impl World {
     pub fn config(priority: u8, attempts: u32, advised: bool) -> Arc<Config> {
@@ -64,19 +64,19 @@
     pub fn take_over(&mut self, config: &Arc<Config>) {
         self.term += 1;
         self.owned_at = self.now;
-        let link = self.link.as_ref().map(|link| link.rate);
-        let mut planner = Planner::open(Settings { link, ..Settings::default() });
+        let link_bytes_per_second = self.link.as_ref().map(|link| link.rate);
+        let mut planner = Planner::open(Settings { link_bytes_per_second, ..Settings::default() });
         let mut actions = Vec::new();
         let jobs = self.jobs.iter().map(|(id, job)| (*id, job.clone())).collect();
         let records = self.records.iter().map(|(id, record)| (*id, record.clone())).collect();
         let config = self.with_services(config);
         let evacuated = self.read_evacuations();
         let events = [
-            Event::Wall { wall: self.now },
+            Event::WallClock { wall: self.now },
             Event::Config { config },
             evacuated,
-            Event::Owned { epoch: self.term.into(), jobs, records, learnt: None },
-            Event::Renewed { until: self.now + LEASE },
+            Event::OwnershipAcquired { epoch: self.term.into(), jobs, records, learnt: None },
+            Event::LeaseRenewed { until: self.now + LEASE },
         ];
         for event in events {
             planner.step(self.now, event, &mut actions);
--- a/crates/planner/tests/world/restarts.rs
+++ b/crates/planner/tests/world/restarts.rs
@@ -10,47 +10,47 @@
 
 use super::Arrival;
 use super::World;
-use super::lives::registration;
+use super::workers::registration;
 
 /// Workers that are down until they start again, and what the directory held of their starts before.
 #[derive(Debug, Default)]
 pub struct Restarts {
-    back: BTreeMap<String, Time>,
+    up_at: BTreeMap<String, Time>,
     /// How long after its start a worker's entry is in the directory.
     pub entry_delay: Duration,
-    former: BTreeMap<String, Registration>,
+    former_entries: BTreeMap<String, Registration>,
 }
 
 impl World {
     /// A worker crashes and starts again under its name after a while, knowing nothing of before.
     pub fn restart(&mut self, machine: &str, down: Duration) {
-        if self.machines.is_off(machine) || !self.workers.get(machine).is_some_and(|w| w.up) {
+        if self.machines.is_down(machine) || !self.workers.get(machine).is_some_and(|w| w.up) {
             return;
         }
-        self.note_unlucky(machine);
+        self.record_crash_victims(machine);
         let worker = self.workers.get_mut(machine).expect("it was looked at a moment ago");
         worker.up = false;
         let gone: Vec<Run> = std::mem::take(&mut worker.active).into_keys().collect();
         self.break_gangs(&gone);
-        self.restarts.back.insert(machine.to_owned(), self.now + down);
+        self.restarts.up_at.insert(machine.to_owned(), self.now + down);
         self.advance_restarts();
     }
 
     /// Starts the workers again whose time has come.
     pub(super) fn advance_restarts(&mut self) {
         let now = self.now;
-        let due = self.restarts.back.iter().filter(|(_, at)| **at <= now);
+        let due = self.restarts.up_at.iter().filter(|(_, at)| **at <= now);
         let due: Vec<String> = due.map(|(machine, _)| machine.clone()).collect();
         for machine in due {
-            self.restarts.back.remove(&machine);
-            if self.machines.is_off(&machine) {
+            self.restarts.up_at.remove(&machine);
+            if self.machines.is_down(&machine) {
                 // Its maintenance began after another incarnation had taken its place.
                 continue;
             }
             let Some(worker) = self.workers.get_mut(&machine).filter(|worker| !worker.up) else {
                 continue;
             };
-            self.restarts.former.insert(machine.clone(), registration(worker));
+            self.restarts.former_entries.insert(machine.clone(), registration(worker));
             *worker = worker.restarted(now);
             let registration = registration(worker);
             self.bounds.remove(&machine);
@@ -60,8 +60,8 @@
     }
 
     /// The directory's entry of a worker's start before arrives once more.
-    pub fn list_former(&mut self, machine: &str) {
-        if let Some(registration) = self.restarts.former.get(machine).cloned() {
+    pub fn deliver_former_entry(&mut self, machine: &str) {
+        if let Some(registration) = self.restarts.former_entries.get(machine).cloned() {
             self.tell(Event::Listed { registration });
         }
     }
--- a/crates/planner/tests/world/beside.rs
+++ b/crates/planner/tests/world/service_wait.rs
@@ -11,7 +11,7 @@
 use super::World;
 
 /// How often it is looked at: far more often than short tasks come and go.
-const LOOK: Duration = Duration::from_millis(25);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Since when tasks that last wait beside room for two of them, and the longest that one did.
 #[derive(Clone, Debug, Default)]
@@ -23,22 +23,22 @@
 
 impl World {
     /// Looks at the tasks that last and don't run.
-    pub(super) fn watch_beside(&mut self) {
-        let Some(mut watch) = self.beside.take() else { return };
+    pub(super) fn watch_service_wait(&mut self) {
+        let Some(mut watch) = self.service_wait.take() else { return };
         if self.now >= watch.next_at {
-            watch.next_at = self.now + LOOK;
-            self.look_beside(&mut watch);
+            watch.next_at = self.now + SAMPLE_INTERVAL;
+            self.sample_service_wait(&mut watch);
         }
-        self.beside = Some(watch);
+        self.service_wait = Some(watch);
     }
 
-    fn look_beside(&self, watch: &mut Watch) {
+    fn sample_service_wait(&self, watch: &mut Watch) {
         let usable = self.workers.values().filter(|worker| worker.up && !self.is_evacuated(worker));
         let rooms: Vec<Amount> = usable.map(free).collect();
         let mut since = BTreeMap::new();
-        for task in self.idle_lasting() {
+        for task in self.waiting_service_tasks() {
             let step = self.step_of(task);
-            if slots(&rooms, step.demand) >= 2 {
+            if count_slots(&rooms, step.demand) >= 2 {
                 let began = watch.since.get(&task).copied().unwrap_or(self.now);
                 watch.longest = watch.longest.max(self.now - began);
                 since.insert(task, began);
@@ -51,7 +51,7 @@
         &self.specs[&task.job].spec.steps[usize::from(task.step)]
     }
 
-    fn idle_lasting(&self) -> Vec<TaskId> {
+    fn waiting_service_tasks(&self) -> Vec<TaskId> {
         let mut idle = Vec::new();
         for (&job, accepted) in &self.specs {
             if self.ends.contains_key(&job) || accepted.spec.schedule.is_some() {
@@ -79,6 +79,6 @@
     reserving.fold(worker.capacity, |left, active| left.minus(active.step.demand))
 }
 
-fn slots(rooms: &[Amount], demand: Amount) -> u32 {
+fn count_slots(rooms: &[Amount], demand: Amount) -> u32 {
     rooms.iter().map(|room| room.cpu_milli / demand.cpu_milli.max(1)).sum()
 }
--- a/crates/planner/tests/world/stream.rs
+++ b/crates/planner/tests/world/stream.rs
@@ -11,7 +11,13 @@
 
 impl World {
     /// Hands in jobs of the same form one after the other, with rising numbers.
-    pub fn stream(&mut self, first: JobId, accepted: &Accepted, count: u64, every: Duration) {
+    pub fn submit_stream(
+        &mut self,
+        first: JobId,
+        accepted: &Accepted,
+        count: u64,
+        every: Duration,
+    ) {
         let mut at = self.now;
         for id in first..first + count {
             self.push(at, Arrival::Submit(id, accepted.clone()));
@@ -20,7 +26,7 @@
     }
 
     /// Counts jobs of a stream that were done so soon after they were handed in.
-    pub fn served(&self, first: JobId, count: u64, within: Duration) -> u64 {
+    pub fn completed_within(&self, first: JobId, count: u64, within: Duration) -> u64 {
         let served = (first..first + count).filter(|id| {
             let (Some(&from), Some(&to)) = (self.submitted_at.get(id), self.ended_at.get(id))
             else {
--- a/crates/planner/tests/world/lives.rs
+++ b/crates/planner/tests/world/workers.rs
@@ -47,11 +47,11 @@
 
     /// The worker's life ends; another one begins at the same place, under another name.
     pub fn crash(&mut self, name: &str, reborn: bool) {
-        if self.machines.is_off(name) {
+        if self.machines.is_down(name) {
             return;
         }
         if self.workers.contains_key(name) {
-            self.note_unlucky(name);
+            self.record_crash_victims(name);
         }
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.up = false;
@@ -59,9 +59,12 @@
         if !reborn {
             return;
         }
-        self.lives += 1;
-        let mut life =
-            Worker::open(&format!("{name}+{}", self.lives), worker.capacity, &worker.rack.clone());
+        self.incarnations += 1;
+        let mut life = Worker::open(
+            &format!("{name}+{}", self.incarnations),
+            worker.capacity,
+            &worker.rack.clone(),
+        );
         life.updated = self.now;
         life.guards = worker.guards;
         life.domain = worker.domain.clone();
