--- a/crates/cell/examples/speed.rs
+++ b/crates/cell/examples/speed.rs
@@ -1,4 +1,4 @@
-//! Measures how fast one core decides: fills a cell, then replaces tasks as they complete.
+//! Measures the throughput of a cell on one core: fills it, then replaces tasks as they complete.
 //!
 //! `cargo run --release -p cowslipchute-cell --example speed [workers] [rounds]`
 
@@ -27,12 +27,12 @@
 use cowslipchute_ports::worker::Usage;
 use cowslipchute_resource::job;
 
-/// Tasks of each job.
+/// Number of tasks of each job.
 const TASKS: u32 = 1000;
-/// Runs that complete on a worker between two reports.
+/// Number of runs that complete on a worker between two reports.
 const ENDING: usize = 2;
 
-/// A worker that obeys at once, in the fewest steps that the cell can't tell from a real one.
+/// A minimal fake worker that executes commands at once.
 #[derive(Default)]
 struct Fake {
     held: BTreeMap<Run, Held>,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Answers every exchange under way.
+    /// Answers every exchange in flight.
     fn answer(&mut self, ending: usize) {
         for (sequence, worker, exchange) in std::mem::take(&mut self.wires) {
             let fake = self.fakes.get_mut(&worker).expect("a listed worker");
@@ -217,7 +217,8 @@
     bench.show("heartbeats");
 }
 
-/// What a run takes of its grant: less, so that the sizes learnt stay near those declared.
+/// Returns the usage of a run, below its allocation so that right-sizing stays near the
+/// declaration.
 fn used(granted: Amount) -> Amount {
     Amount {
         cpu_milli: granted.cpu_milli * 85 / 100,
--- a/crates/cell/src/account.rs
+++ b/crates/cell/src/account.rs
@@ -1,7 +1,7 @@
-//! Who has taken how much: of a worker, of the cell, of a team's share.
+//! Resource accounting by worker, job, team and cell.
 //!
-//! A run counts from the moment its start is decided until it is confirmed gone. Every change of a
-//! worker's holds goes through here.
+//! A run counts from the decision to start it until its end is confirmed. Every change of a
+//! worker's allocations goes through this module.
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::class::Class;
@@ -13,21 +13,21 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// What the cell as a whole offers and has given away.
+/// The capacity and usage of the whole cell.
 #[derive(Debug, Default)]
 pub(crate) struct Totals {
-    /// What all listed workers offer.
+    /// The sum of all listed workers' capacities.
     pub(crate) capacity: Amount,
-    /// The most that any of them offers, dimension by dimension.
+    /// The largest capacity of any listed worker in each dimension.
     pub(crate) largest: Amount,
-    /// What trial and batch work takes that isn't urgent.
+    /// The sum of best-effort allocations: trial and batch tasks that aren't urgent.
     pub(crate) low: Amount,
-    /// Runs.
+    /// Number of allocations.
     pub(crate) holds: u32,
 }
 
 impl Cell {
-    /// Puts a run on its worker's account.
+    /// Adds an allocation to its worker.
     pub(crate) fn hold(&mut self, id: WorkerId, hold: Hold) {
         self.count(id, hold.job, hold.amount);
         self.workers[id].holds.push(hold);
@@ -35,7 +35,7 @@
         self.touch(id);
     }
 
-    /// Takes a run off its worker's account; it was taken out of the worker's holds before.
+    /// Subtracts an allocation that was already removed from its worker's list.
     pub(crate) fn released(&mut self, id: WorkerId, hold: &Hold) {
         self.uncount(id, hold.job, hold.amount);
         self.remember(id, hold);
@@ -44,7 +44,7 @@
         self.touch(id);
     }
 
-    /// Takes in that a run takes another amount than we believed.
+    /// Corrects the accounts when a worker reports another amount for a run than was recorded.
     pub(crate) fn resized(&mut self, id: WorkerId, job: JobId, before: Amount, after: Amount) {
         self.uncount(id, job, before);
         self.count(id, job, after);
@@ -87,10 +87,10 @@
         }
     }
 
-    /// Tells whether a job's tasks leave the kept reserve alone.
+    /// Returns `true` if a job's tasks are best-effort and must leave the reserve free.
     pub(crate) fn is_low(&self, id: JobId) -> bool {
         let job = &self.jobs[id];
-        // What is counted one way stays so until the job has no run left.
+        // The accounting of a job changes only while it has no runs, so that sums stay consistent.
         if job.holds > 0 { job.low } else { job.class() != Class::Paying && !job.is_urgent() }
     }
 
@@ -101,7 +101,7 @@
         self.refresh(id);
     }
 
-    /// Keeps the dense table of room by worker, which is what searches walk.
+    /// Updates a worker's entry in the dense table of free capacity, which searches scan.
     pub(crate) fn refresh(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get(id) else { return };
         let room = if self.is_eligible(worker) { worker.free() } else { Amount::ZERO };
@@ -111,7 +111,7 @@
         self.rooms[id.index()] = room;
     }
 
-    /// Tells whether a worker may be given tasks.
+    /// Returns `true` if a worker may be given tasks.
     pub(crate) fn is_eligible(&self, worker: &Worker) -> bool {
         worker.fence == Fence::Fenced
             && worker.misses == 0
@@ -120,7 +120,7 @@
             && self.is_trusted(worker)
     }
 
-    /// Sums up what the listed workers offer.
+    /// Recomputes the totals over all listed workers.
     pub(crate) fn recount(&mut self) {
         let offered = self.workers.iter().map(|(_, worker)| worker.capacity);
         self.totals.capacity = offered.fold(Amount::ZERO, Amount::plus);
@@ -128,7 +128,7 @@
         self.roster = self.workers.iter().map(|(id, _)| id).collect();
     }
 
-    /// Tells whether trial and batch work has come up to the kept reserve.
+    /// Returns `true` if best-effort tasks use everything outside the reserve.
     pub(crate) fn is_reserved(&self) -> bool {
         let kept = u64::from(self.policy.urgent_reserve_permille);
         let part = |all: u32| (u64::from(all) * (1000 - kept) / 1000) as u32;
--- a/crates/cell/src/action.rs
+++ b/crates/cell/src/action.rs
@@ -1,4 +1,4 @@
-//! What a cell wants done.
+//! Outputs of a cell.
 
 use cowslipchute_base::event::Event;
 use cowslipchute_base::id;
@@ -7,33 +7,32 @@
 use crate::event::Sequence;
 use crate::record::Record;
 
-/// What a cell wants done.
+/// An action that a cell requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Make one exchange with a worker and tell how it ended. There is never more than one in
-    /// flight for a worker.
+    /// Make one exchange with a worker and report its outcome as an event. At most one is in flight
+    /// for each worker.
     Exchange {
         /// Its number.
         sequence: Sequence,
         /// The worker.
         worker: id::Instance,
-        /// Where it is.
+        /// Its address.
         address: std::net::SocketAddr,
-        /// What to send.
+        /// The message to send.
         exchange: worker::Exchange,
     },
-    /// Write records, all in one transaction guarded by the cell's ownership. There is never more
-    /// than one batch in flight under an epoch; [`crate::event::Event::Disowned`] ends the wait
-    /// for one.
+    /// Write records in one transaction that is conditional on the cell's ownership. At most one
+    /// batch is in flight under an epoch; [`crate::event::Event::Disowned`] ends the wait for it.
     Record {
         /// The batch.
         batch: u64,
-        /// The whole new value of each changed record.
+        /// The complete new value of each changed record.
         records: Vec<Record>,
         /// Jobs whose records are to be removed.
         removed: Vec<id::Job>,
     },
-    /// Tell operators of a change that the cell made on its own.
+    /// Log a state change for operators.
     Note {
         /// The event.
         event: Event,
@@ -41,7 +40,7 @@
         subject: id::Instance,
         /// The run, if it is about one.
         run: Option<worker::Run>,
-        /// Why, for a reader.
+        /// The reason in plain text.
         reason: String,
     },
 }
--- a/crates/cell/src/blame.rs
+++ b/crates/cell/src/blame.rs
@@ -1,7 +1,8 @@
-//! Whose fault a failed run is: its worker's or its job's.
+//! Attribution of failed runs to their workers or jobs, and quarantine of workers.
 //!
-//! Both carry a score. A failure is split between them by how likely each was to fail before, so a
-//! job that fails everywhere doesn't cost workers their name, nor a broken worker its jobs theirs.
+//! Workers and jobs have scores. Each failure is split between both in proportion to their failure
+//! probabilities, so a job that fails everywhere doesn't put workers into quarantine, and a broken
+//! worker doesn't get its jobs parked.
 
 use std::time::Duration;
 
@@ -19,32 +20,32 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// Runs that the score of something new stands for.
+/// Number of runs in the prior of a score.
 const PRIOR: f32 = 2.0;
-/// Failures among them.
+/// Number of failures in the prior of a score.
 const PRIOR_BAD: f32 = 0.04;
-/// What is left of a score's weight after one more run: some twenty runs count.
+/// Decay of a score with each run; the last twenty runs or so count.
 const FADE: f32 = 0.95;
-/// Failures on a worker's account before it can be quarantined.
+/// Minimum number of failures attributed to a worker before it is quarantined.
 const QUARANTINE_BAD: f32 = 1.5;
-/// Chance of failing above which a worker is quarantined.
+/// Minimum failure probability of a worker before it is quarantined.
 const QUARANTINE_CHANCE: f32 = 0.4;
-/// Chance of failing below which a job that fails is taken for sound.
+/// Failure probability of a job below which its failures count as evidence against a worker.
 const SOUND_CHANCE: f32 = 0.2;
-/// Least part of a failed probe that is the worker's for it to stay in quarantine.
+/// Minimum share of a failed probe that is attributed to the worker to extend its quarantine.
 const PROBE_SHARE: f32 = 0.3;
-/// The first quarantine; doubled by each probe that fails.
+/// Duration of the first quarantine; doubled by each failed probe.
 const QUARANTINE: Duration = Duration::from_secs(10);
-/// Doublings at most.
+/// Maximum number of doublings.
 const ROUNDS_MAX: u32 = 7;
-/// A run that has lasted so long under probe speaks for its worker.
+/// Run time after which a probe counts as successful.
 const LASTING: Duration = Duration::from_secs(60);
-/// Failures remembered on a worker, to be taken back if it turns out to be at fault.
+/// Maximum number of failures kept for a worker, to be reverted if it is found to be at fault.
 const SUSPECTS_MAX: usize = 32;
-/// Workers on which a job has to have failed to be parked, if there are so many.
+/// Number of workers on which a job must have failed to be parked, or all usable ones if fewer.
 const PLACES_MIN: usize = 3;
 
-/// How often something fails.
+/// Decaying counts of failures and successes.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Score {
     bad: f32,
@@ -52,7 +53,7 @@
 }
 
 impl Score {
-    /// Returns the chance that the next run fails.
+    /// Returns the estimated probability that the next run fails.
     fn chance(self) -> f32 {
         (self.bad + PRIOR_BAD) / (self.bad + self.good + PRIOR)
     }
@@ -68,26 +69,26 @@
     }
 }
 
-/// A failure that may yet be found to be the worker's fault.
+/// A failure that may later be found to be the worker's fault.
 #[derive(Clone, Copy, Debug)]
 struct Suspect {
     job: JobId,
     task: TaskIndex,
-    /// What the job was charged.
+    /// The part of the failure that was attributed to the job.
     charge: f32,
 }
 
-/// A worker's quarantine.
+/// The quarantine of a worker.
 #[derive(Clone, Copy, Debug)]
 struct Quarantine {
-    /// When one task may be tried.
+    /// The time from which one task may be placed as a probe.
     until: Time,
     rounds: u32,
-    /// The run that is tried.
+    /// The probe in progress.
     probe: Option<Key>,
 }
 
-/// What is held against a worker.
+/// A worker's record of failures.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Record {
     score: Score,
@@ -96,7 +97,7 @@
 }
 
 impl Record {
-    /// Tells when a probe is due.
+    /// Returns the time from which a probe may be placed, if the worker is quarantined.
     pub(crate) fn probe_due(&self) -> Option<Time> {
         self.quarantine.map(|quarantine| quarantine.until)
     }
@@ -107,13 +108,13 @@
 }
 
 impl Cell {
-    /// Tells whether what is held against a worker lets it take a task.
+    /// Returns `true` if a worker is not quarantined or may take a probe.
     pub(crate) fn is_trusted(&self, worker: &Worker) -> bool {
         let probe = |due| due <= self.now && worker.holds.is_empty();
         worker.blame.probe_due().is_none_or(probe)
     }
 
-    /// Splits a failure between worker and job; tells whether it counts against the task.
+    /// Splits a failure between worker and job; returns `true` if it counts against the task.
     pub(crate) fn blame(&mut self, id: WorkerId, key: Key) -> bool {
         let worker = &mut self.workers[id];
         let job = &mut self.jobs[key.job];
@@ -130,7 +131,7 @@
         }
         if let Some(quarantine) = worker.blame.quarantine {
             if quarantine.probe != Some(key) {
-                // It was placed before the quarantine.
+                // The run was placed before the quarantine.
                 return false;
             }
             let guilty = share >= PROBE_SHARE;
@@ -163,7 +164,7 @@
         self.touch(id);
     }
 
-    /// A probe failed: the next one comes later, if that was the worker's fault.
+    /// Ends a failed probe; if the worker is at fault, doubles the delay until the next one.
     fn extend(&mut self, id: WorkerId, before: Quarantine, guilty: bool) {
         let rounds = if guilty { (before.rounds + 1).min(ROUNDS_MAX) } else { before.rounds };
         let wait = if guilty { QUARANTINE * 2u32.pow(rounds) } else { Duration::ZERO };
@@ -179,7 +180,7 @@
         self.touch(id);
     }
 
-    /// Takes a failure back from a job whose worker was at fault.
+    /// Reverts a job's failure that its worker caused.
     fn acquit(&mut self, id: WorkerId, suspect: Suspect) {
         let Some(job) = self.jobs.get_mut(suspect.job) else { return };
         job.failed_on.retain(|worker| *worker != id);
@@ -205,7 +206,7 @@
         }
     }
 
-    /// A run did what it should: that speaks for its worker and its job.
+    /// Records a completed run for its worker and its job.
     pub(crate) fn praise(&mut self, id: WorkerId, job: JobId) {
         let job = &mut self.jobs[job];
         job.score.succeed();
@@ -217,7 +218,7 @@
         self.release(id, "its probe completed");
     }
 
-    /// Offers a worker to waiting tasks once its quarantine allows a probe.
+    /// Makes a quarantined worker available for placement once a probe is due.
     pub(crate) fn check_quarantine(&mut self, id: WorkerId) {
         if self.workers[id].blame.probe_due().is_some_and(|due| due <= self.now) {
             self.refresh(id);
@@ -225,12 +226,12 @@
         }
     }
 
-    /// Ends a quarantine once a probe has lasted.
+    /// Ends a quarantine once a probe has run long enough.
     pub(crate) fn check_probe(&mut self, id: WorkerId) {
         let worker = &self.workers[id];
         let lasts = |since: Time| since + LASTING <= self.now;
         if worker.blame.quarantine.is_some() && worker.holds.iter().any(|h| lasts(h.since)) {
-            self.release(id, "its probe goes on well");
+            self.release(id, "its probe has run long enough");
         }
     }
 
@@ -247,7 +248,7 @@
         self.refresh(id);
     }
 
-    /// Tells operators that a task is tried on a quarantined worker.
+    /// Records and reports a run on a quarantined worker as its probe.
     pub(crate) fn note_probe(&mut self, id: WorkerId, key: Key) {
         let worker = &mut self.workers[id];
         if let Some(quarantine) = &mut worker.blame.quarantine {
@@ -257,7 +258,7 @@
         }
     }
 
-    /// Parks a job of which no run ever completed, wherever it was tried.
+    /// Parks a job whose runs have failed on every worker tried and never completed.
     pub(crate) fn check_broken(&mut self, id: JobId, reason: &str) {
         let usable = self.workers.iter().filter(|(_, worker)| self.is_trusted(worker)).count();
         let job = &self.jobs[id];
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -1,6 +1,7 @@
-//! The cell: one owner's decisions about the tasks on its workers.
+//! The state machine of one cell, as run by the cell's owner.
 //!
-//! This module holds the state and the door; each other module adds one duty to [`Cell`].
+//! This module holds the state and the entry point [`Cell::step`]; each other module implements one
+//! part of [`Cell`].
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -36,16 +37,16 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// Settings of a cell that no operator changes while it runs.
+/// Settings of a cell that are fixed while it runs.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The cell's name.
     pub cell: id::Cell,
-    /// Seeds all sampling.
+    /// The seed of all random sampling.
     pub seed: u64,
 }
 
-/// Decides about every task of one cell.
+/// The scheduler of one cell's tasks.
 #[derive(Debug)]
 pub struct Cell {
     pub(crate) settings: Settings,
@@ -54,21 +55,23 @@
     pub(crate) now: Time,
     pub(crate) policy: Arc<policy::Spec>,
     pub(crate) ownership: Ownership,
-    /// Version of the list in use.
+    /// Version of the worker list in use; zero before the first one.
     pub(crate) view: u64,
     pub(crate) workers: Table<Worker>,
     pub(crate) worker_names: HashMap<id::Instance, WorkerId>,
-    /// Exchanges in flight with workers that are listed no more; one may come back meanwhile.
+    /// Exchanges in flight with workers that are no longer listed; such a worker may be listed
+    /// again before its exchange ends.
     pub(crate) orphans: HashMap<id::Instance, Sequence>,
     pub(crate) racks: HashMap<id::Rack, u16>,
     pub(crate) jobs: Table<Job>,
     pub(crate) job_names: HashMap<id::Job, JobId>,
-    /// Attempts of jobs that were removed, for a job of the same name.
+    /// The highest attempt of each removed job; a job declared again under the name starts above
+    /// it.
     pub(crate) floors: HashMap<id::Job, id::Attempt>,
     pub(crate) arrivals: u64,
-    /// Jobs by when they were first heard of, until it is time to see whether they were declared.
+    /// Jobs in the order in which they were first seen, until their time to be declared is over.
     pub(crate) strangers: VecDeque<Stranger>,
-    /// Jobs of which nothing may be left.
+    /// Jobs to be checked for removal at the end of the step.
     pub(crate) finishing: Vec<JobId>,
     pub(crate) sequence: Sequence,
     pub(crate) ledger: Ledger,
@@ -78,22 +81,22 @@
     pub(crate) totals: Totals,
     pub(crate) budget: Budget,
     pub(crate) model: Model,
-    /// Workers in the order in which searches walk them.
+    /// Workers in the order in which searches visit them.
     pub(crate) roster: Vec<WorkerId>,
-    /// Room of each worker by the index of its id; none where no task may start.
+    /// Free capacity of each worker by the index of its id; zero where no task may start.
     pub(crate) rooms: Vec<Amount>,
-    /// When each worker is next due, one entry a worker at most.
+    /// The next due time of each worker, at most one entry for each.
     pub(crate) timers: BTreeSet<(Time, WorkerId)>,
     /// Workers whose commands or timers changed in this step.
     pub(crate) touched: Vec<WorkerId>,
-    /// Whether a worker may have become fenced, gone or lapsed in this step.
+    /// Whether a worker may have become fenced, gone or expired in this step.
     pub(crate) fencing_changed: bool,
     pub(crate) census: Census,
     pub(crate) actions: Vec<Action>,
 }
 
 impl Cell {
-    /// Opens a cell that is not owned and knows no worker and no job yet.
+    /// Opens a cell that is not owned yet, without workers and jobs.
     pub fn open(settings: Settings) -> Cell {
         let policy = policy::Spec::default();
         Cell {
@@ -131,9 +134,11 @@
         }
     }
 
-    /// Takes one event at a time and appends what is to be done, in order.
+    /// Applies one event and appends the resulting actions in order.
     ///
-    /// `now` never goes back from one call to the next.
+    /// # Panics
+    ///
+    /// If `now` is earlier than in the previous call.
     pub fn step(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         assert!(now >= self.now, "time never goes back");
         self.now = now;
@@ -160,7 +165,7 @@
         }
     }
 
-    /// Draws the consequences of a step: what is due, what may start, what is to be sent.
+    /// Completes a step: runs due timers, starts tasks, sends exchanges and records.
     fn settle(&mut self) {
         self.run_timers();
         self.check_ready();
@@ -172,7 +177,7 @@
         self.write();
     }
 
-    /// Tells when a [`Event::Tick`] is next due.
+    /// Returns the time at which an [`Event::Tick`] is next due.
     pub fn next_due(&self) -> Option<Time> {
         self.ownership.epoch()?;
         let worker = self.timers.first().map(|&(time, _)| time);
@@ -190,7 +195,7 @@
         }
     }
 
-    /// Tells operators of a change about a job, a worker or the cell.
+    /// Reports a log event about a job, a worker or the cell.
     pub(crate) fn note(
         &mut self,
         event: Number,
@@ -201,7 +206,7 @@
         self.actions.push(Action::Note { event, subject, run: None, reason: reason.into() });
     }
 
-    /// Tells operators of a change about one run.
+    /// Reports a log event about one run.
     pub(crate) fn note_run(
         &mut self,
         event: Number,
@@ -213,7 +218,7 @@
         self.actions.push(Action::Note { event, subject, run: Some(run), reason: reason.into() });
     }
 
-    /// Tells operators of a change about the cell.
+    /// Reports a log event about the cell.
     pub(crate) fn note_cell(&mut self, event: Number, reason: impl Into<String>) {
         let cell = self.settings.cell.clone();
         self.note(event, &cell, reason);
--- a/crates/cell/src/choose.rs
+++ b/crates/cell/src/choose.rs
@@ -1,4 +1,4 @@
-//! Choosing a worker for a task: a few sampled candidates, compared by a score.
+//! Choice of a worker for a task: a few sampled candidates are compared by a score.
 
 use cowslipchute_base::amount::Amount;
 use rand::Rng;
@@ -8,25 +8,27 @@
 use crate::job::JobId;
 use crate::worker::WorkerId;
 
-/// Workers sampled for one decision.
+/// Number of workers sampled for one placement.
 const SAMPLES: usize = 12;
-/// Workers found by a walk when no sampled one has room.
+/// Number of candidates after which a scan ends; workers are scanned if no sampled one has room.
 const FOUND_MAX: usize = 4;
-/// What a worker's unused room weighs: full workers first, so that large tasks find room elsewhere.
+/// Weight of a worker's unused capacity: fuller workers are preferred, so that large tasks fit
+/// elsewhere.
 const FIT_WEIGHT: f64 = 1.0;
-/// What it weighs to have a job's tasks in few racks.
+/// Weight of the share of a job's tasks in the same rack, which spreads a job over racks.
 const SPREAD_WEIGHT: f64 = 0.5;
 
-/// What it weighs that a job failed on a worker lately: it is tried elsewhere if it can be.
+/// Weight of a recent failure of the job on the worker: other workers are preferred if there are
+/// any.
 const FAILED_WEIGHT: f64 = 10.0;
 
-/// What a thousandth of slowdown of paying tasks weighs.
+/// Weight of a thousandth of predicted slowdown of paying tasks.
 const RISK_WEIGHT: f64 = 0.02;
 
 type Candidates = SmallVec<[WorkerId; SAMPLES]>;
 
 impl Cell {
-    /// Finds the best worker for one more task of a job among a few.
+    /// Returns the best of a few candidate workers for one more task of a job.
     pub(crate) fn choose(&mut self, job: JobId, amount: Amount) -> Option<WorkerId> {
         let mut candidates = self.sample(job, amount);
         if candidates.is_empty() {
@@ -61,7 +63,7 @@
         found
     }
 
-    /// Walks the table of room from a random place, so that a nearly full cell is found out fast.
+    /// Scans the table of free capacity from a random index, which is fast in a nearly full cell.
     fn walk(&mut self, job: JobId, amount: Amount) -> Candidates {
         let mut found = Candidates::new();
         let count = self.roster.len();
@@ -81,7 +83,7 @@
         found
     }
 
-    /// Tells whether a worker may be given a task of a job.
+    /// Returns `true` if a worker can take a task of a job.
     pub(crate) fn has_room(&self, id: WorkerId, job: JobId, amount: Amount) -> bool {
         if !amount.fits(self.rooms[id.index()]) {
             return false;
@@ -91,7 +93,8 @@
         self.is_eligible(worker) && amount.fits(worker.free().minus(kept))
     }
 
-    /// Scores a worker for a task; the least is the best, nothing rules it out.
+    /// Returns the score of a worker for a task, where lower is better, or `None` if a paying task
+    /// would become too slow.
     fn score(&self, id: WorkerId, job: JobId, amount: Amount) -> Option<f64> {
         let risk = f64::from(self.risk(id, job)?) * RISK_WEIGHT * self.policy.latency_weight;
         let worker = &self.workers[id];
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -1,4 +1,4 @@
-//! What a cell is told.
+//! Inputs of a cell.
 
 use std::sync::Arc;
 
@@ -11,82 +11,82 @@
 
 use crate::record::Record;
 
-/// Number of one exchange, rising within a cell.
+/// The number of an exchange, which increases within a cell.
 pub type Sequence = u64;
 
-/// How the former owner of a cell ended, as far as is known when the cell is taken.
+/// What is known about the former owner of a cell when its ownership is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Former {
-    /// There was none, or it released the cell after stopping all renewals.
+    /// There was none, or it released the cell after stopping all lease renewals.
     Released,
-    /// The platform has ended its instance; grants that it sent may still run out.
+    /// The platform has ended its instance; leases that it granted may not have expired yet.
     Ended,
-    /// Nothing is known: it may still be renewing leases that we can't see.
+    /// Nothing is known: it may still be renewing leases on workers that we can't reach.
     Unheard,
 }
 
-/// What a cell is told.
+/// An input of a cell.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The cell's ownership was taken in the store, under a new epoch.
     Owned {
         /// The epoch.
         epoch: id::Epoch,
-        /// How the former owner ended.
+        /// What is known about the former owner.
         former: Former,
-        /// What the store holds about the cell's tasks, one record a job.
+        /// What the store holds about the cell's tasks, one record for each job.
         records: Vec<Record>,
     },
-    /// More was learnt about the former owner.
+    /// More is known about the former owner.
     Former {
-        /// How it ended.
+        /// What is known about it.
         former: Former,
     },
     /// The ownership was lost to a higher epoch, or given up.
     Disowned,
-    /// The policy in force.
+    /// The policy now in force.
     Policy {
-        /// Its desired state.
+        /// The policy.
         spec: Arc<policy::Spec>,
     },
     /// A team's share of its quota in this cell.
     Share {
         /// The team.
         team: id::Team,
-        /// The most that its tasks in this cell may take together; nothing means no limit.
+        /// The most that its tasks in this cell may use together; `None` means no limit.
         amount: Option<Amount>,
     },
-    /// A job, or a part of one, has its home in this cell; or its declaration changed.
+    /// A job, or a part of one, was assigned to this cell, or its declaration changed.
     Job {
-        /// Its name.
+        /// The job's name.
         name: id::Job,
-        /// Its desired state.
+        /// The job's declaration.
         spec: Arc<job::Spec>,
     },
     /// A job is no longer declared: its tasks are cancelled and its record removed.
     JobGone {
-        /// Its name.
+        /// The job's name.
         name: id::Job,
     },
-    /// The workers of this cell as listed; an older version than the last is ignored.
+    /// The listed workers of this cell; a version older than the last one is ignored.
     Listed {
-        /// The list, already narrowed to this cell's workers.
+        /// The list, already filtered to this cell's workers.
         view: list::View,
     },
-    /// An exchange brought a report.
+    /// An exchange returned a report.
     Reported {
         /// The exchange.
         sequence: Sequence,
         /// The report.
         report: worker::Report,
     },
-    /// An exchange brought none.
+    /// An exchange failed to return a report.
     Failed {
         /// The exchange.
         sequence: Sequence,
         /// The worker.
         worker: id::Instance,
-        /// Whether the worker may have obeyed.
+        /// Whether the worker may have received the exchange and executed its commands.
         unknown: bool,
     },
     /// A batch of records is in the store.
@@ -94,11 +94,11 @@
         /// The batch.
         batch: u64,
     },
-    /// A batch could not be settled yet; it is to be written again.
+    /// The outcome of writing a batch is unknown or it failed; it has to be written again.
     RecordFailed {
         /// The batch.
         batch: u64,
     },
-    /// Time passed; something was due.
+    /// The time returned by [`crate::cell::Cell::next_due`] has come.
     Tick,
 }
--- a/crates/cell/src/evict.rs
+++ b/crates/cell/src/evict.rs
@@ -1,4 +1,4 @@
-//! Checkpointing a run off its worker, within a budget.
+//! Eviction of runs with a checkpoint, within a disruption budget.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,30 +12,30 @@
 use crate::worker::Hold;
 use crate::worker::WorkerId;
 
-/// The time over which evictions are counted.
+/// The window of the eviction budget.
 const WINDOW: Duration = Duration::from_secs(600);
-/// Seconds of a run that an eviction costs even if nothing is lost: checkpoint, wait, start.
+/// Seconds of run time that any eviction costs: checkpoint, wait, start.
 const OVERHEAD_S: f64 = 5.0;
-/// Seconds of work after which more work at risk makes no difference: checkpoints keep it.
+/// Maximum seconds of work counted as at risk; checkpoints preserve the rest.
 const RISK_S: f64 = 60.0;
-/// Seconds for a checkpoint above which urgent work doesn't wait for one: it starts within 3.3 s,
-/// of which exchanges take some.
+/// Checkpoint time, in seconds, above which urgent tasks don't wait for checkpoints: they have to
+/// start within 3.3 s, and exchanges take part of that.
 const CHECKPOINT_MAX_S: f64 = 2.0;
-/// How far the time that a checkpoint takes follows each eviction.
+/// Smoothing factor of the average checkpoint time.
 const CHECKPOINT_RATE: f64 = 0.3;
-/// How much worse it is to evict a trial than batch work.
+/// Cost of evicting a trial task relative to a batch task.
 const TRIAL_FACTOR: f64 = 3.0;
 
-/// Evictions of late.
+/// The recent evictions.
 #[derive(Debug, Default)]
 pub(crate) struct Budget {
     spent: VecDeque<Time>,
-    /// How long a checkpoint takes, in seconds, from the command to the result.
+    /// The average time from an eviction command to its result, in seconds.
     checkpoint: f64,
 }
 
 impl Cell {
-    /// Tells whether the policy allows one more eviction to relieve a paying task.
+    /// Returns `true` if the budget allows one more eviction to mitigate interference.
     pub(crate) fn may_evict(&mut self) -> bool {
         while self.budget.spent.front().is_some_and(|&time| time + WINDOW < self.now) {
             self.budget.spent.pop_front();
@@ -45,7 +45,7 @@
         (self.budget.spent.len() as u64) < (allowed / 1000).max(least)
     }
 
-    /// Has a run checkpointed and ended; tells whether it is on its way out.
+    /// Starts the eviction of a run; returns `false` if it can't be evicted in its state.
     pub(crate) fn evict(&mut self, id: WorkerId, index: usize, reason: &str) -> bool {
         let hold = &mut self.workers[id].holds[index];
         let Some(life) = hold.life.evict() else { return false };
@@ -60,7 +60,7 @@
         true
     }
 
-    /// Takes in how long an eviction took.
+    /// Updates the average checkpoint time with an eviction that was started at `since`.
     pub(crate) fn learn_checkpoint(&mut self, since: Time) {
         let took = (self.now - since).as_secs_f64();
         let known = self.budget.checkpoint;
@@ -68,12 +68,12 @@
         self.budget.checkpoint += rate * (took - known);
     }
 
-    /// Tells whether urgent work can't wait for a checkpoint.
+    /// Returns `true` if checkpoints take too long for urgent tasks.
     pub(crate) fn is_slow_to_checkpoint(&self) -> bool {
         self.budget.checkpoint > CHECKPOINT_MAX_S
     }
 
-    /// Ends a run at once for urgent work that can't wait for its checkpoint.
+    /// Stops a run without a checkpoint for urgent tasks that can't wait for one.
     pub(crate) fn give_up(&mut self, id: WorkerId, index: usize, reason: &str) {
         let hold = &mut self.workers[id].holds[index];
         hold.life = hold.life.stop();
@@ -86,7 +86,7 @@
         self.touch(id);
     }
 
-    /// Tells whether a run may be evicted at all.
+    /// Returns `true` if a run may be evicted.
     pub(crate) fn is_evictable(&self, hold: &Hold) -> bool {
         let job = &self.jobs[hold.job];
         job.class() != Class::Paying
@@ -94,7 +94,7 @@
             && matches!(hold.life, Life::Running(_) | Life::Throttled(_))
     }
 
-    /// Weighs what an eviction costs, in seconds of processor.
+    /// Returns the cost of an eviction in weighted processor seconds.
     pub(crate) fn loss(&self, hold: &Hold) -> f64 {
         let run = (self.now - hold.since).as_secs_f64().min(RISK_S);
         let cpu = f64::from(hold.amount.cpu_milli.max(1)) / 1000.0;
--- a/crates/cell/src/exchange.rs
+++ b/crates/cell/src/exchange.rs
@@ -1,8 +1,8 @@
-//! What is sent to workers and when.
+//! Exchanges with workers: their contents, timing and retries.
 //!
-//! Commands are not queued: each hold says what is still to be told about it, and an exchange
-//! carries all of that. So a lost answer needs no book-keeping beyond telling the same again, which
-//! every command allows.
+//! Commands are not queued: each allocation records whether a command about it has to be sent, and
+//! an exchange carries all such commands. After a lost answer the same commands are sent again,
+//! which is safe because every command is idempotent.
 
 use std::time::Duration;
 
@@ -26,13 +26,13 @@
 use crate::worker::Hold;
 use crate::worker::WorkerId;
 
-/// Wait after the first exchange that failed; doubled for each further one up to a heartbeat.
+/// Backoff after the first failed exchange; doubled for each further one up to a heartbeat.
 pub(crate) const RETRY: Duration = Duration::from_millis(100);
-/// Exchanges that fail in a row before a worker is told to operators as suspect.
+/// Consecutive failed exchanges after which a worker is reported as suspect.
 const SUSPECT_MISSES: u32 = 2;
 
 impl Cell {
-    /// Has a worker looked at before the step ends.
+    /// Marks a worker to be processed by [`Cell::flush`] before the step ends.
     pub(crate) fn touch(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         if !std::mem::replace(&mut worker.touched, true) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Handles the workers whose time has come.
+    /// Processes the workers whose timers are due.
     pub(crate) fn run_timers(&mut self) {
         while let Some(&(time, id)) = self.timers.first() {
             if time > self.now {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Sends what is to be said to the touched workers.
+    /// Sends due exchanges to the touched workers and updates their timers.
     pub(crate) fn flush(&mut self) {
         let owned = self.ownership.epoch();
         let mut touched = std::mem::take(&mut self.touched);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Tells when all that a worker may run has surely ended, unless it is heard of before.
+    /// Returns the time by which all runs of a worker have ended unless its lease is renewed.
     fn lapse_due(&self, id: WorkerId) -> Option<Time> {
         let worker = &self.workers[id];
         match worker.fence {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Gives up the runs of a worker that can't be reached and whose leases have surely lapsed.
+    /// Drops the runs of a worker that can't be reached and whose leases have all expired.
     fn check_lapse(&mut self, id: WorkerId) {
         let Some(lapse) = self.lapse_due(id) else { return };
         if lapse > self.now {
@@ -142,7 +142,8 @@
         };
         let sequence = self.sequence;
         worker.flight = Some(Flight { sequence, acks, stale: false });
-        // A longer lease with its slower heartbeat may not be granted yet.
+        // The policy's lease may not be granted yet, and its heartbeat may be too slow for the
+        // shorter one.
         let within = if valid.is_zero() { self.policy.lease } else { valid } / 3;
         worker.due = self.now + self.policy.heartbeat.min(within);
         self.actions.push(Action::Exchange {
@@ -166,7 +167,7 @@
         commands
     }
 
-    /// Learns that an exchange brought no report.
+    /// Handles an exchange that returned no report.
     pub(crate) fn miss(&mut self, sequence: Sequence, name: &id::Instance, unknown: bool) {
         let Some((id, flight)) = self.land_flight(sequence, name) else { return };
         if flight.stale {
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Ends the flight of an exchange; nothing if its worker is gone.
+    /// Ends an exchange and returns its worker, or `None` if that is no longer listed.
     pub(crate) fn land_flight(
         &mut self,
         sequence: Sequence,
@@ -207,11 +208,11 @@
         Some((id, flight))
     }
 
-    /// Has everything that was in the lost exchange said again; a start that surely never
-    /// arrived is taken back.
+    /// Marks the commands of a failed exchange to be sent again; a start that certainly never
+    /// arrived is cancelled.
     fn retry(&mut self, id: WorkerId, unknown: bool) {
         let worker = &mut self.workers[id];
-        // The worker starts nothing by an exchange whose own grant has lapsed.
+        // The worker ignores a start that arrives after the lease granted with it has expired.
         let lapse = worker.lapse;
         for hold in worker.holds.iter_mut().filter(|hold| hold.flying) {
             hold.flying = false;
@@ -230,7 +231,7 @@
         }
     }
 
-    /// Has a worker end a task's run, or takes its start back if the worker never heard of it.
+    /// Stops a task's run on a worker, or drops its allocation if the start was never sent.
     pub(crate) fn stop_task(&mut self, id: WorkerId, job: JobId, task: id::TaskIndex) {
         let worker = &mut self.workers[id];
         let mut unsent = None;
@@ -253,14 +254,14 @@
         self.touch(id);
     }
 
-    /// Names the run of a hold.
+    /// Returns the run of an allocation.
     pub(crate) fn run(&self, hold: &Hold) -> Run {
         let job = self.jobs[hold.job].name.clone();
         Run { job, task: hold.task, attempt: hold.attempt }
     }
 }
 
-/// Says to the worker how a run is meant to be.
+/// Builds the command for an allocation's intended lifecycle state.
 fn command(jobs: &cowslipchute_base::entity::Table<crate::job::Job>, hold: &Hold) -> Command {
     let job = &jobs[hold.job];
     let run = Run { job: job.name.clone(), task: hold.task, attempt: hold.attempt };
--- a/crates/cell/src/fit.rs
+++ b/crates/cell/src/fit.rs
@@ -1,4 +1,4 @@
-//! Jobs that can never run here are parked at once, with the reason.
+//! Parking of jobs whose tasks are too large for every worker of the cell.
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::event::Event as Number;
@@ -7,7 +7,7 @@
 use crate::job::JobId;
 
 impl Cell {
-    /// Looks again which jobs can fit any listed worker.
+    /// Checks all jobs against the listed workers' capacities.
     pub(crate) fn refit(&mut self) {
         let jobs: Vec<JobId> = self.jobs.iter().map(|(id, _)| id).collect();
         for id in jobs {
@@ -17,7 +17,8 @@
         }
     }
 
-    /// Parks or unparks a job by whether it can fit any listed worker; tells whether that changed.
+    /// Parks a job that fits no listed worker and unparks one that does; returns `true` on a
+    /// change.
     pub(crate) fn refit_job(&mut self, id: JobId) -> bool {
         let job = &self.jobs[id];
         if job.spec.is_none() || self.view == 0 || job.is_cancelled() || job.broken {
@@ -53,12 +54,12 @@
             .map(|(field, asked, most)| format!("{field} {asked} of at most {most}"))
             .collect();
         match over.is_empty() {
-            true => String::from("no worker has all that a task asks for together"),
+            true => String::from("no worker has enough of all resources at once for a task"),
             false => format!("no worker is large enough for a task: {}", over.join(", ")),
         }
     }
 
-    /// Returns the most that any worker offers, dimension by dimension.
+    /// Returns the largest capacity of any worker in each dimension.
     pub(crate) fn largest(&self) -> Amount {
         self.workers.iter().fold(Amount::ZERO, |most, (_, worker)| Amount {
             cpu_milli: most.cpu_milli.max(worker.capacity.cpu_milli),
--- a/crates/cell/src/interfere.rs
+++ b/crates/cell/src/interfere.rs
@@ -1,9 +1,10 @@
-//! How much a task of one job slows a paying task of another on the same worker, learnt online.
+//! A model of interference, learnt online: how much a task of one job slows a paying task of
+//! another on the same worker.
 //!
-//! A measured slowdown is the sum of what each neighbour adds. Each pair of jobs has an estimate
-//! with its uncertainty; a new pair starts from its class, and a class from a prior, so that little
-//! data moves an estimate little away from them (shrinkage). A measurement is shared out among the
-//! neighbours by how uncertain each is, which is a Kalman filter with a diagonal covariance.
+//! A measured slowdown is modelled as the sum of the neighbours' effects. Each pair of jobs has an
+//! estimate with a variance; a new pair starts from its class's mean and a class from a prior, so
+//! that estimates with little data stay close to them (shrinkage). The error of a prediction is
+//! distributed over the neighbours by their variances: a Kalman filter with a diagonal covariance.
 
 use std::collections::HashMap;
 
@@ -14,22 +15,22 @@
 use crate::job::Job;
 use crate::job::JobId;
 
-/// What a neighbour adds to a paying task's slowdown before anything is known, in thousandths.
+/// Prior mean of a neighbour's effect on a paying task's slowdown, in thousandths.
 const PRIOR: f32 = 2.0;
-/// Variance of a pair that was never measured.
+/// Prior variance of a pair.
 const PRIOR_VARIANCE: f32 = 900.0;
 /// Variance of one measurement.
 const NOISE: f32 = 100.0;
-/// Variance up to which a pair counts as measured.
+/// Maximum variance of a pair that counts as measured.
 const MEASURED: f32 = 300.0;
-/// Variance that a pair gains with each measurement, so that it can follow a load that shifts.
+/// Variance added to a pair with each measurement, so that the estimate follows a changing load.
 const DRIFT: f32 = 0.5;
-/// How far a class follows its pairs with each measurement.
+/// Learning rate of a class's mean for each measurement of one of its pairs.
 const CLASS_RATE: f32 = 0.02;
-/// Pairs kept; those of jobs that are gone are dropped beyond it.
+/// Number of pairs above which those of removed jobs are dropped.
 const PAIRS_MAX: usize = 65_536;
 
-/// A paying job and one that slows it.
+/// A paying job and a neighbour that may slow it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Pair {
     victim: JobId,
@@ -42,25 +43,25 @@
     variance: f32,
 }
 
-/// One job's runs beside a measured one.
+/// One job's runs on the same worker as a measured run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Neighbour {
     pub(crate) job: JobId,
     pub(crate) class: Class,
-    /// Number of runs, each by the share of its processors that it had.
+    /// Number of runs, each weighted by its share of its processors.
     pub(crate) share: f32,
 }
 
 pub(crate) type Neighbours = SmallVec<[Neighbour; 16]>;
 
-/// Jobs whose effect on another has just become known.
+/// Jobs whose effect on another one has just become measured.
 pub(crate) type Met = SmallVec<[JobId; 4]>;
 
-/// What is known of who slows whom.
+/// The interference model.
 #[derive(Debug)]
 pub(crate) struct Model {
     pairs: HashMap<Pair, Estimate>,
-    /// By the class of the neighbour.
+    /// Mean effect by the class of the neighbour.
     classes: [f32; Class::ALL.len()],
 }
 
@@ -71,20 +72,20 @@
 }
 
 impl Model {
-    /// Tells what one unthrottled run of a job adds to the slowdown of another's, in thousandths.
+    /// Returns the effect of one unthrottled run on the slowdown of another job's, in thousandths.
     pub(crate) fn effect(&self, victim: JobId, neighbour: JobId, class: Class) -> f32 {
         let pair = Pair { victim, neighbour };
         self.pairs.get(&pair).map_or(self.classes[class as usize], |estimate| estimate.mean)
     }
 
-    /// Tells whether it is known what runs of a job do to another's.
+    /// Returns `true` if the effect of a job on another one has been measured well enough.
     pub(crate) fn is_measured(&self, victim: JobId, neighbour: JobId) -> bool {
         let pair = Pair { victim, neighbour };
         self.pairs.get(&pair).is_some_and(|estimate| estimate.variance <= MEASURED)
     }
 
-    /// Learns from one measurement of what is above the speed alone, in thousandths; tells whose
-    /// effect is known since then.
+    /// Updates the model with one measured slowdown, in thousandths above none; returns the
+    /// neighbours whose effect has become measured.
     pub(crate) fn learn(&mut self, victim: JobId, neighbours: &Neighbours, extra: f32) -> Met {
         let mut predicted = 0.0;
         let mut uncertainty = NOISE;
@@ -98,7 +99,7 @@
         for neighbour in neighbours {
             let mut estimate = self.estimate(victim, neighbour);
             let gain = estimate.variance * neighbour.share / uncertainty;
-            // Nobody makes a neighbour faster.
+            // A neighbour never makes a run faster.
             estimate.mean = (estimate.mean + gain * error).max(0.0);
             estimate.variance = (1.0 - gain * neighbour.share) * estimate.variance + DRIFT;
             let class = &mut self.classes[neighbour.class as usize];
@@ -120,7 +121,7 @@
         self.pairs.get(&pair).copied().unwrap_or(new)
     }
 
-    /// Drops the pairs of jobs that are gone, once there are many.
+    /// Drops the pairs of removed jobs once there are many pairs.
     pub(crate) fn trim(&mut self, jobs: &Table<Job>) {
         if self.pairs.len() > PAIRS_MAX {
             let lives = |job: JobId| jobs.get(job).is_some();
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Returns the bytes that the pairs take.
+    /// Returns the memory used by the pairs in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.pairs.capacity() * (size_of::<Pair>() + size_of::<Estimate>())
     }
--- a/crates/cell/src/inventory.rs
+++ b/crates/cell/src/inventory.rs
@@ -1,4 +1,4 @@
-//! Learning from a worker's report what runs there and what ended.
+//! Applying the inventory in a worker's report: which runs it has and which have ended.
 
 use std::collections::HashSet;
 
@@ -31,18 +31,19 @@
     pub(crate) attempt: Attempt,
 }
 
-/// What a reported run is to us.
+/// The relation of a reported run to its task.
 enum Standing {
-    /// The task's own run: it takes the place of whatever we believed.
+    /// The task's current run, which replaces the run recorded so far.
     Current,
-    /// The task has moved on; nothing of the run counts.
+    /// The task has ended or has a newer run; the run is ignored.
     Stale,
-    /// An older run that still goes on though the task waits; the task waits for its end.
+    /// An older run that is still active while the task is queued; it is stopped and the task waits
+    /// for its end.
     Lingering,
 }
 
 impl Cell {
-    /// Takes in what a report says about runs.
+    /// Applies a report's inventory.
     pub(crate) fn take_inventory(&mut self, id: WorkerId, report: &Report) {
         let mut keys = HashSet::new();
         for held in &report.held {
@@ -64,7 +65,7 @@
             .collect();
         for hold in vanished {
             self.released(id, &hold);
-            self.note_lost(id, &hold, "its worker no longer holds it");
+            self.note_lost(id, &hold, "its worker no longer reports it");
             self.end_quietly(id, &hold);
         }
     }
@@ -138,11 +139,16 @@
         }
         if was_starting {
             let name = self.workers[id].name.clone();
-            self.note_run(Number::TaskRunning, &name, held.run.clone(), "the worker runs it");
+            self.note_run(
+                Number::TaskRunning,
+                &name,
+                held.run.clone(),
+                "the worker confirmed the run",
+            );
         }
     }
 
-    /// Weighs a reported run against what we know of its task.
+    /// Classifies a reported run by the state of its task.
     fn standing(&mut self, id: WorkerId, key: Key) -> Standing {
         let job = &mut self.jobs[key.job];
         if job.is_fated(key.task) || key.attempt <= job.floor {
@@ -150,7 +156,7 @@
         }
         let Some(task) = job.live.get(&key.task) else { return Standing::Current };
         match task.state {
-            // The store may have this end already; no newer run undoes it.
+            // The store may have this end already; a newer run doesn't revert it.
             State::Settling(Outcome::Done | Outcome::Cancelled) => Standing::Stale,
             State::Queued | State::Parked(_) if key.attempt < task.attempt => Standing::Lingering,
             State::Queued | State::Parked(_) => Standing::Current,
@@ -162,7 +168,8 @@
         }
     }
 
-    /// Makes a reported run the task's own; a run of it elsewhere is older and is stopped.
+    /// Makes a reported run the task's current one; a run on another worker is older and is
+    /// stopped.
     fn claim(&mut self, id: WorkerId, key: Key) {
         let job = &mut self.jobs[key.job];
         job.highest = job.highest.max(key.attempt);
@@ -181,7 +188,8 @@
         let Some(index) = self.workers[id].find(key.job, key.task, key.attempt) else { return };
         let worker = &mut self.workers[id];
         if worker.holds[index].linger > self.now {
-            // A lost exchange may yet start it; then there has to be somebody to stop it.
+            // An exchange that was given up as lost may still start the run; the allocation is kept
+            // so that the run is stopped then.
             worker.holds[index].need = true;
             worker.hush = self.now + self.policy.heartbeat;
             return;
@@ -223,7 +231,7 @@
         }
     }
 
-    /// Tells whether a result is on its way to the store already.
+    /// Returns `true` if a result is already being written to the store.
     fn is_kept(&self, id: WorkerId, key: Key) -> bool {
         let job = &self.jobs[key.job];
         let Some(task) = job.live.get(&key.task) else { return false };
@@ -232,7 +240,8 @@
             && self.ledger.keeps(job, id, key)
     }
 
-    /// Lets a worker forget a result, with the first exchange from a time on.
+    /// Acknowledges a result, so that the worker drops it, in the first exchange at or after
+    /// `from`.
     pub(crate) fn ack(&mut self, id: WorkerId, key: Key, from: Time) {
         let job = self.jobs[key.job].name.clone();
         let run = Run { job, task: key.task, attempt: key.attempt };
@@ -244,7 +253,7 @@
         }
     }
 
-    /// Gives up every run of a worker whose runs have surely ended.
+    /// Drops all allocations of a worker whose runs are certain to have ended.
     pub(crate) fn lose_runs(&mut self, id: WorkerId, reason: &str) {
         let holds = std::mem::take(&mut self.workers[id].holds);
         for hold in &holds {
@@ -260,7 +269,7 @@
         self.note_run(Number::TaskLost, &name, run, reason);
     }
 
-    /// Starts a hold for a run that a worker has not heard of yet.
+    /// Creates the allocation of a run whose start was not sent yet.
     pub(crate) fn starting(&self, key: Key, amount: cowslipchute_base::amount::Amount) -> Hold {
         Hold {
             job: key.job,
@@ -281,7 +290,7 @@
     }
 }
 
-/// Carries a throttle that a former owner ordered over into the run's life.
+/// Applies a reported throttle, which a former owner may have set, to the run's lifecycle.
 fn throttled(life: Life, permille: u16) -> Life {
     if life.is_ending() { life } else { life.throttle(permille).unwrap_or(life) }
 }
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -1,7 +1,7 @@
-//! A job's tasks as the owner of their cell sees them.
+//! The state of a job's tasks at the owner of their cell.
 //!
-//! Only tasks that differ from a fresh one or an ended one have an entry, so that a job takes
-//! memory by what runs or waits to resume and not by its size.
+//! Only tasks that are neither fresh (never started) nor ended have an entry, so that a job's
+//! memory depends on the tasks that run or wait to resume and not on its size.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,29 +27,29 @@
 
 pub(crate) type JobId = entity::Id<Job>;
 
-/// How the end of a run leaves its task, once that is in the store.
+/// The effect of a run's end on its task, applied once the end is in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
     Done,
     Cancelled,
-    /// It is to run again, from its checkpoint if it has one.
+    /// The task runs again, from the new checkpoint if there is one.
     Evicted,
-    /// It is to run again, from its last checkpoint if it has one.
+    /// The task runs again, from its last checkpoint if there is one.
     Failed,
-    /// It failed too often.
+    /// The task failed too often and is parked for the given reason.
     Park(String),
 }
 
-/// What a task with an entry of its own waits for.
+/// The state of a task that has an entry.
 #[derive(Clone, Debug)]
 pub(crate) enum State {
-    /// For a worker.
+    /// It waits for a worker.
     Queued,
-    /// For the end of its run, which its worker's hold describes.
+    /// It has a run on the worker, which the worker's allocation describes.
     Placed(WorkerId),
-    /// For the store to have the end of its run.
+    /// Its run has ended and the end is being written to the store.
     Settling(Outcome),
-    /// For an operator.
+    /// It can't run until its job is changed, for the given reason.
     Parked(String),
 }
 
@@ -57,7 +57,7 @@
 pub(crate) struct Task {
     /// The highest attempt known to have been started or to have ended.
     pub(crate) attempt: Attempt,
-    /// The highest attempt whose end is known.
+    /// The highest attempt that is known to have ended.
     pub(crate) ended: Attempt,
     pub(crate) checkpoint: Option<id::Checkpoint>,
     pub(crate) failures: u32,
@@ -70,78 +70,79 @@
     }
 }
 
-/// The end of a run that its worker keeps until the store has it.
+/// The end of a run that is not in the store yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Pending {
     pub(crate) task: TaskIndex,
     pub(crate) attempt: Attempt,
-    /// Who keeps the result; nobody if the run ended with its worker.
+    /// The worker that retains the result; `None` if the run ended with its worker.
     pub(crate) keeper: Option<Keeper>,
 }
 
-/// One life of a worker.
+/// The incarnation of a worker that retains a result until it is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Keeper {
     pub(crate) worker: WorkerId,
     pub(crate) incarnation: id::Incarnation,
-    /// Until when it has to keep the result in any case.
+    /// The earliest time at which the result may be acknowledged.
     pub(crate) linger: Time,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) name: id::Job,
-    /// Absent while only workers or the store know the job.
+    /// The declaration; absent while the job is known only from workers or the store.
     pub(crate) spec: Option<Arc<job::Spec>>,
-    /// Rank by arrival.
+    /// Position in order of arrival.
     pub(crate) order: u64,
-    /// No longer declared; ends with its last run.
+    /// The job is no longer declared; it is dropped after its last run has ended.
     pub(crate) gone: bool,
-    /// Its record is being removed from the store.
+    /// Whether its record is being removed from the store.
     pub(crate) removing: bool,
-    /// Declared again while the last runs of its former declaration end.
+    /// A new declaration under the same name, received while the former one's last runs end.
     pub(crate) successor: Option<Arc<job::Spec>>,
     /// The highest attempt of any of its tasks.
     pub(crate) highest: Attempt,
-    /// Why none of its tasks may start.
+    /// The reason why none of its tasks may start.
     pub(crate) parked: Option<String>,
-    /// Where it stands in the queue, if it does.
+    /// Its entry in the queue, if it has one.
     pub(crate) place: Option<Place>,
-    /// Tasks that are neither fresh nor ended for good.
+    /// Tasks that are neither fresh nor ended.
     pub(crate) live: BTreeMap<TaskIndex, Task>,
-    /// Those of `live` that wait for a worker.
+    /// The tasks in `live` that wait for a worker.
     pub(crate) queued: BTreeSet<TaskIndex>,
-    /// Tasks from here on that are in no other set are fresh: they wait for a worker.
+    /// Tasks from this index on that are in no other set are fresh: they wait for a first run.
     pub(crate) fresh: TaskIndex,
     pub(crate) done: Spans,
     pub(crate) cancelled: Spans,
-    /// Ends of runs that are not part of a batch yet.
+    /// Ends of runs that are not in a batch yet.
     pub(crate) pending: Vec<Pending>,
-    /// Batches in flight that hold its record.
+    /// Number of batches in flight that contain its record.
     pub(crate) writing: u32,
-    /// Runs on workers, older attempts included.
+    /// Number of its runs on workers, including those of older attempts.
     pub(crate) holds: u32,
-    /// Runs by rack.
+    /// Number of its runs by rack.
     pub(crate) racks: SmallVec<[u16; 8]>,
-    /// What its runs take together.
+    /// The sum of its runs' allocations.
     pub(crate) taken: Amount,
-    /// Whether its runs are counted as trial and batch work.
+    /// Whether its runs are counted as best-effort, which are those that must leave the reserve
+    /// free.
     pub(crate) low: bool,
-    /// Place of its team in the cell's table.
+    /// The index of its team in the cell's table.
     pub(crate) team: TeamIndex,
-    /// What its tasks were seen to take.
+    /// Measured usage of its tasks.
     pub(crate) size: Size,
-    /// What its next task is given; nothing while too little was seen.
+    /// The allocation of its next task; zero while there are too few measurements.
     pub(crate) amount: Amount,
-    /// How often its runs fail.
+    /// Failure statistics of its runs.
     pub(crate) score: Score,
-    /// Runs that failed since one completed.
+    /// Number of runs that failed since one completed.
     pub(crate) failures: u32,
     /// Workers on which it failed since one of its runs completed.
     pub(crate) failed_on: SmallVec<[WorkerId; 4]>,
-    /// It is parked because it fails wherever it runs.
+    /// Whether it is parked because it fails on every worker.
     pub(crate) broken: bool,
-    /// Attempts up to here belong to an earlier job of the same name.
+    /// Attempts up to this one belong to an earlier job of the same name.
     pub(crate) floor: Attempt,
 }
 
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Forgets all progress, for it is to be learnt anew from the store and the workers.
+    /// Clears all progress; it is loaded again from the store and the workers.
     pub(crate) fn reset(&mut self) {
         let fresh = Job::open(self.name.clone(), self.order);
         let spec = self.spec.take();
@@ -204,22 +205,23 @@
         self.spec.as_ref().map_or(0, |spec| spec.tasks)
     }
 
-    /// Tells whether no task of the job is to run any more.
+    /// Returns `true` if no task of the job should run any more.
     pub(crate) fn is_cancelled(&self) -> bool {
         self.gone || self.spec.as_ref().is_some_and(|spec| spec.cancelled)
     }
 
-    /// Tells whether a task is not to run any more; false for jobs that nobody declared yet.
+    /// Returns `true` if a task should not run any more; `false` for jobs that are not declared
+    /// yet.
     pub(crate) fn is_unwanted(&self, index: TaskIndex) -> bool {
         self.is_cancelled() || (self.spec.is_some() && index >= self.tasks())
     }
 
-    /// Tells whether a task ended for good.
+    /// Returns `true` if a task has completed or was cancelled.
     pub(crate) fn is_fated(&self, index: TaskIndex) -> bool {
         self.done.contains(index) || self.cancelled.contains(index)
     }
 
-    /// Finds the next task that waits for a worker.
+    /// Returns the next task that waits for a worker.
     pub(crate) fn next(&mut self) -> Option<TaskIndex> {
         if let Some(&index) = self.queued.first() {
             return Some(index);
@@ -245,7 +247,7 @@
         self.tasks().saturating_sub(ended + others)
     }
 
-    /// Returns the entry of a task, made if it has none.
+    /// Returns the entry of a task, creating it if there is none.
     pub(crate) fn entry(&mut self, index: TaskIndex) -> &mut Task {
         let floor = self.floor;
         self.live.entry(index).or_insert_with(|| {
@@ -254,18 +256,18 @@
         })
     }
 
-    /// Changes what a task with an entry waits for.
+    /// Sets the state of a task that has an entry.
     pub(crate) fn set(&mut self, index: TaskIndex, state: State) {
         if matches!(state, State::Queued) {
             self.queued.insert(index);
         } else {
             self.queued.remove(&index);
         }
-        let task = self.live.get_mut(&index).expect("only a live task changes its state");
+        let task = self.live.get_mut(&index).expect("only a task with an entry changes its state");
         task.state = state;
     }
 
-    /// Ends a task for good.
+    /// Records that a task has completed or was cancelled.
     pub(crate) fn finish(&mut self, index: TaskIndex, outcome: &Outcome) {
         self.queued.remove(&index);
         self.live.remove(&index);
@@ -273,12 +275,12 @@
             Outcome::Done => self.done.insert(index),
             Outcome::Cancelled => self.cancelled.insert(index),
             Outcome::Evicted | Outcome::Failed | Outcome::Park(_) => {
-                unreachable!("these don't end a task for good")
+                unreachable!("these outcomes are not terminal")
             }
         }
     }
 
-    /// Cancels every task from `from` on that is on no worker; returns how many.
+    /// Cancels every task from `from` on that is on no worker and returns their number.
     pub(crate) fn cancel_waiting(&mut self, from: TaskIndex, to: TaskIndex) -> u32 {
         let before = self.cancelled.len();
         let idle = |task: &Task| matches!(task.state, State::Queued | State::Parked(_));
@@ -295,7 +297,7 @@
         self.cancelled.len() - before
     }
 
-    /// Cancels the fresh tasks of a span at a cost by the gaps in it.
+    /// Cancels the fresh tasks of a span; the cost depends on the number of gaps in it.
     fn cancel_fresh(&mut self, from: TaskIndex, to: TaskIndex) {
         let mut start = from.max(self.fresh);
         while start < to {
@@ -315,7 +317,7 @@
         live.min(self.done.next(start)).min(self.cancelled.next(start))
     }
 
-    /// Tells whether nothing of the job is on a worker or on its way to the store.
+    /// Returns `true` if the job has no run on a worker and no pending write to the store.
     pub(crate) fn is_idle(&self) -> bool {
         self.holds == 0 && self.pending.is_empty() && self.writing == 0
     }
--- a/crates/cell/src/jobs.rs
+++ b/crates/cell/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Following the declared jobs, and cancelling.
+//! Job declarations, cancellation and removal.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,10 +20,10 @@
 use crate::record::Record;
 use crate::size::Size;
 
-/// How long runs and records of a job that nobody declared are kept, for its declaration to come.
+/// Time that an undeclared job's runs and records are kept while its declaration may still arrive.
 const STRANGER: Duration = Duration::from_secs(30);
 
-/// A job that was heard of and may never be declared.
+/// A job that is known from a worker or the store and may never be declared.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stranger {
     pub(crate) since: Time,
@@ -31,13 +31,13 @@
 }
 
 impl Cell {
-    /// Tells when the next job that nobody declared is to be given up.
+    /// Returns the time at which the next undeclared job is to be removed.
     pub(crate) fn stranger_due(&self) -> Option<Time> {
         let due = self.strangers.front().map(|stranger| stranger.since + STRANGER);
         due.filter(|_| self.ownership.is_ready())
     }
 
-    /// Finds a job by name; one that nobody declared yet gets an entry without a spec.
+    /// Returns a job by name; an unknown one gets an entry without a declaration.
     pub(crate) fn job(&mut self, name: &id::Job) -> JobId {
         if let Some(&id) = self.job_names.get(name) {
             return id;
@@ -84,7 +84,7 @@
         self.apply(id);
     }
 
-    /// Brings a job's tasks in line with what is declared.
+    /// Reconciles a job's tasks with its declaration.
     pub(crate) fn apply(&mut self, id: JobId) {
         if self.ownership.epoch().is_none() {
             return self.finish_job(id);
@@ -106,7 +106,7 @@
         self.finish_job(id);
     }
 
-    /// Brings all jobs in line, for what was declared while nobody owned the cell.
+    /// Reconciles all jobs, whose declarations may have changed while the cell was not owned.
     pub(crate) fn apply_all(&mut self) {
         let jobs: Vec<JobId> = self.jobs.iter().map(|(id, _)| id).collect();
         for id in jobs {
@@ -170,17 +170,19 @@
         }
     }
 
-    /// Has a job that is no longer declared looked at before the step ends.
+    /// Schedules a job for [`Cell::reap`] if it is no longer declared.
     pub(crate) fn finish_job(&mut self, id: JobId) {
         if self.jobs[id].gone {
             self.finishing.push(id);
         }
     }
 
-    /// Gives up jobs that nobody declared, and removes those of which nothing is left.
+    /// Cancels jobs that were not declared in time and removes those without runs and pending
+    /// writes.
     ///
-    /// Not while the cell is fencing: a worker that we have not reached yet may still run such a
-    /// job's tasks, and without the record its declaration would start ended ones again.
+    /// Does nothing while the cell is fencing: a worker that has not been reached yet may still run
+    /// such a job's tasks, and without the record a later declaration would start ended tasks
+    /// again.
     pub(crate) fn reap(&mut self) {
         if matches!(self.ownership, Ownership::Fencing(_)) {
             return;
@@ -213,19 +215,20 @@
         self.jobs[id].removing = true;
     }
 
-    /// Forgets a job whose record is gone, and takes in the one declared anew under its name.
+    /// Drops a job whose record was removed and declares its successor under the same name.
     ///
-    /// Not before: a next owner would take the old record for the new job's.
+    /// The successor waits until then because a later owner would take the old record for its own.
     pub(crate) fn removed(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.removing = false;
         if !job.is_idle() {
-            // A run of it was found on a worker meanwhile; its end comes first.
+            // A run of it was found on a worker in the meantime and has to end first.
             return;
         }
         let name = job.name.clone();
         let successor = job.successor.clone();
-        // A worker that was waited out may bring what a former owner started and we never saw.
+        // A worker whose lease was waited out may return with a run of a former owner that was
+        // never seen here.
         let epoch = self.ownership.epoch().expect("only an owner removes records");
         let floor = job.highest.max(first_attempt(epoch).saturating_sub(1));
         self.floors.insert(name.clone(), floor);
--- a/crates/cell/src/lease.rs
+++ b/crates/cell/src/lease.rs
@@ -1,21 +1,21 @@
-//! How long a worker may go on by itself.
+//! Expiry of the leases by which workers run tasks.
 //!
-//! A worker runs tasks until `stamp + valid` on its own clock. The owner read `stamp` in a report
-//! that it received at some time of its own clock, and the worker had read its clock before that.
-//! So by `received + valid`, plus what two clocks may drift apart, the lease has surely lapsed,
-//! however late the grant arrived. All reckoning is from a time of receipt and never from a time
-//! of sending: an owner that was paused has received later than it thinks, which only adds wait.
+//! A worker runs tasks until `stamp + valid` on its own clock. The owner took `stamp` from a report
+//! that it received at `received` on its own clock, and the worker had read its clock before that.
+//! So by `received + valid`, plus the maximum clock drift, the lease has expired, however late the
+//! grant arrived. The expiry is computed from the time of receipt and never from a time of sending:
+//! a pause of the owner can only make `received` later, which lengthens the wait.
 
 use std::time::Duration;
 
 use cowslipchute_base::id::Time;
 
-/// How far two monotonic clocks may drift apart, in thousandths.
+/// Maximum relative drift of two monotonic clocks, in thousandths.
 const DRIFT_PERMILLE: u32 = 20;
-/// Granularity of the clocks and of messages in whole milliseconds.
+/// Margin for the granularity of the clocks and of messages, which carry whole milliseconds.
 const GRAIN: Duration = Duration::from_millis(100);
 
-/// Tells when a lease has surely lapsed whose stamp was received at `received`.
+/// Returns the time by which a lease has expired whose stamp was received at `received`.
 pub(crate) fn lapse(received: Time, valid: Duration) -> Time {
     received + valid + valid * DRIFT_PERMILLE / 1000 + GRAIN
 }
--- a/crates/cell/src/ledger.rs
+++ b/crates/cell/src/ledger.rs
@@ -1,7 +1,7 @@
-//! Writing what must outlive the workers, in batches.
+//! Batched writes of the state that must outlive the workers.
 //!
-//! A batch holds the whole new record of each job that changed, so it may be applied twice. One is
-//! in flight at a time; what changes meanwhile goes into the next.
+//! A batch holds the complete new record of each job that changed, so applying it is idempotent.
+//! One batch is in flight at a time; later changes go into the next one.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,15 +17,15 @@
 use crate::job::Pending;
 use crate::worker::WorkerId;
 
-/// Least time between two batches: a cell spends at most five store writes a second.
+/// Minimum time between two batches, which limits a cell to five store writes a second.
 const INTERVAL: Duration = Duration::from_millis(200);
-/// Most records in one batch; the store bounds the operations of a transaction.
+/// Maximum number of records in a batch; the store limits the operations of a transaction.
 const RECORDS_MAX: usize = 64;
-/// Bytes of records after which a batch takes no more.
+/// Estimated size of a batch at which no further record is added.
 const BYTES_MAX: usize = 512 * 1024;
-/// Rough bytes of one task in a record.
+/// Estimated bytes of one task in a record.
 const TASK_BYTES: usize = 128;
-/// Rough bytes of one span in a record.
+/// Estimated bytes of one span in a record.
 const SPAN_BYTES: usize = 32;
 
 /// A job's part of a batch.
@@ -44,27 +44,28 @@
 #[derive(Debug)]
 struct Batch {
     number: u64,
-    /// The version of the list in it and the longest lease, if it has them.
+    /// The list version and the longest lease in it, if it contains that record.
     census: Option<Counted>,
     parts: Vec<Part>,
     removed: Vec<JobId>,
 }
 
-/// What is to be written and what is being written.
+/// The pending writes and the batch in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     dirty: BTreeSet<JobId>,
     removed: Vec<JobId>,
     batch: Option<Batch>,
     number: u64,
-    /// When the next batch may go.
+    /// The earliest time of the next batch.
     quiet: Time,
-    /// Whether the last batch could not be settled: the cell goes on without the store.
+    /// Whether the last batch failed or its outcome is unknown; the cell continues without the
+    /// store.
     pub(crate) isolated: bool,
 }
 
 impl Ledger {
-    /// Has a job's record written.
+    /// Marks a job's record to be written.
     pub(crate) fn mark(&mut self, job: JobId) {
         self.dirty.insert(job);
     }
@@ -73,7 +74,7 @@
         self.dirty.remove(&job);
     }
 
-    /// Has a job's record removed.
+    /// Marks a job's record to be removed.
     pub(crate) fn remove(&mut self, job: JobId) {
         self.removed.push(job);
     }
@@ -82,7 +83,8 @@
         *self = Ledger { number: self.number, ..Ledger::default() };
     }
 
-    /// Tells whether a result that a worker keeps is to be written or being written.
+    /// Returns `true` if the result of a run that a worker retains is waiting to be written or
+    /// being written.
     pub(crate) fn keeps(&self, job: &Job, worker: WorkerId, key: Key) -> bool {
         self.has(job, key, |pending| {
             pending.attempt == key.attempt
@@ -90,7 +92,7 @@
         })
     }
 
-    /// Tells whether the end of any run of a task is to be written or being written.
+    /// Returns `true` if the end of any run of a task is waiting to be written or being written.
     pub(crate) fn writes(&self, job: &Job, key: Key) -> bool {
         self.has(job, key, |_| true)
     }
@@ -104,7 +106,7 @@
 }
 
 impl Cell {
-    /// Tells when a batch is due.
+    /// Returns the time at which a batch is due, if there is anything to write.
     pub(crate) fn ledger_due(&self) -> Option<Time> {
         let ledger = &self.ledger;
         let idle = ledger.dirty.is_empty() && ledger.removed.is_empty() && !self.census.stale;
@@ -154,7 +156,7 @@
         Some(batch)
     }
 
-    /// Learns that a batch is in the store.
+    /// Handles a batch that was stored.
     pub(crate) fn recorded(&mut self, number: u64) {
         let Some(batch) = self.landed(number) else { return };
         self.ledger.isolated = false;
@@ -174,7 +176,7 @@
         self.note_cell(Number::RecordWritten, format!("batch {number} of {records} records"));
     }
 
-    /// Learns that a batch has to be written again.
+    /// Handles a batch that has to be written again.
     pub(crate) fn record_failed(&mut self, number: u64) {
         let Some(batch) = self.landed(number) else { return };
         for part in batch.parts {
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decisions about tasks in one cell: ownership, placement, leases, relief, recovery.
+//! The task scheduler of one cell: ownership, placement, leases, interference mitigation, recovery.
 //!
-//! A cell is a failure domain's workers, or a slice of them by rack. [`cell::Cell`] has one door:
-//! an [`event::Event`] and the time go in, [`action::Action`]s come out. It does no I/O, reads no
-//! clock and draws randomness only from its seed. The workers' inventories, not the store, say
-//! what runs; the store holds only what must outlive a worker: jobs, completions, checkpoints.
+//! A cell is the workers of a failure domain, or of some of its racks. [`cell::Cell`] is a
+//! deterministic state machine: each step takes an [`event::Event`] and the time and returns
+//! [`action::Action`]s. It does no I/O, reads no clock and draws randomness only from its seed. The
+//! workers' inventories, not the store, are authoritative for what runs; the store holds only what
+//! must outlive a worker: jobs, completions, checkpoints.
 
 pub mod action;
 pub mod cell;
--- a/crates/cell/src/life.rs
+++ b/crates/cell/src/life.rs
@@ -1,32 +1,32 @@
-//! Life cycles as types: a change that is not written here can't be made.
+//! Lifecycles of runs and of cell ownership, as types: only the transitions defined here compile.
 //!
-//! `docs/design/tasks.md` draws them.
+//! See the state diagrams in `docs/design/tasks.md`.
 
 use cowslipchute_base::id::Epoch;
 use cowslipchute_base::id::Time;
 
 use crate::event::Former;
 
-/// A start was decided; the worker has not confirmed it, so the run is maybe running.
+/// The run was placed, but the worker has not confirmed it, so it may be running.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Starting;
 
-/// The worker confirmed that it runs.
+/// The worker has confirmed that the run is active.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Running;
 
-/// It runs with a share of its processors.
+/// The run is limited to a share of its processors.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Throttled {
     /// The share in thousandths.
     pub(crate) permille: u16,
 }
 
-/// It is to be checkpointed and ended.
+/// The run is to be checkpointed and ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Evicting;
 
-/// It is to be ended without keeping anything.
+/// The run is to be ended without a checkpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stopping;
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// How far a run is, as its owner means it to be.
+/// The lifecycle state of a run as intended by the owner.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Life {
     Starting(Starting),
@@ -85,7 +85,7 @@
 }
 
 impl Life {
-    /// The worker holds the run.
+    /// Records that the worker has confirmed the run.
     pub(crate) fn confirm(self) -> Life {
         match self {
             Life::Starting(starting) => Life::Running(starting.confirm()),
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Ends the run without keeping anything, which overrides a checkpoint in progress.
+    /// Ends the run without a checkpoint, which overrides a checkpoint in progress.
     pub(crate) fn stop(self) -> Life {
         Life::Stopping(match self {
             Life::Starting(starting) => starting.stop(),
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Checkpoints and ends the run; nothing while it can't be evicted.
+    /// Checkpoints and ends the run; returns `None` if it can't be evicted in this state.
     pub(crate) fn evict(self) -> Option<Life> {
         match self {
             Life::Running(running) => Some(Life::Evicting(running.evict())),
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Gives the run a share of its processors, or all; nothing while it can't be throttled.
+    /// Sets the run's share of its processors; returns `None` if it can't be throttled in this
+    /// state.
     pub(crate) fn throttle(self, permille: u16) -> Option<Life> {
         let running = match self {
             Life::Running(running) => running,
@@ -126,12 +127,12 @@
         Some(Life::Throttled(running.throttle(permille)))
     }
 
-    /// Tells whether the run is meant to end.
+    /// Returns `true` if the run is to end.
     pub(crate) fn is_ending(self) -> bool {
         matches!(self, Life::Evicting(_) | Life::Stopping(_))
     }
 
-    /// Returns the share of its processors that the run is meant to have.
+    /// Returns the intended share of the run's processors, in thousandths.
     pub(crate) fn permille(self) -> u16 {
         match self {
             Life::Throttled(throttled) => throttled.permille,
@@ -140,14 +141,14 @@
     }
 }
 
-/// All of a run's processors.
+/// The share, in thousandths, of a run that is not throttled.
 pub(crate) const FULL_PERMILLE: u16 = 1000;
 
-/// Nobody, or somebody else, owns the cell.
+/// The cell has no owner or another one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Unowned;
 
-/// The cell is ours, but a worker may still run what a former owner started.
+/// We own the cell, but a worker may still have runs of a former owner that we don't know of.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fencing {
     pub(crate) epoch: Epoch,
@@ -155,7 +156,7 @@
     pub(crate) former: Former,
 }
 
-/// The cell is ours and every run in it is known or surely over.
+/// We own the cell, and every run in it is known or certain to have ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ready {
     pub(crate) epoch: Epoch,
@@ -173,7 +174,7 @@
     }
 }
 
-/// Whose the cell is.
+/// The ownership state of the cell.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Ownership {
     Unowned(Unowned),
@@ -182,7 +183,7 @@
 }
 
 impl Ownership {
-    /// Returns the epoch of our ownership.
+    /// Returns the epoch of our ownership, if we own the cell.
     pub(crate) fn epoch(self) -> Option<Epoch> {
         match self {
             Ownership::Unowned(_) => None,
--- a/crates/cell/src/listing.rs
+++ b/crates/cell/src/listing.rs
@@ -1,4 +1,4 @@
-//! Following the platform's list of workers.
+//! Updates from the platform's list of workers.
 
 use std::collections::HashSet;
 
@@ -20,7 +20,7 @@
 use crate::worker::WorkerId;
 
 impl Cell {
-    /// Takes in a newer list: a worker that is listed no more has been ended by the platform.
+    /// Applies a list; a worker that is no longer listed has been ended by the platform.
     pub(crate) fn list(&mut self, view: &View) {
         if view.version < self.view {
             return;
@@ -118,7 +118,7 @@
     }
 
     fn remove_worker(&mut self, id: WorkerId) {
-        self.lose_runs(id, "its worker is gone from the list");
+        self.lose_runs(id, "its worker is no longer listed");
         if let Some(time) = self.workers[id].timer.take() {
             self.timers.remove(&(time, id));
         }
@@ -130,13 +130,14 @@
         }
         self.forget_free(id);
         if self.ownership.epoch().is_some() {
-            self.note(Number::WorkerGone, &worker.name, "the platform lists it no more");
+            self.note(Number::WorkerGone, &worker.name, "the platform no longer lists it");
         }
     }
 
-    /// A new life of a worker holds nothing of the old one, but another owner may have used it.
+    /// Replaces a worker by a new incarnation, which has no runs of the old one but may have runs
+    /// of another owner.
     pub(crate) fn restart_worker(&mut self, id: WorkerId, incarnation: id::Incarnation) {
-        self.lose_runs(id, "its worker was replaced");
+        self.lose_runs(id, "its worker was restarted");
         let now = self.now;
         let worker = &mut self.workers[id];
         worker.retired.push(worker.incarnation);
--- a/crates/cell/src/outcome.rs
+++ b/crates/cell/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of a run means for its task.
+//! Ends of runs and their effects on the tasks.
 
 use cowslipchute_base::event::Event as Number;
 use cowslipchute_base::id;
@@ -16,7 +16,7 @@
 use crate::worker::WorkerId;
 
 impl Cell {
-    /// Takes the result of a task's own run. The worker keeps it until the store has it.
+    /// Handles the result of a task's current run. The worker retains it until the store has it.
     pub(crate) fn end_run(&mut self, id: WorkerId, key: Key, phase: &Phase, linger: Time) {
         let unwanted = self.jobs[key.job].is_unwanted(key.task);
         let task = self.jobs[key.job].entry(key.task);
@@ -27,7 +27,7 @@
                 Outcome::Done
             }
             Phase::Evicted { checkpoint } => {
-                // Nothing new may have been worth keeping; what it resumed from still is.
+                // Without a new checkpoint, the one that the run resumed from remains valid.
                 let kept = checkpoint.clone().or(task.checkpoint.take());
                 task.checkpoint = kept;
                 Outcome::Evicted
@@ -68,7 +68,7 @@
         Outcome::Park(format!("{failures} runs failed, the last with: {reason}"))
     }
 
-    /// Has the end of a run written; the task waits for that.
+    /// Marks the end of a run to be written; the task waits until it is stored.
     fn keep(&mut self, key: Key, outcome: Outcome, keeper: Option<Keeper>) {
         let job = &mut self.jobs[key.job];
         job.set(key.task, State::Settling(outcome));
@@ -76,7 +76,7 @@
         self.ledger.mark(key.job);
     }
 
-    /// Ends a run of which nothing was kept, on a worker that surely no longer runs it.
+    /// Ends a run that left no result, on a worker that certainly no longer runs it.
     pub(crate) fn end_quietly(&mut self, id: WorkerId, hold: &Hold) {
         let key = Key { job: hold.job, task: hold.task, attempt: hold.attempt };
         let job = &mut self.jobs[key.job];
@@ -84,7 +84,7 @@
             .live
             .get(&key.task)
             .is_some_and(|task| matches!(task.state, State::Placed(worker) if worker == id));
-        // The task may have a newer run on the same worker.
+        // The task may have another run on the same worker.
         let again = self
             .workers
             .get(id)
@@ -103,8 +103,8 @@
         self.wait_again(key);
     }
 
-    /// Lets a task wait for a worker again, unless an earlier run's end is not in the store yet:
-    /// nothing resumes from a checkpoint that the store doesn't have.
+    /// Requeues a task, but only after an earlier run's end is stored: no run resumes from a
+    /// checkpoint that the store doesn't have.
     fn wait_again(&mut self, key: Key) {
         if self.ledger.writes(&self.jobs[key.job], key) {
             return self.keep(key, Outcome::Evicted, None);
@@ -112,13 +112,13 @@
         self.requeue(key);
     }
 
-    /// Lets a task wait for a worker again.
+    /// Requeues a task.
     pub(crate) fn requeue(&mut self, key: Key) {
         self.jobs[key.job].set(key.task, State::Queued);
         self.enqueue(key.job);
     }
 
-    /// Draws the consequence of a result that the store has.
+    /// Applies the outcome of a run whose end is now stored.
     pub(crate) fn settled(&mut self, job: crate::job::JobId, pending: &Pending) {
         let key = Key { job, task: pending.task, attempt: pending.attempt };
         if let Some(keeper) = pending.keeper
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Taking, readying and losing the cell.
+//! Acquiring a cell's ownership, fencing its workers and losing the ownership.
 
 use cowslipchute_base::event::Event as Number;
 use cowslipchute_base::id::Epoch;
@@ -15,7 +15,8 @@
 use crate::worker::WorkerId;
 
 impl Cell {
-    /// Starts over from the store's records; what runs is learnt from the workers.
+    /// Takes the ownership and rebuilds the state from the stored records; the workers' inventories
+    /// add what runs.
     pub(crate) fn own(&mut self, epoch: Epoch, former: Former, records: &[Record]) {
         if self.ownership.epoch().is_some_and(|held| held >= epoch) {
             return;
@@ -33,7 +34,8 @@
 
     pub(crate) fn learn_former(&mut self, former: Former) {
         if let Ownership::Fencing(fencing) = &mut self.ownership {
-            // It may have granted leases up to now: what is learnt late is waited for from now on.
+            // The former owner may have granted leases until now, so their expiry is counted from
+            // now.
             *fencing = Fencing { former, since: self.now, ..*fencing };
             self.fencing_changed = true;
             self.retime_all();
@@ -49,7 +51,7 @@
         self.note_cell(Number::CellLost, reason);
     }
 
-    /// Drops all that an ownership knew; what operators and the platform said stays.
+    /// Clears the state that belongs to an ownership; declarations, policy and worker list stay.
     fn clear(&mut self) {
         self.ledger.clear();
         self.timers.clear();
@@ -73,7 +75,8 @@
         self.rooms.fill(Default::default());
     }
 
-    /// Tells when every grant of the former owner has surely lapsed, if time alone tells it.
+    /// Returns the time by which all leases granted by the former owner have expired, or `None` if
+    /// it may still be renewing them.
     pub(crate) fn former_lapse(&self) -> Option<Time> {
         match self.ownership {
             Ownership::Fencing(fencing) if fencing.former != Former::Unheard => {
@@ -83,13 +86,14 @@
         }
     }
 
-    /// Lets unclaimed tasks start once every run in the cell is known or surely over.
+    /// Makes the cell ready, so that queued tasks may start, once every run in it is known or
+    /// certain to have ended.
     pub(crate) fn check_ready(&mut self) {
         if !std::mem::take(&mut self.fencing_changed) {
             return;
         }
         let Ownership::Fencing(fencing) = self.ownership else { return };
-        // Without a list as new as the former owner's we don't know which workers it used.
+        // A list older than the former owner's may lack workers that it used.
         let lags = self.view == 0 || self.view < self.census.stored;
         if lags || self.workers.iter().any(|(_, w)| w.fence == Fence::Unfenced) {
             return;
--- a/crates/cell/src/place.rs
+++ b/crates/cell/src/place.rs
@@ -1,4 +1,4 @@
-//! Starting waiting tasks on workers that have room.
+//! Placement of waiting tasks on workers with free capacity.
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::event::Event as Number;
@@ -13,30 +13,30 @@
 use crate::queue::Place;
 use crate::worker::WorkerId;
 
-/// Most jobs tried on a worker that got free.
+/// Maximum number of blocked jobs tried on a worker that has freed capacity.
 const TRIES: usize = 32;
-/// Slowdown of paying tasks, in thousandths, up to which a job counts as harmless to them.
+/// Predicted slowdown of paying tasks, in thousandths, up to which a job counts as harmless.
 const HARMLESS: f32 = 3.0;
-/// Most starts decided in one step, so that a step stays short; the rest follows with the next.
+/// Maximum number of placements tried in one step, which bounds its time; the next step continues.
 const STARTS_MAX: u32 = 1000;
-/// Bits of an attempt that count runs under one epoch.
+/// Number of low bits of an attempt that count runs under one epoch.
 const ATTEMPT_BITS: u32 = 10;
 
-/// Why a job's tasks go on waiting.
+/// The reason why the placement of a job's tasks stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Wait {
-    /// None waits.
+    /// No task waits any more.
     Over,
-    /// No worker has room.
+    /// No worker has enough free capacity.
     Room,
-    /// Its team has used up its share.
+    /// The team's share is used up.
     Share,
-    /// The step has decided enough.
+    /// The step has reached its limit of placements.
     Turn,
 }
 
 impl Cell {
-    /// Starts what can start.
+    /// Starts the waiting tasks that can start.
     pub(crate) fn place(&mut self) {
         if !self.ownership.is_ready() {
             return;
@@ -62,12 +62,12 @@
         self.queue.freed = freed;
     }
 
-    /// Tells whether waiting tasks were put off to the next step.
+    /// Returns `true` if waiting tasks were deferred to the next step.
     pub(crate) fn has_more(&self) -> bool {
         self.ownership.is_ready() && !self.queue.open.is_empty()
     }
 
-    /// Places a job's tasks until none waits or none can start.
+    /// Places a job's tasks until none waits or none can start, and returns why it stopped.
     fn place_job(&mut self, place: Place, left: &mut u32) -> Wait {
         let id = place.job;
         while let Some(task) = self.jobs[id].next() {
@@ -92,14 +92,14 @@
         Wait::Over
     }
 
-    /// Offers what a worker has free to the jobs that found no room before.
+    /// Offers a worker's free capacity to blocked jobs.
     fn fill(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get(id) else { return };
         if !self.is_eligible(worker) {
             return;
         }
         let places: Vec<Place> = self.queue.blocked.iter().take(TRIES).copied().collect();
-        // First what is not known to slow the paying tasks there, then what they can bear.
+        // Tries jobs that are predicted harmless to the paying tasks there before all others.
         for harm in [HARMLESS, f32::INFINITY] {
             for &place in &places {
                 self.fill_from(id, place, harm);
@@ -151,15 +151,15 @@
     }
 }
 
-/// Returns an attempt above `last` that no other owner has given or will give.
+/// Returns an attempt above `last` that no other owner has assigned or will assign.
 ///
-/// The epoch stands in the upper bits, so that an attempt which a former owner gave and which we
-/// could not see is lower, and needs no write to be so.
+/// The epoch is in the upper bits, so any attempt that a former owner assigned without our
+/// knowledge is lower, and no write is needed before a start.
 fn next_attempt(last: Attempt, epoch: Epoch) -> Attempt {
     last.saturating_add(1).max(first_attempt(epoch))
 }
 
-/// Returns the attempt below which are all that owners of lower epochs gave.
+/// Returns the lowest attempt of an epoch; owners of lower epochs assigned lower ones.
 pub(crate) fn first_attempt(epoch: Epoch) -> Attempt {
     let low = u64::from(u32::MAX >> ATTEMPT_BITS);
     (epoch.min(low) as Attempt) << ATTEMPT_BITS
--- a/crates/cell/src/queue.rs
+++ b/crates/cell/src/queue.rs
@@ -1,4 +1,4 @@
-//! Jobs with waiting tasks, in the order in which they are served.
+//! The queue of jobs with waiting tasks, in the order in which they are placed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use crate::job::JobId;
 use crate::worker::WorkerId;
 
-/// A waiting job's place in the queue.
+/// A waiting job's entry in the queue, ordered by priority and arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Place {
-    /// Urgent jobs come first, then classes in their order.
+    /// The priority: urgent jobs first, then by class.
     rank: u8,
     order: u64,
     pub(crate) job: JobId,
@@ -23,30 +23,30 @@
 const URGENT: u8 = 0;
 /// The rank of paying jobs.
 const PAYING: u8 = 1;
-/// Time between two tries of all jobs that found no worker.
+/// Interval at which all blocked jobs are tried again.
 const REVISIT: Duration = Duration::from_secs(30);
 
 impl Place {
-    /// Tells whether trial and batch runs give way to the job.
+    /// Returns `true` if the job may preempt trial and batch runs.
     pub(crate) fn may_preempt(self) -> bool {
         self.rank <= PAYING
     }
 }
 
-/// Jobs with waiting tasks.
+/// The queue of jobs with waiting tasks.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    /// Those that may find a worker.
+    /// Jobs to be tried in the next placement.
     pub(crate) open: BTreeSet<Place>,
-    /// Those that found none; they are tried on workers that get free.
+    /// Jobs that found no worker; they are tried on workers that free capacity.
     pub(crate) blocked: BTreeSet<Place>,
-    /// Those whose team has used up its share.
+    /// Jobs whose team has used up its share.
     pub(crate) capped: BTreeSet<Place>,
-    /// When those that may preempt were last tried again.
+    /// The time at which blocked jobs that may preempt were last tried again.
     pub(crate) urged: Time,
-    /// Workers that may take more than before.
+    /// Workers that may have more free capacity than before.
     pub(crate) freed: Vec<WorkerId>,
-    /// When those that found none are next tried again on all workers.
+    /// The time at which blocked jobs are next tried again on all workers.
     pub(crate) revisit: Time,
 }
 
@@ -74,7 +74,7 @@
         Place { rank, order: job.order, job: id }
     }
 
-    /// Has a job's waiting tasks placed.
+    /// Queues a job for placement if it has waiting tasks.
     pub(crate) fn enqueue(&mut self, id: JobId) {
         self.dequeue(id);
         let job = &self.jobs[id];
@@ -86,8 +86,8 @@
         self.queue.open.insert(place);
     }
 
-    /// Has every waiting job tried again once in a while: one that waits for a first measurement
-    /// beside paying tasks is told by nobody that there will be none.
+    /// Tries all blocked jobs again at an interval: a job that waits for a first measurement beside
+    /// paying tasks gets no event if that measurement never comes.
     pub(crate) fn revisit(&mut self) {
         if self.now < self.queue.revisit {
             return;
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Tells that a worker may take more than before.
+    /// Records that a worker may have more free capacity than before.
     pub(crate) fn mark(&mut self, id: WorkerId) {
         if self.queue.freed.last() != Some(&id) {
             self.queue.freed.push(id);
--- a/crates/cell/src/quota.rs
+++ b/crates/cell/src/quota.rs
@@ -1,7 +1,7 @@
-//! Teams' shares of this cell.
+//! Teams' shares of their quotas in this cell.
 //!
-//! The shares of a quota over failure domains never sum to more than the quota, so a cut-off cell
-//! holds to its share without asking anybody.
+//! The shares of a quota over all failure domains never exceed the quota in sum, so a partitioned
+//! cell can enforce its share locally.
 
 use std::collections::HashMap;
 
@@ -12,20 +12,20 @@
 use crate::job::JobId;
 use crate::queue::Place;
 
-/// What one team may take and takes.
+/// The share and usage of one team.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Team {
-    /// The most that it may take; nothing means no limit.
+    /// The most that it may use; `None` means no limit.
     share: Option<Amount>,
     pub(crate) used: Amount,
-    /// It may take more than when its jobs were last tried.
+    /// Whether it may use more than when its jobs were last tried.
     pub(crate) freed: bool,
 }
 
-/// Place of a team in the cell's table.
+/// The index of a team in the cell's table.
 pub(crate) type TeamIndex = usize;
 
-/// Finds teams by name.
+/// An index of teams by name.
 #[derive(Debug, Default)]
 pub(crate) struct TeamNames(HashMap<id::Team, TeamIndex>);
 
@@ -46,7 +46,7 @@
         self.teams[index].freed = true;
     }
 
-    /// Counts a job against the team that its declaration names.
+    /// Moves a job's usage to the team that its declaration names.
     pub(crate) fn join(&mut self, id: JobId) {
         let Some(spec) = self.jobs[id].spec.clone() else { return };
         let index = self.team(&spec.team);
@@ -58,13 +58,13 @@
         self.teams[index].used = self.teams[index].used.plus(taken);
     }
 
-    /// Tells whether one more task of a job stays within its team's share.
+    /// Returns `true` if one more task of a job stays within its team's share.
     pub(crate) fn is_allowed(&self, id: JobId, amount: Amount) -> bool {
         let team = &self.teams[self.jobs[id].team];
         team.share.is_none_or(|share| team.used.plus(amount).fits(share))
     }
 
-    /// Has jobs tried again whose team may take more than before.
+    /// Reopens the queue entries of jobs whose team may use more than before.
     pub(crate) fn uncap(&mut self) {
         if self.queue.capped.is_empty() || !self.teams.iter().any(|team| team.freed) {
             return;
--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -1,8 +1,8 @@
-//! What the store holds about a job's tasks in one cell.
+//! The stored state of a job's tasks in one cell.
 //!
-//! A record has no entry for a task that is merely queued or running for the first time: it is
-//! linear in what must outlive the workers, and it is written in batches. Tasks that ended for
-//! good are kept as spans, so that a finished job of any size takes a few bytes.
+//! A record has no entry for a task that is queued or running for the first time, so its size
+//! depends only on the state that must outlive the workers. Tasks that have ended are stored as
+//! spans, so that a finished job of any size takes a few bytes.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use serde::Serialize;
 use serde_with::serde_as;
 
-/// How a task ended for good.
+/// The terminal state of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -21,30 +21,30 @@
     Done,
     /// It was cancelled.
     Cancelled,
-    /// It can't run; the reason is given. An operator may change the job to try again.
+    /// It can't run. Changing the job's declaration makes it runnable again.
     Parked {
-        /// Why.
+        /// The reason.
         reason: String,
     },
 }
 
-/// What the store holds about one task.
+/// The stored state of one task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Task {
-    /// The task within its job.
+    /// The task's index within its job.
     pub index: id::TaskIndex,
-    /// The highest attempt whose end is known; a higher one may be running.
+    /// The highest attempt that is known to have ended; a higher one may be running.
     pub attempt: id::Attempt,
-    /// Where that attempt is to be resumed from.
+    /// The checkpoint from which the next attempt resumes.
     pub checkpoint: Option<id::Checkpoint>,
-    /// Runs that failed by the task's own fault.
+    /// Number of failed runs that count against the task.
     pub failures: u32,
-    /// How it ended, if it did.
+    /// Its terminal state, if it has reached one.
     pub fate: Option<Fate>,
 }
 
-/// Neighbouring tasks with the same fate.
+/// A range of consecutive tasks with the same terminal state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Span {
@@ -54,14 +54,14 @@
     pub end: id::TaskIndex,
 }
 
-/// What the store holds about a job's tasks in one cell.
+/// The stored state of a job's tasks in one cell.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Record {
     /// The job.
     pub job: id::Job,
-    /// The tasks of which anything has to be kept, by rising index; those of the spans left out.
+    /// The tasks that need an entry of their own, in ascending order; those in the spans have none.
     pub tasks: Vec<Task>,
     /// The tasks that completed.
     #[serde(default)]
@@ -69,12 +69,12 @@
     /// The tasks that were cancelled.
     #[serde(default)]
     pub cancelled: Vec<Span>,
-    /// In the record named [`crate::census::LIST`], the version of the list of workers that the
-    /// owner uses; zero in a job's record.
+    /// In the record named [`crate::census::LIST`], the version of the worker list that the owner
+    /// uses; zero in a job's record.
     #[serde(default)]
     pub view: u64,
     /// In the record named [`crate::census::LIST`], the longest lease that any owner may have
-    /// granted and that may still last, in milliseconds; zero in a job's record.
+    /// granted and that may not have expired yet, in milliseconds; zero in a job's record.
     #[serde_as(as = "Millis")]
     #[serde(default, skip_serializing_if = "Duration::is_zero")]
     pub lease: Duration,
--- a/crates/cell/src/relief.rs
+++ b/crates/cell/src/relief.rs
@@ -1,7 +1,8 @@
-//! Relief for paying tasks that their neighbours slow down: throttle first, evict last.
+//! Mitigation of interference with paying tasks: throttles their neighbours and evicts as a last
+//! resort.
 //!
-//! Measurements lag, so one round of relief waits until a measurement taken after it says whether
-//! it was enough. Throttles are lifted slowly and only while the estimates expect no harm.
+//! Measurements lag, so after each round the next one waits for a measurement taken since then.
+//! Throttles are lifted step by step and only while the model predicts no excessive slowdown.
 
 use std::time::Duration;
 
@@ -20,45 +21,46 @@
 use crate::worker::Hold;
 use crate::worker::WorkerId;
 
-/// The least share of its processors that a throttled run keeps, in thousandths.
+/// Minimum share of its processors that a throttled run keeps, in thousandths.
 const SHARE_MIN: u16 = 250;
-/// How long a command takes to show in a measurement.
+/// Time until a command affects measurements.
 const SETTLE: Duration = Duration::from_millis(500);
-/// Measurements in a row above the limit that start relief.
+/// Number of consecutive measurements above the limit that start a mitigation.
 const OVER_MIN: u32 = 2;
-/// A slowdown so many times over what is allowed starts relief at once.
+/// Multiple of the allowed increase of run time above which one measurement starts a mitigation.
 const SEVERE: u32 = 3;
-/// How long paying tasks have to be fast before a throttle is lifted by one step.
+/// Time without a mitigation before throttles are lifted by one step.
 const CALM: Duration = Duration::from_secs(20);
-/// How long an old measurement says something about a worker.
+/// Maximum age of a measurement that is used for placement.
 const FRESH: Duration = Duration::from_secs(60);
-/// Relief aimed at, as a multiple of what is needed now: load shifts while measurements lag.
+/// Targeted reduction as a multiple of the excess slowdown: load shifts while measurements lag.
 const MARGIN: f32 = 1.5;
-/// Least blame, in thousandths of slowdown, for which a run is throttled or evicted.
+/// Minimum estimated effect, in thousandths of slowdown, for which a run is throttled or evicted.
 const BLAME_MIN: f32 = 1.0;
-/// Thousandths of slowdown over the limit for which an eviction is worth it at equal weights.
+/// Excess slowdown, in thousandths, from which an eviction is worth its cost at equal weights.
 const EVICT_OVER: f64 = 5.0;
 
-/// Part of the allowed slowdown up to which batch is placed if latency weighs far above throughput.
+/// Minimum part of the allowed slowdown up to which trial and batch tasks are placed, however far
+/// the policy weighs latency above throughput.
 const FILL_MIN: f32 = 0.7;
 
-/// Least number of a job's runs up to which it starts beside paying tasks it was not measured with.
+/// Minimum number of a job's runs that may start beside paying tasks that it was not measured with.
 const PROBES_MIN: u32 = 4;
-/// Part of a job's tasks, as a divisor, that may run so.
+/// Divisor of a job's number of tasks that gives the same limit for large jobs.
 const PROBES_PART: u32 = 20;
 
-/// A paying run that needs relief.
+/// A paying job with a run that is slowed too much.
 #[derive(Clone, Copy, Debug)]
 struct Victim {
     job: JobId,
-    /// Thousandths of slowdown above what is allowed.
+    /// The excess over the allowed slowdown, in thousandths.
     over: u32,
-    /// When that was measured; who came later has no part in it.
+    /// The time of the measurement; runs that started later did not contribute to it.
     at: Time,
 }
 
 impl Cell {
-    /// Relieves the slowest paying task of a worker, or lifts a throttle if all are fast.
+    /// Mitigates the worst excess slowdown on a worker, or lifts throttles if there is none.
     pub(crate) fn relieve(&mut self, id: WorkerId) {
         if !self.policy.guard || self.workers[id].holds.is_empty() {
             return;
@@ -86,8 +88,8 @@
         worst
     }
 
-    /// Throttles those to blame, greatest first, until that should be enough; evicts one if none
-    /// is left to throttle.
+    /// Throttles the runs with the largest effect until the predicted reduction is sufficient;
+    /// evicts one run if none can be throttled.
     fn press(&mut self, id: WorkerId, victim: Victim) {
         let mut missing = victim.over as f32 * MARGIN;
         let mut acted = false;
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Tells how much a run slows a job's paying task now, in thousandths.
+    /// Returns the current effect of a run on a paying job's slowdown, in thousandths.
     fn blame_of(&self, victim: JobId, hold: &Hold) -> f32 {
         let class = self.jobs[hold.job].class();
         let share = f32::from(hold.life.permille()) / f32::from(FULL_PERMILLE);
@@ -129,7 +131,8 @@
         most
     }
 
-    /// Evicts the run that loses least for the relief it gives, if the policy finds that worth it.
+    /// Evicts the run with the lowest cost for its effect, if the policy's weights justify an
+    /// eviction.
     fn evict_for(&mut self, id: WorkerId, victim: Victim) -> bool {
         let weight = |weight: f64| weight.max(f64::EPSILON);
         let price = weight(self.policy.eviction_weight) / weight(self.policy.latency_weight);
@@ -169,7 +172,8 @@
         self.touch(id);
     }
 
-    /// Lifts throttles by a step, least harm first, once the paying tasks have been fast for a while.
+    /// Lifts throttles by one step, least predicted slowdown first, once no mitigation was needed
+    /// for a while.
     fn ease(&mut self, id: WorkerId) {
         let worker = &self.workers[id];
         let is_throttled = |hold: &Hold| matches!(hold.life, Life::Throttled(_));
@@ -192,15 +196,16 @@
         }
     }
 
-    /// Tells how many thousandths slower the slowest paying task of a worker may yet get.
+    /// Returns the remaining slowdown allowed to the slowest paying task of a worker, in
+    /// thousandths.
     fn slack(&self, id: WorkerId) -> f32 {
         let speeds = self.workers[id].holds.iter().map(|hold| hold.speed.slowdown.max(ALONE));
         let slowest = speeds.max().unwrap_or(ALONE);
         self.policy.slowdown_permille.saturating_sub(slowest) as f32
     }
 
-    /// Tells how many thousandths one step less of throttle would cost the paying task that it
-    /// slows most.
+    /// Returns the slowdown, in thousandths, that lifting a run's throttle by one step adds to the
+    /// paying task that it affects most.
     fn harm(&self, id: WorkerId, hold: &Hold) -> f32 {
         let paying = self.workers[id]
             .holds
@@ -209,8 +214,9 @@
         paying.map(|other| self.blame_of(other.job, hold)).fold(0.0, f32::max)
     }
 
-    /// Tells up to how many thousandths of slowdown batch is placed: a policy that weighs latency
-    /// above throughput keeps a margin, since load shifts while measurements lag.
+    /// Returns the slowdown, in thousandths, up to which trial and batch tasks are placed: a policy
+    /// that weighs latency above throughput keeps a margin, since load shifts while measurements
+    /// lag.
     fn bearable(&self) -> f32 {
         let policy = &self.policy;
         let allowed = policy.slowdown_permille.saturating_sub(ALONE) as f32;
@@ -218,9 +224,9 @@
         allowed * (price as f32).clamp(FILL_MIN, 1.0)
     }
 
-    /// Tells whether enough runs of a job probe what it does beside a paying task: more of them wait
-    /// for a measurement, so that a harmful job is found out before it is everywhere. Where none is
-    /// to be expected, nothing waits.
+    /// Returns `true` if further runs of a job have to wait until its effect on a paying task is
+    /// measured, so that a harmful job is detected before it runs on many workers. None waits where
+    /// no measurement is expected.
     fn is_probed(&self, hold: &Hold, job: JobId) -> bool {
         let entry = &self.jobs[job];
         let probes = entry.tasks() / PROBES_PART;
@@ -231,7 +237,7 @@
             && !self.model.is_measured(hold.job, job)
     }
 
-    /// Has jobs tried again that waited for a first measurement.
+    /// Requeues jobs that waited for a first measurement.
     pub(crate) fn end_probes(&mut self, met: &Met) {
         for &job in met {
             if self.jobs.get(job).is_some_and(|job| job.place.is_some()) {
@@ -240,8 +246,9 @@
         }
     }
 
-    /// Weighs what a new run would do to the paying tasks of a worker, or they and others to it;
-    /// nothing if a paying task would get too slow.
+    /// Returns the predicted slowdown, in thousandths, that a new run would cause to the paying
+    /// tasks of a worker and, if it is paying itself, suffer there; `None` if a paying task would
+    /// become too slow.
     pub(crate) fn risk(&self, id: WorkerId, job: JobId) -> Option<f32> {
         if !self.policy.guard {
             return Some(0.0);
--- a/crates/cell/src/report.rs
+++ b/crates/cell/src/report.rs
@@ -1,4 +1,4 @@
-//! What a report says about its worker; what it says about runs is in `inventory`.
+//! Handling of a worker's reports; the `inventory` module applies what they contain about runs.
 
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
 use crate::worker::Reading;
 use crate::worker::WorkerId;
 
-/// Wait before a worker is asked again on which a run is about to end.
+/// Delay of the next exchange with a worker on which a run is ending.
 const SOON: Duration = Duration::from_millis(200);
 
 impl Cell {
-    /// Takes in a worker's report.
+    /// Handles a worker's report.
     pub(crate) fn report(&mut self, sequence: Sequence, report: &Report) {
         let Some((id, flight)) = self.land_flight(sequence, &report.instance) else { return };
         let Some(epoch) = self.ownership.epoch() else { return };
@@ -41,10 +41,10 @@
         self.obeyed(id, report);
     }
 
-    /// Another life of the worker answered than we meant.
+    /// Handles a report from another incarnation of the worker than the one addressed.
     fn meet(&mut self, id: WorkerId, incarnation: id::Incarnation) {
         if !self.workers[id].retired.contains(&incarnation) {
-            // The list will show it later; until then no other owner may know of it.
+            // The list doesn't show this incarnation yet, so other owners may not know of it.
             self.restart_worker(id, incarnation);
         }
     }
@@ -68,7 +68,7 @@
         worker.hush = now;
         worker.reading = Some(Reading { stamp: report.stamp, received: now });
         if worker.fence != Fence::Fenced && !report.whole {
-            // A change says nothing to one who doesn't hold what it changes.
+            // An incremental report can't be applied without the inventory that it is based on.
             worker.due = now;
             return;
         }
@@ -76,14 +76,14 @@
         if report.leaving && !worker.leaving {
             worker.leaving = true;
             let name = worker.name.clone();
-            self.note(Number::WorkerLeaving, &name, "it says that it is leaving");
+            self.note(Number::WorkerLeaving, &name, "it reports that it is leaving");
         }
         let was_fenced = self.workers[id].fence == Fence::Fenced;
         if !was_fenced {
             let worker = &mut self.workers[id];
             worker.fence = Fence::Fenced;
             worker.lapse = worker.lapse.max(lease::lapse(now, lease_max));
-            // Its lease was granted by another; it is to have ours at once.
+            // Its lease was granted by a former owner; grants one of ours at once.
             worker.due = now;
             self.fencing_changed = true;
         }
@@ -94,13 +94,13 @@
         self.check_probe(id);
         self.refresh(id);
         if was_missed {
-            // It had room all along, for which nobody looked.
+            // Its free capacity was not offered while it did not answer.
             self.mark(id);
         }
         self.hasten(id);
     }
 
-    /// Asks again soon while something is about to change on a worker.
+    /// Advances the next exchange if a run is ending on a worker.
     fn hasten(&mut self, id: WorkerId) {
         let worker = &mut self.workers[id];
         if worker.holds.iter().any(|hold| hold.life.is_ending()) {
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Settles what the exchange carried: an unconfirmed start is said again, a little later.
+    /// Ends the delivery of the exchange's commands; a start that the report doesn't confirm is
+    /// sent again after a delay.
     fn land(&mut self, id: WorkerId) {
         let worker = &mut self.workers[id];
         let mut unconfirmed = false;
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Tells operators that a worker takes tasks, if it didn't before.
+    /// Marks a worker healthy if it was unfenced or suspect.
     fn cheer(&mut self, id: WorkerId) {
         let worker = &mut self.workers[id];
         if worker.leaving || !matches!(worker.health, Health::Unfenced | Health::Suspect) {
--- a/crates/cell/src/size.rs
+++ b/crates/cell/src/size.rs
@@ -1,7 +1,7 @@
-//! What a job's tasks really take, where its declaration is far off.
+//! Right-sizing: estimates of the resources that a job's tasks need, learnt from measurements.
 //!
-//! The size learnt sets what the next starts are given. A worker enforces what a start names, so a
-//! smaller grant may be given to less than was declared; a larger one is committed in full.
+//! The estimate determines the allocation of later starts. A worker enforces the allocation in the
+//! start command, so an allocation may be smaller than declared; a larger one is committed in full.
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::class::Class;
@@ -10,26 +10,27 @@
 use crate::cell::Cell;
 use crate::job::JobId;
 
-/// Measurements kept for each job.
+/// Number of measurements kept for each job.
 const KEPT: usize = 32;
-/// Measurements before a size is believed.
+/// Minimum number of measurements for an estimate.
 const ENOUGH: usize = 8;
-/// Measurements after which a size is worked out anew.
+/// Number of measurements between two updates of the estimate.
 const BATCH: usize = 8;
-/// Which of the kept measurements counts, from the largest: one in sixteen may be larger.
+/// Index of the measurement used, in descending order: one in sixteen may be larger.
 const RANK: usize = 2;
-/// What a task is given above what it was seen to take, in thousandths.
+/// Processor allocation as a multiple of the measured usage, in thousandths.
 const CPU_HEADROOM: u64 = 1150;
-/// The same for memory, of which too little ends a run instead of slowing it.
+/// Memory allocation as a multiple of the measured usage, in thousandths; it is larger because a
+/// lack of memory ends a run instead of slowing it.
 const MEMORY_HEADROOM: u64 = 1300;
-/// Part of its grant, in thousandths, above which a run may want more than it can show.
+/// Usage, in thousandths of the allocation, from which a run is assumed to need more than measured.
 const FULL: u64 = 950;
-/// What a task is given that has used its grant up, in thousandths of that grant.
+/// Assumed need of a run that uses up its allocation, in thousandths of that allocation.
 const GROWTH: u64 = 2000;
-/// The least part of the declared size that is ever given, in thousandths.
+/// Minimum allocation, in thousandths of the declared amount.
 const LEAST: u64 = 50;
 
-/// What a job's tasks were seen to take.
+/// The recent measurements of a job's tasks.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Size {
     cpu: SmallVec<[u32; 4]>,
@@ -38,7 +39,7 @@
 }
 
 impl Size {
-    /// Takes in one measurement of a run that may take at most `granted`.
+    /// Records one measurement of a run whose allocation is `granted`.
     fn learn(&mut self, used: Amount, granted: Amount) {
         let cpu = wanted(used.cpu_milli, granted.cpu_milli);
         let memory = wanted(used.memory_mib, granted.memory_mib);
@@ -52,7 +53,8 @@
         self.next = (self.next + 1) % KEPT;
     }
 
-    /// Returns what a task is to be given, or what was declared while little is known.
+    /// Returns the allocation of a task, which is the declared amount while there are few
+    /// measurements.
     fn amount(&self, declared: Amount, largest: Amount) -> Amount {
         if self.cpu.len() < ENOUGH {
             return declared;
@@ -63,7 +65,7 @@
     }
 }
 
-/// Returns what a run seems to want: more than its grant if it used that up.
+/// Returns the estimated need of a run: more than its allocation if it uses that up.
 fn wanted(used: u32, granted: u32) -> u32 {
     let is_full = u64::from(used) * 1000 >= u64::from(granted) * FULL;
     if is_full { part(granted, GROWTH) } else { used }
@@ -74,7 +76,7 @@
     sorted.sort_unstable_by(|a, b| b.cmp(a));
     let quantile = sorted[RANK.min(sorted.len() - 1)];
     let least = part(declared, LEAST).max(1);
-    // Never more than a worker has, unless that was declared: then the job is parked for it.
+    // Never exceeds the largest worker unless the declaration does, and then the job is parked.
     part(quantile, headroom).max(least).min(largest.max(declared))
 }
 
@@ -91,7 +93,7 @@
 }
 
 impl Cell {
-    /// Learns from one measurement of a run.
+    /// Updates a job's estimate with one measurement of a run.
     pub(crate) fn learn_size(&mut self, id: JobId, used: Amount, granted: Amount) {
         let largest = self.totals.largest;
         let before = self.amount(id);
@@ -102,7 +104,7 @@
         }
         let declared = job.declared();
         let learnt = job.size.amount(declared, largest);
-        // A paying task is never given less than it asked for.
+        // A paying task is never allocated less than declared.
         job.amount = match job.class() {
             Class::Paying => most(learnt, declared),
             Class::Trial | Class::Batch => learnt,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Returns what a task of a job is given.
+    /// Returns the allocation of a job's next task.
     pub(crate) fn amount(&self, id: JobId) -> Amount {
         let job = &self.jobs[id];
         if job.amount == Amount::ZERO { job.declared() } else { job.amount }
--- a/crates/cell/src/span.rs
+++ b/crates/cell/src/span.rs
@@ -1,4 +1,4 @@
-//! Sets of task indices that cost by the gap and not by the task.
+//! Sets of task indices whose size depends on the number of gaps and not of tasks.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,16 @@
 
 use crate::record::Span;
 
-/// A set of task indices, kept as disjoint spans that don't touch.
+/// A set of task indices, stored as disjoint, non-adjacent spans.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Spans {
-    /// End of each span by its start.
+    /// The end of each span by its start.
     ends: BTreeMap<TaskIndex, TaskIndex>,
     len: u32,
 }
 
 impl Spans {
-    /// Counts the indices.
+    /// Returns the number of indices.
     pub(crate) fn len(&self) -> u32 {
         self.len
     }
@@ -24,7 +24,7 @@
         self.ends.range(..=index).next_back().is_some_and(|(_, &end)| index < end)
     }
 
-    /// Adds one index; one that is in the set already changes nothing.
+    /// Adds an index if it is not in the set yet.
     pub(crate) fn insert(&mut self, index: TaskIndex) {
         if self.contains(index) {
             return;
@@ -39,12 +39,12 @@
         self.ends.insert(start, end);
     }
 
-    /// Adds a span of which no index is in the set yet, at a cost that doesn't depend on its length.
+    /// Adds a span that is disjoint from the set; the cost doesn't depend on its length.
     pub(crate) fn insert_span(&mut self, span: Span) {
         if span.start >= span.end {
             return;
         }
-        debug_assert!(!self.contains(span.start), "a span is added once");
+        debug_assert!(!self.contains(span.start), "the span must be disjoint from the set");
         self.len += span.end - span.start;
         let before = self.ends.range(..=span.start).next_back().map(|(&start, &end)| (start, end));
         let start = match before {
@@ -55,22 +55,23 @@
         self.ends.insert(start, end);
     }
 
-    /// Walks the spans by rising start.
+    /// Iterates over the spans in ascending order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = Span> + '_ {
         self.ends.iter().map(|(&start, &end)| Span { start, end })
     }
 
-    /// Counts the spans.
+    /// Returns the number of spans.
     pub(crate) fn gaps(&self) -> usize {
         self.ends.len()
     }
 
-    /// Finds the start of the first span from `index` on; the largest index if there is none.
+    /// Returns the start of the first span at or after `index`, or the maximum index if there is
+    /// none.
     pub(crate) fn next(&self, index: TaskIndex) -> TaskIndex {
         self.ends.range(index..).next().map_or(TaskIndex::MAX, |(&start, _)| start)
     }
 
-    /// Finds the first index from `index` on that is not in the set.
+    /// Returns the first index at or after `index` that is not in the set.
     pub(crate) fn skip(&self, index: TaskIndex) -> TaskIndex {
         match self.ends.range(..=index).next_back() {
             Some((_, &end)) if index < end => end,
--- a/crates/cell/src/status.rs
+++ b/crates/cell/src/status.rs
@@ -1,4 +1,4 @@
-//! What a cell tells about itself, for status pages and metrics.
+//! The state of a cell for status pages and metrics.
 
 use std::collections::BTreeMap;
 
@@ -14,49 +14,49 @@
 use crate::worker::Fence;
 use crate::worker::Health;
 
-/// Whose a cell is.
+/// The ownership phase of a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Not ours.
+    /// We don't own it.
     Unowned,
-    /// Ours, but a worker may still run what a former owner started.
+    /// We own it, but a worker may still have unknown runs of a former owner.
     Fencing,
-    /// Ours, and every run is known.
+    /// We own it, and every run is known.
     Ready,
-    /// Ours, while the store takes no records.
+    /// We own it, but records can't be stored at present.
     Isolated,
 }
 
-/// How many tasks are in each state.
+/// The number of tasks in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Counts {
-    /// Wait for a worker.
+    /// Tasks that wait for a worker.
     pub queued: u32,
-    /// Were sent to a worker that has not confirmed them.
+    /// Tasks that were placed on a worker that has not confirmed them.
     pub starting: u32,
-    /// Run.
+    /// Running tasks.
     pub running: u32,
-    /// Run with a share of their processors.
+    /// Tasks that run with a share of their processors.
     pub throttled: u32,
-    /// Are being checkpointed.
+    /// Tasks that are being checkpointed and ended.
     pub evicting: u32,
-    /// Are being stopped.
+    /// Tasks that are being stopped.
     pub stopping: u32,
-    /// Are counted among the above on a worker that does not answer.
+    /// Tasks with a run on a worker that does not answer; they are also counted above.
     pub maybe: u32,
-    /// Ended; the store does not have it yet.
+    /// Tasks whose run has ended and whose end is not stored yet.
     pub settling: u32,
-    /// Completed.
+    /// Completed tasks.
     pub done: u32,
-    /// Were cancelled.
+    /// Cancelled tasks.
     pub cancelled: u32,
-    /// Can't run.
+    /// Tasks that can't run until their job is changed.
     pub parked: u32,
 }
 
 impl Counts {
-    /// Names each count.
+    /// Returns each count with its name.
     pub fn named(&self) -> [(&'static str, u32); 11] {
         [
             ("queued", self.queued),
@@ -74,23 +74,23 @@
     }
 }
 
-/// One worker as the cell sees it.
+/// The state of one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Worker {
     /// Its name.
     pub name: id::Instance,
-    /// Whether it takes tasks.
+    /// Its health.
     pub health: Health,
-    /// What it offers.
+    /// Its capacity.
     pub capacity: Amount,
-    /// The sum of what is, or may be, taken.
+    /// The sum of its allocations.
     pub committed: Amount,
-    /// Runs on it.
+    /// Number of runs on it.
     pub runs: usize,
 }
 
 impl Cell {
-    /// Tells whose the cell is.
+    /// Returns the ownership phase.
     pub fn phase(&self) -> Phase {
         match self.ownership {
             Ownership::Unowned(_) => Phase::Unowned,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Returns the epoch of our ownership.
+    /// Returns the epoch of our ownership, if we own the cell.
     pub fn epoch(&self) -> Option<id::Epoch> {
         self.ownership.epoch()
     }
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Tells about each worker, in the order in which they were met.
+    /// Returns the state of each worker in slot order.
     pub fn workers(&self) -> impl Iterator<Item = Worker> + '_ {
         self.workers.iter().map(|(_, worker)| Worker {
             name: worker.name.clone(),
@@ -171,18 +171,18 @@
         })
     }
 
-    /// Tells why a job's tasks may not start, if they may not.
+    /// Returns the reason why a job is parked, if it is.
     pub fn parked(&self, job: &id::Job) -> Option<&str> {
         let id = self.job_names.get(job)?;
         self.jobs[*id].parked.as_deref()
     }
 
-    /// Counts the workers whose inventory is not known yet.
+    /// Returns the number of workers whose inventory is not known yet.
     pub fn unfenced(&self) -> usize {
         self.workers.iter().filter(|(_, worker)| worker.fence == Fence::Unfenced).count()
     }
 
-    /// Estimates the bytes of state that the cell holds, names left out.
+    /// Estimates the memory used by the cell's state in bytes, excluding names.
     pub fn state_bytes(&self) -> usize {
         let workers: usize = self
             .workers
--- a/crates/cell/src/stored.rs
+++ b/crates/cell/src/stored.rs
@@ -1,4 +1,4 @@
-//! A job's tasks as the store holds them, to and fro.
+//! Conversion between a job's tasks in memory and its stored record.
 
 use cowslipchute_base::id::TaskIndex;
 
@@ -10,7 +10,7 @@
 use crate::record::Record;
 
 impl Job {
-    /// Takes in what the store holds.
+    /// Loads the tasks from a stored record.
     pub(crate) fn load(&mut self, record: &Record) {
         self.done = record.done.iter().copied().collect();
         self.cancelled = record.cancelled.iter().copied().collect();
@@ -39,7 +39,7 @@
         self.live.insert(stored.index, task);
     }
 
-    /// Builds what the store is to hold, ends of runs that are not settled yet included.
+    /// Builds the record to be stored, including ended runs that are not stored yet.
     pub(crate) fn record(&self) -> Record {
         let mut done = self.done.clone();
         let mut cancelled = self.cancelled.clone();
@@ -61,7 +61,7 @@
     }
 }
 
-/// What the store holds about a task, if anything has to be kept.
+/// Returns the stored form of a task, or `None` if nothing about it has to be stored.
 fn stored(index: TaskIndex, task: &Task) -> Option<record::Task> {
     let fate = match &task.state {
         State::Parked(reason) | State::Settling(Outcome::Park(reason)) => {
--- a/crates/cell/src/urgent.rs
+++ b/crates/cell/src/urgent.rs
@@ -1,5 +1,5 @@
-//! Urgent and paying tasks that find no room make some: trial and batch runs give way, least loss
-//! first.
+//! Preemption: urgent and paying tasks that find no free capacity evict trial and batch runs,
+//! cheapest first.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// How long room that is being made is kept for the task that asked for it.
+/// Lifetime of a reservation for a task that preempts.
 const CLAIM: Duration = Duration::from_secs(10);
 
-/// How often a task that found no way to make room looks again.
+/// Interval at which a job that could not preempt tries again.
 pub(crate) const AGAIN: Duration = Duration::from_secs(1);
 
-/// Room kept on a worker for one task.
+/// Capacity of a worker that is reserved for one task.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Claim {
     pub(crate) job: JobId,
@@ -27,16 +27,16 @@
     until: Time,
 }
 
-/// A way to make room on a worker.
+/// A set of runs to evict on one worker.
 struct Way {
     worker: WorkerId,
     loss: f64,
-    /// Holds to evict, by place.
+    /// Indices of the allocations to evict.
     holds: SmallVec<[usize; 4]>,
 }
 
 impl Worker {
-    /// Returns how much is kept for others than `job`.
+    /// Returns the capacity that is reserved for jobs other than `job`.
     pub(crate) fn claimed(&self, job: JobId, now: Time) -> Amount {
         match self.claim {
             Some(claim) if claim.job != job && claim.until > now => claim.amount,
@@ -46,7 +46,7 @@
 }
 
 impl Cell {
-    /// Has the jobs tried again that wait for room to be made.
+    /// Reopens the queue entries of jobs that may preempt, once their next attempt is due.
     pub(crate) fn urge(&mut self) {
         if self.urge_due().is_none_or(|due| due > self.now) {
             return;
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Tells when jobs that wait for room to be made are to be tried again.
+    /// Returns the time at which blocked jobs that may preempt are to be tried again.
     pub(crate) fn urge_due(&self) -> Option<Time> {
         let waits = self.queue.blocked.first().is_some_and(|place| place.may_preempt());
         waits.then_some(self.queue.urged + AGAIN)
     }
 
-    /// Makes room for the waiting tasks of a job, one worker for each.
+    /// Evicts runs for the waiting tasks of a job, on one worker for each task.
     pub(crate) fn preempt(&mut self, job: JobId, amount: Amount) {
         let waiting = self.jobs[job].waiting();
         let claims = self.claims(job);
@@ -90,14 +90,14 @@
         }
     }
 
-    /// Tells whether runs that give way to a job are ended at once. Paying services can wait for
-    /// checkpoints, urgent work can't if they are slow.
+    /// Returns `true` if runs preempted for a job are ended without a checkpoint. Paying tasks wait
+    /// for checkpoints; urgent tasks don't while checkpoints are slow.
     fn gives_up_for(&self, job: JobId) -> bool {
         self.jobs[job].is_urgent() && self.is_slow_to_checkpoint()
     }
 
-    /// Weighs what it costs to take a run's room now: all its work if there is no time to
-    /// checkpoint.
+    /// Returns the cost of preempting a run, which includes all its work if it can't be
+    /// checkpointed.
     fn price(&self, hold: &Hold, gives_up: bool) -> f64 {
         if !gives_up {
             return self.loss(hold);
@@ -114,7 +114,7 @@
         claimed.count() as u32
     }
 
-    /// Finds the worker on which room costs least.
+    /// Returns the cheapest preemption over all workers.
     fn cheapest(&self, job: JobId, amount: Amount) -> Option<Way> {
         let mut best: Option<Way> = None;
         for &id in &self.roster {
@@ -132,8 +132,8 @@
         best
     }
 
-    /// Finds the runs to evict on one worker so that an amount fits: cheapest first, and then
-    /// without those that turn out not to be needed.
+    /// Selects the runs to evict on one worker so that an amount fits: adds them cheapest first and
+    /// then drops those that turn out not to be needed.
     fn way(&self, id: WorkerId, job: JobId, amount: Amount) -> Option<Way> {
         let worker = &self.workers[id];
         let gives_up = self.gives_up_for(job);
@@ -141,7 +141,7 @@
         let mut room = worker.free().minus(worker.claimed(job, self.now));
         for (index, hold) in worker.holds.iter().enumerate() {
             if self.is_evictable(hold) {
-                // Few large runs rather than many small ones, up to what is needed.
+                // Prefers few large runs to many small ones, up to the amount that is needed.
                 let useful = hold.amount.cpu_milli.min(amount.cpu_milli).max(1);
                 order.push((self.price(hold, gives_up) / f64::from(useful), index));
             } else if hold.life.is_ending() {
@@ -173,7 +173,7 @@
         Some(Way { worker: id, loss, holds: picked.iter().map(|&(_, index)| index).collect() })
     }
 
-    /// Ends the claim of a job on a worker, now that its task starts there.
+    /// Ends a job's reservation on a worker when its task starts there.
     pub(crate) fn use_claim(&mut self, id: WorkerId, job: JobId) {
         let worker = &mut self.workers[id];
         worker.claim.take_if(|claim| claim.job == job);
--- a/crates/cell/src/usage.rs
+++ b/crates/cell/src/usage.rs
@@ -1,7 +1,7 @@
-//! Measurements: what they say about neighbours at the time at which they were taken.
+//! Measurements of runs, matched with their neighbours at the time of measuring.
 //!
-//! A measurement lags. It is set against what ran on its worker when it was taken, which a bounded
-//! history of ended runs and of throttles tells.
+//! Measurements lag, so each is matched with the runs that were on the worker when it was taken. A
+//! bounded history of ended runs and throttles records these.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// Ended runs remembered on each worker.
+/// Maximum number of ended runs kept for each worker.
 const PAST_MAX: usize = 32;
-/// How long they are remembered: measurements lag less than this.
+/// Time that ended runs are kept; measurements lag less than this.
 const PAST: Duration = Duration::from_secs(60);
-/// A measured slowdown, in thousandths, of a run that is as fast as alone.
+/// The slowdown, in thousandths, of a run without interference.
 pub(crate) const ALONE: u32 = 1000;
 
 /// A run that ended.
@@ -35,18 +35,18 @@
     permille: u16,
 }
 
-/// What was last measured of a run.
+/// The last measurement of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Speed {
-    /// In thousandths of the time that it would take alone; zero before the first measurement.
+    /// In thousandths of its time without interference; zero before the first measurement.
     pub(crate) slowdown: u32,
-    /// When it was measured.
+    /// The time of the measurement.
     pub(crate) at: Time,
-    /// Measurements in a row above what the policy allows.
+    /// Number of consecutive measurements above the policy's limit.
     pub(crate) over: u32,
 }
 
-/// A throttle that was in force before the present one.
+/// A throttle that was in force before the current one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Former {
     pub(crate) permille: u16,
@@ -54,7 +54,7 @@
 }
 
 impl Hold {
-    /// Returns the share of its processors that the run had at a time.
+    /// Returns the share of its processors that the run had at the given time.
     fn share_at(&self, at: Time) -> f32 {
         let permille = match self.former {
             Some(former) if at < former.until => former.permille,
@@ -65,7 +65,7 @@
 }
 
 impl Cell {
-    /// Remembers a run that ended, for measurements that are yet to come.
+    /// Records an ended run for later measurements.
     pub(crate) fn remember(&mut self, id: WorkerId, hold: &Hold) {
         let now = self.now;
         let past = &mut self.workers[id].past;
@@ -77,7 +77,7 @@
         past.push(Past { job: hold.job, since: hold.since, until: now, permille });
     }
 
-    /// Takes in a report's measurements.
+    /// Applies a report's measurements.
     pub(crate) fn take_usage(&mut self, id: WorkerId, report: &Report) {
         for usage in &report.usage {
             let age = Duration::from_millis(report.stamp.saturating_sub(usage.measured));
@@ -95,7 +95,7 @@
         let Some(index) = found else { return };
         let hold = &self.workers[id].holds[index];
         if hold.share_at(at) >= 1.0 {
-            // A throttled run takes less than it wants.
+            // A throttled run uses less than it needs.
             self.learn_size(job, usage.amount, hold.amount);
         }
         if self.jobs[job].class() != Class::Paying {
@@ -113,7 +113,7 @@
         speed.at = at;
     }
 
-    /// Finds what ran beside a run at a time.
+    /// Returns the runs that were on the worker beside a run at the given time, summed by job.
     fn neighbours(&self, worker: &Worker, index: usize, at: Time) -> Neighbours {
         let mut found = Neighbours::new();
         let mut add = |job: JobId, share: f32| match found.iter_mut().find(|n| n.job == job) {
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker as the owner of its cell sees it.
+//! The state of a worker at the owner of its cell.
 
 use std::net::SocketAddr;
 
@@ -23,7 +23,7 @@
 
 pub(crate) type WorkerId = entity::Id<Worker>;
 
-/// A run that takes, or may take, part of a worker.
+/// The allocation of part of a worker to a run that is, or may be, on it.
 #[derive(Clone, Debug)]
 pub(crate) struct Hold {
     pub(crate) job: JobId,
@@ -31,34 +31,35 @@
     pub(crate) attempt: Attempt,
     pub(crate) amount: Amount,
     pub(crate) life: Life,
-    /// When it was placed or found, later when it was confirmed.
+    /// The time at which the run was placed or found, and from its confirmation on the time of
+    /// that.
     pub(crate) since: Time,
-    /// When its eviction was decided.
+    /// The time at which its eviction was decided; zero before that.
     pub(crate) ending: Time,
     pub(crate) speed: Speed,
-    /// The throttle before the present one.
+    /// The throttle before the current one.
     pub(crate) former: Option<Former>,
-    /// A command about it is yet to be sent or to be sent again.
+    /// Whether a command about it has to be sent, for the first time or again.
     pub(crate) need: bool,
-    /// It was part of the exchange in flight.
+    /// Whether the exchange in flight contains a command about it.
     pub(crate) flying: bool,
-    /// Exchanges with it that may have reached the worker.
+    /// Number of exchanges with a command about it that may have reached the worker.
     pub(crate) tries: u32,
-    /// Its start is part of the exchange in flight.
+    /// Whether the exchange in flight contains its start command.
     pub(crate) flying_start: bool,
-    /// Until when an exchange with its start may yet arrive that was given up as lost.
+    /// The time until which an exchange with its start, given up as lost, may still take effect.
     pub(crate) linger: Time,
 }
 
 impl Hold {
-    /// Tells whether the worker surely never heard of the run.
+    /// Returns `true` if the run's start has certainly never reached the worker.
     pub(crate) fn is_unsent(&self) -> bool {
         matches!(self.life, Life::Starting(_)) && self.tries == 0
     }
 }
 
-/// An acknowledgement that waits: as long as a lost exchange may bring the run's start again, the
-/// worker has to keep the result by which it knows the run.
+/// A deferred acknowledgement: while a late exchange may still repeat the run's start, the worker
+/// has to retain the result, by which it recognises the run.
 #[derive(Clone, Debug)]
 pub(crate) struct Later {
     pub(crate) run: worker::Run,
@@ -70,12 +71,13 @@
 pub(crate) struct Flight {
     pub(crate) sequence: Sequence,
     pub(crate) acks: Vec<worker::Run>,
-    /// It belongs to an ownership or to a life of the worker that ended; its report says nothing.
+    /// Whether it belongs to an ended ownership or incarnation of the worker, so that its report is
+    /// ignored.
     pub(crate) stale: bool,
 }
 
 impl Flight {
-    /// An exchange that was sent to an earlier life of the worker.
+    /// Creates the flight of an exchange that was sent to an earlier incarnation of the worker.
     pub(crate) fn stale(sequence: Sequence) -> Flight {
         Flight { sequence, acks: Vec::new(), stale: true }
     }
@@ -88,31 +90,31 @@
     pub(crate) received: Time,
 }
 
-/// Whether a worker's inventory is known.
+/// The fencing state of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fence {
-    /// It may hold runs that we don't know of.
+    /// It may have runs that we don't know of.
     Unfenced,
-    /// It has seen our epoch, and we its whole inventory.
+    /// It has seen our epoch, and we have its complete inventory.
     Fenced,
-    /// It can't be reached and every lease that it may hold has lapsed.
+    /// It can't be reached and every lease that it may hold has expired.
     Lapsed,
 }
 
-/// Whether a worker may be given tasks, as told to operators.
+/// The health of a worker as shown to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Health {
-    /// Its inventory is not known yet.
+    /// Its inventory is not known to the owner yet.
     Unfenced,
     /// It takes tasks.
     Healthy,
-    /// It did not answer; its tasks are maybe running.
+    /// It did not answer; its tasks may be running.
     Suspect,
-    /// It failed too much of what it started.
+    /// Too many of its runs failed.
     Quarantined,
-    /// It finishes what it has.
+    /// It is leaving: it finishes its runs and gets no new ones.
     Leaving,
-    /// The platform ended it.
+    /// The platform has ended it.
     Gone,
 }
 
@@ -120,7 +122,7 @@
 pub(crate) struct Worker {
     pub(crate) name: id::Instance,
     pub(crate) incarnation: Incarnation,
-    /// Lives of it that ended; a list that lags may still name them.
+    /// Its ended incarnations, which a lagging list may still show.
     pub(crate) retired: SmallVec<[Incarnation; 2]>,
     pub(crate) address: SocketAddr,
     pub(crate) rack: u16,
@@ -130,35 +132,35 @@
     pub(crate) health: Health,
     pub(crate) holds: Vec<Hold>,
     pub(crate) committed: Amount,
-    /// What is held against it.
+    /// Its record of failures.
     pub(crate) blame: blame::Record,
-    /// Runs that ended lately.
+    /// Runs that ended recently.
     pub(crate) past: Vec<Past>,
-    /// When relief was last given or eased.
+    /// The time at which its runs were last throttled, evicted or unthrottled for interference.
     pub(crate) relieved: Time,
-    /// Room kept for urgent work.
+    /// Capacity reserved for a job that preempted runs on it.
     pub(crate) claim: Option<Claim>,
-    /// The inventory version that we hold; zero for none.
+    /// The inventory version that we have; zero for none.
     pub(crate) version: u64,
     pub(crate) flight: Option<Flight>,
     pub(crate) acks: Vec<worker::Run>,
-    /// Results that may be forgotten later.
+    /// Results that may be acknowledged later.
     pub(crate) later: Vec<Later>,
     pub(crate) reading: Option<Reading>,
-    /// By when every lease that it may hold has lapsed.
+    /// The time by which every lease that it may hold has expired.
     pub(crate) lapse: Time,
-    /// The census by which every later owner surely knows of this life of it; nothing before a
-    /// list has shown it.
+    /// The number of the membership write from which on every later owner knows of this
+    /// incarnation; `None` before a list has shown it.
     pub(crate) counted_by: Option<u64>,
-    /// Exchanges that brought no report since the last that did.
+    /// Number of consecutive failed exchanges.
     pub(crate) misses: u32,
-    /// When the next exchange is due if nothing is to be said.
+    /// The time of the next exchange if no command has to be sent.
     pub(crate) due: Time,
-    /// Until when nothing is sent, after an exchange that failed or brought nothing new.
+    /// The time before which nothing is sent, after an exchange that failed or confirmed nothing.
     pub(crate) hush: Time,
-    /// Its entry among the timers.
+    /// The time of its entry in the cell's timers.
     pub(crate) timer: Option<Time>,
-    /// Its entry among the workers touched in this step.
+    /// Whether it is among the workers touched in this step.
     pub(crate) touched: bool,
 }
 
@@ -169,17 +171,17 @@
             .position(|hold| hold.task == task && hold.job == job && hold.attempt == attempt)
     }
 
-    /// Returns what is left in every dimension.
+    /// Returns the free capacity.
     pub(crate) fn free(&self) -> Amount {
         self.capacity.minus(self.committed)
     }
 
-    /// Tells whether something is to be said before the next heartbeat.
+    /// Returns `true` if a command has to be sent before the next heartbeat.
     pub(crate) fn has_need(&self) -> bool {
         self.holds.iter().any(|hold| hold.need)
     }
 
-    /// Drops all that belongs to an ownership or to a life that ended.
+    /// Clears all state that belongs to an ended ownership or incarnation.
     pub(crate) fn forget(&mut self, now: Time) {
         self.fence = Fence::Unfenced;
         self.claim = None;
--- a/crates/cell/tests/interleavings.rs
+++ b/crates/cell/tests/interleavings.rs
@@ -1,7 +1,7 @@
-//! Random interleavings of two owners, lossy workers and a failing store.
+//! Random interleavings of two owners, unreliable workers and a failing store.
 //!
-//! What must always hold is checked by the world after every step. In the end everything is mended,
-//! and then every task has to come to its one end.
+//! The simulation checks all invariants after every step. At the end all faults are removed, and
+//! then every task has to end exactly once.
 
 mod world;
 
@@ -14,11 +14,11 @@
 use world::play::WORKERS;
 use world::play::play;
 
-/// Jobs of which a declaration picks one.
+/// Number of job names that a declaration selects from.
 const JOBS: usize = 4;
-/// Cases, unless the environment says otherwise.
+/// Number of cases unless `PROPTEST_CASES` is set.
 const CASES: u32 = 300;
-/// Steps of a case.
+/// Upper bound of the number of steps in a case.
 const STEPS: usize = 160;
 
 fn step() -> impl Strategy<Value = Step> {
--- a/crates/cell/tests/replays.rs
+++ b/crates/cell/tests/replays.rs
@@ -1,11 +1,12 @@
-//! Sequences that once broke what must hold, shrunk from wide runs of the random interleavings.
+//! Regression tests: step sequences that violated an invariant, minimised from failures of the
+//! random interleavings.
 
 mod world;
 
 use world::play::Step;
 use world::play::play;
 
-/// Results come in from workers whose leases had lapsed.
+/// Workers whose leases have expired report results.
 #[test]
 fn an_end_stays_recorded_when_lapsed_workers_come_back() {
     play(&[
@@ -20,7 +21,7 @@
     ]);
 }
 
-/// The former owner knew a worker that the next one's list doesn't show.
+/// The former owner used a worker that the next owner's list doesn't show.
 #[test]
 fn a_worker_that_the_next_owner_does_not_see_is_not_forgotten() {
     play(&[
@@ -37,7 +38,7 @@
     ]);
 }
 
-/// A start arrives after the sender's successor has cancelled the task and dropped its checkpoint.
+/// A start arrives after the next owner has cancelled the task and dropped its checkpoint.
 #[test]
 fn a_late_start_resumes_from_what_its_sender_knew() {
     play(&[
@@ -61,7 +62,7 @@
     ]);
 }
 
-/// A run that was evicted, and whose checkpoint is not in the store yet, turns out to have a later one.
+/// A run was evicted, and a later checkpoint is reported before its first one is stored.
 #[test]
 fn nothing_resumes_from_a_checkpoint_that_is_not_stored() {
     play(&[
@@ -94,7 +95,7 @@
     ]);
 }
 
-/// An owner releases the cell that it took from one of which nothing has been heard since.
+/// An owner releases the cell that it took from a former owner whose state is unknown.
 #[test]
 fn a_release_says_nothing_of_the_owner_before() {
     play(&[
@@ -114,7 +115,8 @@
     ]);
 }
 
-/// An owner whose list lags meets a new life of a worker that the next owner's list doesn't show yet.
+/// A lagging owner learns from a report of a worker's new incarnation, which the next owner's list
+/// doesn't show yet.
 #[test]
 fn a_worker_met_before_any_list_shows_it_waits_for_one() {
     play(&[
--- a/crates/cell/tests/scenarios.rs
+++ b/crates/cell/tests/scenarios.rs
@@ -1,6 +1,6 @@
-//! Runs the scenario files: each block is one story, told in a small language.
+//! Runs the scenario files; each block is one scenario in a small command language.
 //!
-//! `REWRITE=1 cargo test -p cowslipchute-cell --test scenarios` rewrites what the blocks show.
+//! `REWRITE=1 cargo test -p cowslipchute-cell --test scenarios` rewrites the expected output.
 
 mod world;
 
@@ -21,7 +21,7 @@
 use datadriven::walk;
 use world::World;
 
-/// One command of a story.
+/// One command of a scenario.
 struct Line<'a> {
     verb: &'a str,
     words: Vec<&'a str>,
@@ -38,7 +38,7 @@
     }
 
     fn word(&self, index: usize) -> &'a str {
-        self.words.get(index).unwrap_or_else(|| panic!("{} lacks a word", self.verb))
+        self.words.get(index).unwrap_or_else(|| panic!("{} lacks an argument", self.verb))
     }
 
     fn number(&self, field: &str, default: u32) -> u32 {
@@ -58,7 +58,7 @@
             "released" => Former::Released,
             "ended" => Former::Ended,
             "unheard" => Former::Unheard,
-            other => panic!("no former owner is {other}"),
+            other => panic!("unknown state of a former owner: {other}"),
         }
     }
 }
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Commands about workers, the list and the store.
+    /// Runs commands about workers, the list and the store; returns `false` for any other.
     fn platform(&mut self, line: &Line<'_>) -> bool {
         let world = &mut self.world;
         match line.verb {
@@ -150,12 +150,13 @@
                 "down" => world.store.down = true,
                 "up" => world.store.down = false,
                 "lose" => world.store.lose += line.number("answers", 1),
-                other => panic!("the store can't {other}"),
+                other => panic!("unknown store command: {other}"),
             },
             "usage" => usage(world, line),
             "unplan" => world.unplanned.extend(line.words.iter().map(|&rack| rack.to_owned())),
             "plan" => {
-                // One owner learns that the rack is the cell's; its list is the same.
+                // One owner learns that the plan assigns the rack to the cell; the list version is
+                // the same.
                 world.unplanned.remove(line.word(0));
                 let (owner, view) = (world.owner(line.word(1)), world.view());
                 world.tell(owner, Event::Listed { view });
@@ -165,7 +166,7 @@
         true
     }
 
-    /// Commands about jobs, teams and the policy.
+    /// Runs commands about jobs, teams and the policy; returns `false` for any other.
     fn operator(&mut self, line: &Line<'_>) -> bool {
         let world = &mut self.world;
         match line.verb {
@@ -203,7 +204,7 @@
         true
     }
 
-    /// Commands about owners.
+    /// Runs commands about owners; returns `false` for any other.
     fn owner(&mut self, line: &Line<'_>) -> bool {
         let world = &mut self.world;
         match line.verb {
@@ -242,7 +243,7 @@
     }
 
     fn show(&mut self, line: &Line<'_>) {
-        assert_eq!(line.verb, "show", "a known command");
+        assert_eq!(line.verb, "show", "unknown command");
         match line.word(0) {
             "notes" => {
                 let wanted =
@@ -255,7 +256,7 @@
             "counts" => self.show_counts(line.word(1)),
             "workers" => self.show_workers(),
             "store" => self.show_store(),
-            other => panic!("nothing to show of {other}"),
+            other => panic!("unknown subject to show: {other}"),
         }
     }
 
@@ -265,7 +266,8 @@
         let text = format!("{:?}", cell.counts());
         let fields = text.trim_start_matches("Counts { ").trim_end_matches(" }").split(", ");
         let some: Vec<&str> = fields.filter(|field| !field.ends_with(": 0")).collect();
-        writeln!(self.out, "{:?} {}", cell.phase(), some.join(", ")).expect("text");
+        writeln!(self.out, "{:?} {}", cell.phase(), some.join(", "))
+            .expect("a string takes any text");
     }
 
     fn show_workers(&mut self) {
@@ -283,26 +285,29 @@
                 };
                 format!(" {}/{}:{phase}", held.run.job, held.run.task)
             });
-            writeln!(self.out, "{}:{}", fake.name, held.collect::<String>()).expect("text");
+            writeln!(self.out, "{}:{}", fake.name, held.collect::<String>())
+                .expect("a string takes any text");
         }
     }
 
     fn show_store(&mut self) {
         let jobs = self.world.store.records.values().filter(|record| record.view == 0);
         for record in jobs {
-            write!(self.out, "{}:", record.job).expect("text");
+            write!(self.out, "{}:", record.job).expect("a string takes any text");
             for span in &record.done {
-                write!(self.out, " done {}..{}", span.start, span.end).expect("text");
+                write!(self.out, " done {}..{}", span.start, span.end)
+                    .expect("a string takes any text");
             }
             for span in &record.cancelled {
-                write!(self.out, " cancelled {}..{}", span.start, span.end).expect("text");
+                write!(self.out, " cancelled {}..{}", span.start, span.end)
+                    .expect("a string takes any text");
             }
             for task in &record.tasks {
                 let checkpoint = task.checkpoint.as_deref().unwrap_or("-");
                 write!(self.out, " [{} {checkpoint} failures {}", task.index, task.failures)
-                    .expect("text");
+                    .expect("a string takes any text");
                 match &task.fate {
-                    Some(fate) => write!(self.out, " {fate:?}]").expect("text"),
+                    Some(fate) => write!(self.out, " {fate:?}]").expect("a string takes any text"),
                     None => self.out.push(']'),
                 }
             }
@@ -318,7 +323,7 @@
     }
 }
 
-/// Lets the worker that has a run measure it: `usage job 0 cpu= mem= slow= ago=`.
+/// Adds a measurement of a run to its worker's next report: `usage job 0 cpu= mem= slow= ago=`.
 fn usage(world: &mut World, line: &Line<'_>) {
     let now = world.now;
     let task = line.word(1).parse().expect("a task");
--- a/crates/cell/tests/world/check.rs
+++ b/crates/cell/tests/world/check.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked against the truth at the workers and in the store.
+//! Invariants, checked against the actual state of the workers and the store.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,7 +14,8 @@
 use super::fleet::Begun;
 
 impl World {
-    /// Checks what must always hold, against the truth at the workers.
+    /// Checks that no worker is overcommitted and that no task runs twice, and collects
+    /// completions.
     pub fn check(&mut self) {
         let now = self.now;
         let mut places: BTreeMap<Key, &str> = BTreeMap::new();
@@ -23,7 +24,7 @@
         }
         for fake in self.fakes.values() {
             let taken = fake.active().fold(Amount::ZERO, |sum, held| sum.plus(held.amount));
-            assert!(taken.fits(fake.capacity), "{} is taken beyond its capacity", fake.name);
+            assert!(taken.fits(fake.capacity), "{} runs tasks beyond its capacity", fake.name);
             for held in fake.active() {
                 let key = (held.run.job.clone(), held.run.task);
                 let other = places.insert(key, &fake.name);
@@ -46,8 +47,9 @@
         }
     }
 
-    /// Checks that a start is a new attempt, from the checkpoint that the store holds, or held when
-    /// the sender's ownership ended: a start sent before that may arrive later.
+    /// Checks that a start is a new attempt from the stored checkpoint. A start that was sent
+    /// before the sender's ownership ended may arrive later; it is checked against the store as of
+    /// that end.
     pub(super) fn check_begun(&mut self, begun: &Begun, epoch: Epoch) {
         let run = &begun.run;
         let key = (run.job.clone(), run.task);
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Checks that a fate never changes and is true.
+    /// Checks that a terminal state in a record never changes and matches what happened.
     pub(super) fn check_record(&mut self, record: &Record) {
         let mut fates = Vec::new();
         let spans = record.done.iter().map(|span| ("done", span));
@@ -78,14 +80,22 @@
                 "done" => self.completed.contains(&key),
                 _ => self.cancelled.contains(&record.job),
             };
-            assert!(truth, "{key:?} is {fate} in the store only");
+            assert!(truth, "{key:?} is stored as {fate}, which did not happen");
         }
         let kept: BTreeSet<_> = self.fates.keys().filter(|key| key.0 == record.job).collect();
         let ended: u32 =
             record.done.iter().chain(&record.cancelled).map(|span| span.end - span.start).sum();
-        assert_eq!(kept.len() as u32, ended, "no fate of {} is forgotten", record.job);
+        assert_eq!(
+            kept.len() as u32,
+            ended,
+            "an ended task is missing in the record of {}",
+            record.job
+        );
         let parked = |task: &cowslipchute_cell::record::Task| {
-            assert!(!matches!(task.fate, Some(Fate::Done | Fate::Cancelled)), "ends are spans");
+            assert!(
+                !matches!(task.fate, Some(Fate::Done | Fate::Cancelled)),
+                "completed and cancelled tasks are stored as spans"
+            );
         };
         record.tasks.iter().for_each(parked);
     }
--- a/crates/cell/tests/world/fleet.rs
+++ b/crates/cell/tests/world/fleet.rs
@@ -1,4 +1,4 @@
-//! Fake workers that keep the rules of `ports::worker`, with faults to be switched on.
+//! Fake workers that follow the protocol of `ports::worker`, with injectable faults.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use cowslipchute_ports::worker::Run;
 use cowslipchute_ports::worker::Usage;
 
-/// How long a checkpoint takes.
+/// Default time of a checkpoint.
 const CHECKPOINT: Duration = Duration::from_millis(300);
-/// How long a stop takes.
+/// Time of a stop.
 const STOP: Duration = Duration::from_millis(200);
-/// How long a run takes that fails.
+/// Time after which a failing run fails.
 const FAIL: Duration = Duration::from_millis(100);
 
-/// What a run does when it next changes by itself.
+/// A scheduled change of a run's phase.
 #[derive(Clone, Debug)]
 struct Change {
     at: Time,
@@ -33,15 +33,15 @@
 #[derive(Clone, Debug)]
 struct Entry {
     held: Held,
-    /// Version of the inventory at its last change.
+    /// The inventory version of its last change.
     version: u64,
     change: Option<Change>,
     started: Time,
-    /// Work done before this run.
+    /// Work preserved from earlier runs by the checkpoint.
     before: Duration,
 }
 
-/// A start that took effect.
+/// A start command that took effect.
 #[derive(Clone, Debug)]
 pub struct Begun {
     pub run: Run,
@@ -55,22 +55,23 @@
     pub rack: String,
     pub capacity: Amount,
     pub alive: bool,
-    /// No exchange reaches it.
+    /// Whether it is partitioned: no exchange reaches it.
     pub cut: bool,
-    /// Answers yet to be lost.
+    /// Number of answers still to be lost.
     pub lose: u32,
-    /// Exchanges yet to be lost on their way, which the sender can't tell from a lost answer.
+    /// Number of exchanges still to be lost before they arrive, which the sender can't distinguish
+    /// from a lost answer.
     pub void: u32,
-    /// Exchanges yet to be given up as lost that arrive later.
+    /// Number of exchanges still to be delayed: they are reported as lost and may arrive later.
     pub linger: u32,
-    /// How long a checkpoint takes.
+    /// Time of a checkpoint.
     pub checkpoint: Duration,
-    /// It fails whatever it starts.
+    /// Whether all its runs fail.
     pub fails: bool,
     pub leaving: bool,
     epoch: Epoch,
     lease: Time,
-    /// Its clock at scenario time zero.
+    /// Its clock's reading at scenario time zero.
     offset: Duration,
     version: u64,
     entries: BTreeMap<Run, Entry>,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Starts a new life that holds nothing of the old one.
+    /// Starts a new incarnation without the runs of the old one.
     pub fn restart(&mut self) {
         let fresh = Fake::new(&self.name, &self.rack, self.capacity, self.incarnation + 7);
         *self = Fake { incarnation: self.incarnation + 1, fails: self.fails, ..fresh };
@@ -116,7 +117,7 @@
         (now + self.offset).as_millis() as u64
     }
 
-    /// Lets time pass: runs end, fail, are checkpointed, or stop with the lease.
+    /// Applies the phase changes that are due by `now` and stops all runs if the lease has expired.
     pub fn advance(&mut self, now: Time) {
         if !self.alive {
             return;
@@ -145,7 +146,7 @@
         entry.version = self.version;
     }
 
-    /// Obeys or refuses an exchange, and tells which starts took effect.
+    /// Executes or refuses an exchange and returns its report and the starts that took effect.
     pub fn exchange(&mut self, now: Time, exchange: &Exchange) -> (Report, Vec<Begun>) {
         self.advance(now);
         let obeyed = exchange.incarnation == self.incarnation && exchange.epoch >= self.epoch;
@@ -194,7 +195,8 @@
                 let known = self.entries.get(run).is_some_and(|e| e.held.phase != Phase::Forgotten);
                 if !known {
                     self.start(now, run, *amount, checkpoint.as_ref(), *duration);
-                    // Nothing runs without a lease, nor by a start that comes after its own grant.
+                    // A run needs a lease, and a start is ignored after the lease granted with it
+                    // has expired.
                     let until = grant.map(|g| Duration::from_millis(g.stamp) + g.valid);
                     if until.is_none_or(|until| now + self.offset > until) {
                         return self.set(run, Phase::Stopped);
@@ -269,18 +271,18 @@
         }
     }
 
-    /// Names a checkpoint by the run that wrote it and the work done so far.
+    /// Returns a checkpoint name that contains the run and the work done so far.
     fn progress(&self, now: Time, run: &Run) -> Checkpoint {
         let worked = self.entries.get(run).map_or(Duration::ZERO, |e| e.before + (now - e.started));
         format!("{}/{}#{}@{}", run.job, run.task, run.attempt, worked.as_millis()).into()
     }
 
-    /// Walks the runs that take part of the worker.
+    /// Iterates over the runs that use the worker's capacity.
     pub fn active(&self) -> impl Iterator<Item = &Held> {
         self.entries.values().map(|entry| &entry.held).filter(|held| is_active(&held.phase))
     }
 
-    /// Walks all that it would report.
+    /// Iterates over the runs in its complete inventory.
     pub fn held(&self) -> impl Iterator<Item = &Held> {
         let kept = |held: &&Held| held.phase != Phase::Forgotten;
         self.entries.values().map(|entry| &entry.held).filter(kept)
--- a/crates/cell/tests/world/mod.rs
+++ b/crates/cell/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A few fake workers, a fake store and any number of owners, with every promise about tasks
-//! checked after every step.
+//! A simulation of fake workers, a fake store and any number of owners that checks all invariants
+//! after every step.
 
 #![allow(dead_code, reason = "each test binary uses a part of it")]
 
@@ -36,12 +36,12 @@
 use cowslipchute_resource::policy;
 use fleet::Fake;
 
-/// How far time goes in one step of a scenario.
+/// Time increment of a simulation step.
 pub const STEP: Duration = Duration::from_millis(100);
 
 type Key = (id::Job, TaskIndex);
 
-/// An exchange under way: first to the worker, then back.
+/// An exchange in flight: the request until it is delivered, then the answer.
 #[derive(Debug)]
 pub struct Wire {
     pub owner: usize,
@@ -51,7 +51,7 @@
     answer: Option<Event>,
 }
 
-/// A batch under way to the store.
+/// A batch that was sent to the store.
 #[derive(Debug)]
 struct Batch {
     epoch: Epoch,
@@ -66,7 +66,7 @@
     pub cell: Cell,
     pub alive: bool,
     pub frozen: bool,
-    /// It is shown no newer list.
+    /// Whether it gets no list updates.
     pub lags: bool,
     epoch: Epoch,
     waiting: VecDeque<Event>,
@@ -77,10 +77,10 @@
 pub struct Store {
     pub records: BTreeMap<id::Job, Record>,
     pub epoch: Epoch,
-    /// The records as each former epoch left them.
+    /// The records at the end of each former epoch.
     left: BTreeMap<Epoch, BTreeMap<id::Job, Record>>,
     pub down: bool,
-    /// Answers yet to be lost, after the batch took effect.
+    /// Number of answers still to be lost after the batch was applied.
     pub lose: u32,
     pub writes: u32,
 }
@@ -89,24 +89,24 @@
 pub struct World {
     pub now: Time,
     pub fakes: BTreeMap<String, Fake>,
-    /// Workers as the platform lists them: name, incarnation and whether it is leaving.
+    /// The platform's current state of the workers: name, incarnation and whether it is leaving.
     pub listed: BTreeMap<String, (u64, bool)>,
-    /// What it listed under the present version.
+    /// The workers as listed under the current version.
     shown: BTreeMap<String, (u64, bool)>,
     version: u64,
-    /// Racks that the plan doesn't give to the cell yet.
+    /// Racks that the plan doesn't assign to the cell yet.
     pub unplanned: BTreeSet<String>,
     pub owners: Vec<Owner>,
     pub store: Store,
     pub jobs: BTreeMap<id::Job, Arc<job::Spec>>,
-    /// Owners that are opened hear of the jobs only later.
+    /// Whether new owners are told of the jobs only later.
     pub jobs_late: bool,
     pub shares: BTreeMap<id::Team, Option<Amount>>,
     pub policy: policy::Spec,
     pub wires: Vec<Wire>,
-    /// Exchanges that were given up as lost and are still under way, by worker.
+    /// Exchanges that were reported as lost and may still arrive, with their workers.
     pub ghosts: Vec<(String, Exchange)>,
-    /// Workers whose answers are held back.
+    /// Workers whose answers are delayed.
     pub stuck: BTreeSet<String>,
     pub notes: Vec<String>,
     begun: BTreeMap<Key, Attempt>,
@@ -126,18 +126,19 @@
         self.fakes.get_mut(name).expect("a worker of the world")
     }
 
-    /// Has the platform list a worker as it is; owners see it when the list is published.
+    /// Lists a worker's current incarnation; owners see it when the list is published.
     pub fn list(&mut self, name: &str) {
         let incarnation = self.fakes[name].incarnation;
         self.listed.insert(name.to_owned(), (incarnation, false));
     }
 
-    /// Tells whether a job of that name was ever cancelled or removed.
+    /// Returns `true` if a job of this name was ever cancelled or removed.
     pub fn was_used(&self, name: &str) -> bool {
         self.cancelled.contains(name)
     }
 
-    /// Reads the platform's list; its version rises with each change, whoever saw it.
+    /// Returns the platform's list; its version increases with each change, even one that no owner
+    /// saw.
     pub fn view(&mut self) -> View {
         if self.shown != self.listed {
             self.version += 1;
@@ -164,7 +165,7 @@
         View { version: self.version, members: members.collect() }
     }
 
-    /// Shows the list to every owner.
+    /// Publishes the list to every owner that doesn't lag.
     pub fn publish(&mut self) {
         self.version += 1;
         let view = self.view();
@@ -198,7 +199,7 @@
         self.tell_all(&Event::JobGone { name });
     }
 
-    /// Opens an owner that is not one yet.
+    /// Opens an owner process that doesn't own the cell yet.
     pub fn open(&mut self, name: &str) -> usize {
         let seed = self.owners.len() as u64 + 1;
         let cell = Cell::open(Settings { cell: "d1/0".into(), seed });
@@ -226,7 +227,7 @@
         owner
     }
 
-    /// Tells an owner of every job.
+    /// Sends all job declarations to an owner.
     pub fn tell_jobs(&mut self, owner: usize) {
         let jobs: Vec<_> = self.jobs.iter().map(|(n, s)| (n.clone(), s.clone())).collect();
         for (name, spec) in jobs {
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Has an owner take the cell by compare-and-swap.
+    /// Makes an owner take the cell's ownership under a new epoch.
     pub fn own(&mut self, owner: usize, former: Former) {
         self.store.left.insert(self.store.epoch, self.store.records.clone());
         self.store.epoch += 1;
@@ -251,7 +252,7 @@
         self.tell(owner, Event::Owned { epoch, former, records });
     }
 
-    /// Hands an event to an owner; one that is frozen finds it when it wakes.
+    /// Delivers an event to an owner; a frozen one gets it when it is thawed.
     pub fn tell(&mut self, owner: usize, event: Event) {
         let target = &mut self.owners[owner];
         if !target.alive {
@@ -303,7 +304,7 @@
         }
     }
 
-    /// Settles an owner's batch; tells whether there was one.
+    /// Completes an owner's oldest batch; returns `false` if there is none.
     pub fn settle(&mut self, owner: usize) -> bool {
         let Some(batch) = self.owners[owner].batches.pop_front() else { return false };
         let number = batch.number;
@@ -338,7 +339,7 @@
         }
     }
 
-    /// Gives an owner its tick if one is due.
+    /// Sends an owner a tick if one is due.
     pub fn tick(&mut self, owner: usize) -> bool {
         let target = &self.owners[owner];
         let is_due = target.cell.next_due().is_some_and(|due| due <= self.now);
@@ -349,7 +350,7 @@
         ticks
     }
 
-    /// Lets time pass, with everything under way delivered at once.
+    /// Advances the time in steps and delivers everything in flight after each.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         self.pump();
--- a/crates/cell/tests/world/play.rs
+++ b/crates/cell/tests/world/play.rs
@@ -1,4 +1,4 @@
-//! Steps that may come in any order, played by two owners' seats in one world.
+//! Sequences of random steps, run in a simulation with two replaceable owners.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,14 +13,14 @@
 
 use super::World;
 
-/// Workers of the world.
+/// Number of workers in the simulation.
 pub const WORKERS: usize = 3;
-/// Leases of which a policy picks one, in seconds.
+/// The leases that a policy step selects from, in seconds.
 pub const LEASES: [u64; 3] = [6, 10, 25];
 
-/// How long the work that is left may take in the end.
+/// Maximum time for the remaining work at the end.
 const LONGEST: Duration = Duration::from_secs(240);
-/// How long the last results may take to be recorded and acknowledged.
+/// Time between two checks whether all work has ended and all results are acknowledged.
 const SETTLE: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
@@ -58,12 +58,12 @@
 
 pub struct Play {
     world: World,
-    /// Where the two seats' present owners stand among the world's.
+    /// The indices of the two current owner processes.
     seats: [usize; 2],
-    /// Who took the cell last.
+    /// The owner that took the cell last, unless it has released it.
     holder: Option<usize>,
-    /// Who took it at any time and has neither released it nor ended. Like the claim in the store,
-    /// it is carried on by every taking.
+    /// Owners that took the cell at any time and have neither released it nor ended. Like the claim
+    /// in the store, the set is carried over when another owner takes the cell.
     unsettled: BTreeSet<usize>,
 }
 
@@ -85,7 +85,7 @@
         self.seats[usize::from(seat)]
     }
 
-    /// Takes the cell for a seat, as a placer would: only from one that it may believe gone.
+    /// Takes the cell for a slot, with what a placer would know about the former owner.
     fn own(&mut self, seat: u8) {
         let owner = self.seat(seat);
         if self.holder == Some(owner) || self.world.owners[owner].frozen {
@@ -101,7 +101,7 @@
         self.unsettled.insert(owner);
     }
 
-    /// Tells whether another one than `owner` may still be renewing leases.
+    /// Returns `true` if an owner other than `owner` may still be renewing leases.
     fn has_unsettled(&self, owner: usize) -> bool {
         self.unsettled.iter().any(|&other| other != owner)
     }
@@ -144,7 +144,7 @@
             amount,
             duration: Duration::from_secs(1 + u64::from(kind % 13)),
             urgent: kind % 7 == 3,
-            // Nothing may stay parked in the end.
+            // No task may remain parked at the end.
             failures_max: 1000,
             ..job::Spec::default()
         };
@@ -228,7 +228,7 @@
             Step::StoreDown(down) => world.store.down = down,
             Step::StoreLose => world.store.lose += 1,
             Step::Lease(seat, lease) => {
-                // Only one of the owners has seen this policy.
+                // Only one of the owners gets this policy.
                 world.policy.lease = Duration::from_secs(LEASES[usize::from(lease)]);
                 let spec = Arc::new(world.policy.clone());
                 world.tell(self.seats[usize::from(seat)], Event::Policy { spec });
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Tells whether every task ended and nobody keeps anything of it.
+    /// Returns `true` if every task has ended and no worker retains a result.
     fn is_settled(&self) -> bool {
         let counts = self.world.owners[self.seats[0]].cell.counts();
         let expected: u32 = self.world.jobs.values().map(|spec| spec.tasks).sum();
@@ -249,7 +249,7 @@
         self.world.store.records.keys().filter(|job| !job.starts_with('@')).count()
     }
 
-    /// Mends everything and sees all work come to its end.
+    /// Removes all faults and checks that every task ends.
     pub fn finish(&mut self) {
         let world = &mut self.world;
         world.store.down = false;
@@ -285,9 +285,9 @@
         let ended = counts.done + counts.cancelled;
         let expected: u32 = self.world.jobs.values().map(|spec| spec.tasks).sum();
         assert_eq!(owner.cell.phase(), status::Phase::Ready);
-        assert_eq!(ended, expected, "every task comes to its end: {counts:?}");
+        assert_eq!(ended, expected, "not every task has ended: {counts:?}");
         for fake in self.world.fakes.values() {
-            assert_eq!(fake.held().count(), 0, "{} keeps nothing that is settled", fake.name);
+            assert_eq!(fake.held().count(), 0, "{} retains results of ended tasks", fake.name);
         }
         assert_eq!(self.records(), self.world.jobs.len(), "a record for each declared job");
     }
@@ -297,7 +297,7 @@
     format!("w{index}")
 }
 
-/// Plays steps, and then all work down to its end.
+/// Runs the steps, then removes all faults and checks that every task ends.
 pub fn play(steps: &[Step]) {
     let mut play = Play::open();
     steps.iter().for_each(|step| play.take(step));
--- a/crates/cell/tests/world/wires.rs
+++ b/crates/cell/tests/world/wires.rs
@@ -1,4 +1,4 @@
-//! Exchanges between owners and workers: on their way, lost, given up and late.
+//! Delivery of exchanges between owners and workers, with losses and delays.
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_cell::event::Event;
@@ -7,7 +7,7 @@
 use super::World;
 
 impl World {
-    /// Takes an exchange one leg on; tells whether there was anything to do.
+    /// Delivers an exchange's request or answer; returns `false` if the answer is held back.
     pub fn deliver(&mut self, index: usize) -> bool {
         let wire = &mut self.wires[index];
         let Some(exchange) = wire.exchange.take() else {
@@ -48,7 +48,7 @@
         true
     }
 
-    /// Loses the answers that are under way from a worker.
+    /// Loses all exchanges in flight with a worker.
     pub fn lose_wires(&mut self, worker: &str) {
         for wire in self.wires.iter_mut().filter(|wire| wire.worker == worker) {
             let (sequence, unknown) = (wire.sequence, wire.exchange.is_none());
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Has a worker measure all that it runs, with one slowdown for all.
+    /// Makes a worker report measurements of all its active runs, with the same slowdown.
     pub fn measure(&mut self, worker: &str, slowdown_permille: u32) {
         let now = self.now;
         let fake = self.fake(worker);
@@ -75,7 +75,7 @@
         fake.usage.extend(usage);
     }
 
-    /// Gives up the exchanges under way to a worker, which may yet arrive.
+    /// Reports the undelivered requests to a worker as lost; they may arrive later.
     pub fn linger(&mut self, worker: &str) {
         for wire in self.wires.iter_mut().filter(|wire| wire.worker == worker) {
             let Some(exchange) = wire.exchange.take() else { continue };
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Lets an exchange that was given up arrive.
+    /// Delivers a request that was reported as lost.
     pub fn haunt(&mut self, index: usize) {
         let (name, exchange) = self.ghosts.remove(index);
         let now = self.now;
