--- a/crates/cell/src/account.rs
+++ b/crates/cell/src/account.rs
@@ -8,8 +8,8 @@
 
 use crate::cell::Cell;
 use crate::job::JobId;
+use crate::worker::Allocation;
 use crate::worker::Fence;
-use crate::worker::Hold;
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
@@ -21,119 +21,134 @@
     /// The largest capacity of any listed worker in each dimension.
     pub(crate) largest: Amount,
     /// The sum of best-effort allocations: trial and batch tasks that aren't urgent.
-    pub(crate) low: Amount,
+    pub(crate) best_effort: Amount,
     /// Number of allocations.
-    pub(crate) holds: u32,
+    pub(crate) runs: u32,
 }
 
 impl Cell {
     /// Adds an allocation to its worker.
-    pub(crate) fn hold(&mut self, id: WorkerId, hold: Hold) {
-        self.count(id, hold.job, hold.amount);
-        self.workers[id].holds.push(hold);
-        self.recommit(id);
+    pub(crate) fn add_allocation(&mut self, id: WorkerId, allocation: Allocation) {
+        self.count(id, allocation.job, allocation.amount);
+        self.workers[id].allocations.push(allocation);
+        self.update_committed(id);
         self.touch(id);
     }
 
     /// Subtracts an allocation that was already removed from its worker's list.
-    pub(crate) fn released(&mut self, id: WorkerId, hold: &Hold) {
-        self.uncount(id, hold.job, hold.amount);
-        self.remember(id, hold);
-        self.recommit(id);
-        self.mark(id);
+    pub(crate) fn release_allocation(&mut self, id: WorkerId, allocation: &Allocation) {
+        self.uncount(id, allocation.job, allocation.amount);
+        self.record_ended_run(id, allocation);
+        self.update_committed(id);
+        self.mark_freed(id);
         self.touch(id);
     }
 
     /// Corrects the accounts when a worker reports another amount for a run than was recorded.
-    pub(crate) fn resized(&mut self, id: WorkerId, job: JobId, before: Amount, after: Amount) {
+    pub(crate) fn resize_allocation(
+        &mut self,
+        id: WorkerId,
+        job: JobId,
+        before: Amount,
+        after: Amount,
+    ) {
         self.uncount(id, job, before);
         self.count(id, job, after);
-        self.recommit(id);
+        self.update_committed(id);
     }
 
     fn count(&mut self, id: WorkerId, job: JobId, amount: Amount) {
         let rack = usize::from(self.workers[id].rack);
-        let is_low = self.is_low(job);
+        let is_best_effort = self.is_best_effort(job);
         let job = &mut self.jobs[job];
-        job.holds += 1;
-        if job.racks.len() <= rack {
-            job.racks.resize(rack + 1, 0);
+        job.runs += 1;
+        if job.runs_by_rack.len() <= rack {
+            job.runs_by_rack.resize(rack + 1, 0);
         }
-        job.racks[rack] += 1;
-        job.taken = job.taken.plus(amount);
-        job.low = is_low;
+        job.runs_by_rack[rack] += 1;
+        job.allocated = job.allocated.plus(amount);
+        job.best_effort = is_best_effort;
         let team = &mut self.teams[job.team];
         team.used = team.used.plus(amount);
-        self.totals.holds += 1;
-        if is_low {
-            self.totals.low = self.totals.low.plus(amount);
+        self.totals.runs += 1;
+        if is_best_effort {
+            self.totals.best_effort = self.totals.best_effort.plus(amount);
         }
     }
 
     fn uncount(&mut self, id: WorkerId, job: JobId, amount: Amount) {
         let rack = usize::from(self.workers[id].rack);
         let job = &mut self.jobs[job];
-        job.holds -= 1;
-        if let Some(count) = job.racks.get_mut(rack) {
+        job.runs -= 1;
+        if let Some(count) = job.runs_by_rack.get_mut(rack) {
             *count = count.saturating_sub(1);
         }
-        job.taken = job.taken.minus(amount);
+        job.allocated = job.allocated.minus(amount);
         let team = &mut self.teams[job.team];
         team.used = team.used.minus(amount);
         team.freed = true;
-        self.totals.holds -= 1;
-        if job.low {
-            self.totals.low = self.totals.low.minus(amount);
+        self.totals.runs -= 1;
+        if job.best_effort {
+            self.totals.best_effort = self.totals.best_effort.minus(amount);
         }
     }
 
     /// Returns `true` if a job's tasks are best-effort and must leave the reserve free.
-    pub(crate) fn is_low(&self, id: JobId) -> bool {
+    pub(crate) fn is_best_effort(&self, id: JobId) -> bool {
         let job = &self.jobs[id];
         // The accounting of a job changes only while it has no runs, so that sums stay consistent.
-        if job.holds > 0 { job.low } else { job.class() != Class::Paying && !job.is_urgent() }
+        if job.runs > 0 {
+            job.best_effort
+        } else {
+            job.class() != Class::Paying && !job.is_urgent()
+        }
     }
 
-    pub(crate) fn recommit(&mut self, id: WorkerId) {
+    pub(crate) fn update_committed(&mut self, id: WorkerId) {
         let worker = &mut self.workers[id];
-        let sum = worker.holds.iter().fold(Amount::ZERO, |sum, hold| sum.plus(hold.amount));
+        let sum = worker
+            .allocations
+            .iter()
+            .fold(Amount::ZERO, |sum, allocation| sum.plus(allocation.amount));
         worker.committed = sum;
-        self.refresh(id);
+        self.update_free_capacity(id);
     }
 
     /// Updates a worker's entry in the dense table of free capacity, which searches scan.
-    pub(crate) fn refresh(&mut self, id: WorkerId) {
+    pub(crate) fn update_free_capacity(&mut self, id: WorkerId) {
         let Some(worker) = self.workers.get(id) else { return };
-        let room = if self.is_eligible(worker) { worker.free() } else { Amount::ZERO };
-        if self.rooms.len() <= id.index() {
-            self.rooms.resize(id.index() + 1, Amount::ZERO);
+        let free = if self.is_eligible(worker) { worker.free() } else { Amount::ZERO };
+        if self.free_capacity.len() <= id.index() {
+            self.free_capacity.resize(id.index() + 1, Amount::ZERO);
         }
-        self.rooms[id.index()] = room;
+        self.free_capacity[id.index()] = free;
     }
 
     /// Returns `true` if a worker may be given tasks.
     pub(crate) fn is_eligible(&self, worker: &Worker) -> bool {
         worker.fence == Fence::Fenced
-            && worker.misses == 0
+            && worker.failed_exchanges == 0
             && !worker.leaving
-            && self.is_counted(worker)
-            && self.is_trusted(worker)
+            && self.is_known_to_later_owners(worker)
+            && self.passes_quarantine(worker)
     }
 
     /// Recomputes the totals over all listed workers.
-    pub(crate) fn recount(&mut self) {
-        let offered = self.workers.iter().map(|(_, worker)| worker.capacity);
-        self.totals.capacity = offered.fold(Amount::ZERO, Amount::plus);
-        self.totals.largest = self.largest();
-        self.roster = self.workers.iter().map(|(id, _)| id).collect();
+    pub(crate) fn update_totals(&mut self) {
+        let capacities = self.workers.iter().map(|(_, worker)| worker.capacity);
+        self.totals.capacity = capacities.fold(Amount::ZERO, Amount::plus);
+        self.totals.largest = self.largest_capacity();
+        self.worker_ids = self.workers.iter().map(|(id, _)| id).collect();
     }
 
     /// Returns `true` if best-effort tasks use everything outside the reserve.
-    pub(crate) fn is_reserved(&self) -> bool {
-        let kept = u64::from(self.policy.urgent_reserve_permille);
-        let part = |all: u32| (u64::from(all) * (1000 - kept) / 1000) as u32;
+    pub(crate) fn is_reserve_reached(&self) -> bool {
+        let reserve_permille = u64::from(self.policy.urgent_reserve_permille);
+        let outside_reserve = |all: u32| (u64::from(all) * (1000 - reserve_permille) / 1000) as u32;
         let all = self.totals.capacity;
-        let low = self.totals.low;
-        kept > 0 && (low.cpu_milli >= part(all.cpu_milli) || low.memory_mib >= part(all.memory_mib))
+        let best_effort = self.totals.best_effort;
+        reserve_permille > 0
+            && (best_effort.cpu_milli >= outside_reserve(all.cpu_milli)
+                || best_effort.memory_mib >= outside_reserve(all.memory_mib))
     }
 }
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -20,15 +20,15 @@
 
 use crate::account::Totals;
 use crate::action::Action;
-use crate::census::Census;
+use crate::census::Membership;
 use crate::event::Event;
 use crate::event::Sequence;
 use crate::evict::Budget;
 use crate::interfere::Model;
 use crate::job::Job;
 use crate::job::JobId;
-use crate::jobs::Stranger;
-use crate::ledger::Ledger;
+use crate::jobs::Undeclared;
+use crate::ledger::Writer;
 use crate::life::Ownership;
 use crate::life::Unowned;
 use crate::queue::Queue;
@@ -56,42 +56,42 @@
     pub(crate) policy: Arc<policy::Spec>,
     pub(crate) ownership: Ownership,
     /// Version of the worker list in use; zero before the first one.
-    pub(crate) view: u64,
+    pub(crate) list_version: u64,
     pub(crate) workers: Table<Worker>,
     pub(crate) worker_names: HashMap<id::Instance, WorkerId>,
     /// Exchanges in flight with workers that are no longer listed; such a worker may be listed
     /// again before its exchange ends.
-    pub(crate) orphans: HashMap<id::Instance, Sequence>,
+    pub(crate) unlisted_exchanges: HashMap<id::Instance, Sequence>,
     pub(crate) racks: HashMap<id::Rack, u16>,
     pub(crate) jobs: Table<Job>,
     pub(crate) job_names: HashMap<id::Job, JobId>,
     /// The highest attempt of each removed job; a job declared again under the name starts above
     /// it.
-    pub(crate) floors: HashMap<id::Job, id::Attempt>,
+    pub(crate) attempt_floors: HashMap<id::Job, id::Attempt>,
     pub(crate) arrivals: u64,
     /// Jobs in the order in which they were first seen, until their time to be declared is over.
-    pub(crate) strangers: VecDeque<Stranger>,
+    pub(crate) undeclared: VecDeque<Undeclared>,
     /// Jobs to be checked for removal at the end of the step.
-    pub(crate) finishing: Vec<JobId>,
+    pub(crate) to_reap: Vec<JobId>,
     pub(crate) sequence: Sequence,
-    pub(crate) ledger: Ledger,
+    pub(crate) writer: Writer,
     pub(crate) queue: Queue,
     pub(crate) teams: Vec<Team>,
     pub(crate) team_names: TeamNames,
     pub(crate) totals: Totals,
-    pub(crate) budget: Budget,
-    pub(crate) model: Model,
+    pub(crate) eviction_budget: Budget,
+    pub(crate) interference: Model,
     /// Workers in the order in which searches visit them.
-    pub(crate) roster: Vec<WorkerId>,
+    pub(crate) worker_ids: Vec<WorkerId>,
     /// Free capacity of each worker by the index of its id; zero where no task may start.
-    pub(crate) rooms: Vec<Amount>,
+    pub(crate) free_capacity: Vec<Amount>,
     /// The next due time of each worker, at most one entry for each.
     pub(crate) timers: BTreeSet<(Time, WorkerId)>,
     /// Workers whose commands or timers changed in this step.
     pub(crate) touched: Vec<WorkerId>,
     /// Whether a worker may have become fenced, gone or expired in this step.
     pub(crate) fencing_changed: bool,
-    pub(crate) census: Census,
+    pub(crate) membership: Membership,
     pub(crate) actions: Vec<Action>,
 }
 
@@ -105,31 +105,31 @@
             now: Time::ZERO,
             policy: Arc::new(policy),
             ownership: Ownership::Unowned(Unowned),
-            view: 0,
+            list_version: 0,
             workers: Table::default(),
             worker_names: HashMap::new(),
-            orphans: HashMap::new(),
+            unlisted_exchanges: HashMap::new(),
             racks: HashMap::new(),
             jobs: Table::default(),
             job_names: HashMap::new(),
-            floors: HashMap::new(),
+            attempt_floors: HashMap::new(),
             arrivals: 0,
-            strangers: VecDeque::new(),
-            finishing: Vec::new(),
+            undeclared: VecDeque::new(),
+            to_reap: Vec::new(),
             sequence: 0,
-            ledger: Ledger::default(),
+            writer: Writer::default(),
             queue: Queue::default(),
             teams: vec![Team::default()],
             team_names: TeamNames::default(),
             totals: Totals::default(),
-            budget: Budget::default(),
-            model: Model::default(),
-            roster: Vec::new(),
-            rooms: Vec::new(),
+            eviction_budget: Budget::default(),
+            interference: Model::default(),
+            worker_ids: Vec::new(),
+            free_capacity: Vec::new(),
             timers: BTreeSet::new(),
             touched: Vec::new(),
             fencing_changed: false,
-            census: Census::default(),
+            membership: Membership::default(),
             actions: Vec::new(),
         }
     }
@@ -143,37 +143,39 @@
         assert!(now >= self.now, "time never goes back");
         self.now = now;
         self.take(event);
-        self.settle();
+        self.finish_step();
         actions.append(&mut self.actions);
     }
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::Owned { epoch, former, records } => self.own(epoch, former, &records),
-            Event::Former { former } => self.learn_former(former),
-            Event::Disowned => self.disown("the ownership was given up or lost"),
+            Event::Owned { epoch, former, records } => self.acquire(epoch, former, &records),
+            Event::Former { former } => self.update_former(former),
+            Event::Disowned => self.lose_ownership("the ownership was given up or lost"),
             Event::Policy { spec } => self.set_policy(spec),
             Event::Share { team, amount } => self.set_share(&team, amount),
-            Event::Job { name, spec } => self.declare(name, spec),
-            Event::JobGone { name } => self.undeclare(&name),
-            Event::Listed { view } => self.list(&view),
-            Event::Reported { sequence, report } => self.report(sequence, &report),
-            Event::Failed { sequence, worker, unknown } => self.miss(sequence, &worker, unknown),
-            Event::Recorded { batch } => self.recorded(batch),
-            Event::RecordFailed { batch } => self.record_failed(batch),
+            Event::Job { name, spec } => self.declare_job(name, spec),
+            Event::JobGone { name } => self.remove_job(&name),
+            Event::Listed { view } => self.apply_list(&view),
+            Event::Reported { sequence, report } => self.handle_report(sequence, &report),
+            Event::Failed { sequence, worker, unknown } => {
+                self.handle_failed_exchange(sequence, &worker, unknown)
+            }
+            Event::Recorded { batch } => self.handle_recorded_batch(batch),
+            Event::RecordFailed { batch } => self.handle_failed_batch(batch),
             Event::Tick => {}
         }
     }
 
     /// Completes a step: runs due timers, starts tasks, sends exchanges and records.
-    fn settle(&mut self) {
+    fn finish_step(&mut self) {
         self.run_timers();
         self.check_ready();
-        self.revisit();
+        self.retry_blocked();
         self.place();
         self.reap();
         self.flush();
-        self.check_lease();
+        self.check_lease_limit();
         self.write();
     }
 
@@ -181,8 +183,8 @@
     pub fn next_due(&self) -> Option<Time> {
         self.ownership.epoch()?;
         let worker = self.timers.first().map(|&(time, _)| time);
-        let more = self.has_more().then_some(self.now);
-        [worker, self.ledger_due(), self.stranger_due(), more, self.urge_due()]
+        let more = self.has_open_jobs().then_some(self.now);
+        [worker, self.write_due(), self.undeclared_due(), more, self.preempt_retry_due()]
             .into_iter()
             .flatten()
             .min()
@@ -191,7 +193,7 @@
     fn set_policy(&mut self, spec: Arc<policy::Spec>) {
         let before = std::mem::replace(&mut self.policy, spec);
         if before.lease != self.policy.lease {
-            self.change_lease();
+            self.lease_changed();
         }
     }
 
--- a/crates/cell/src/choose.rs
+++ b/crates/cell/src/choose.rs
@@ -11,7 +11,7 @@
 /// Number of workers sampled for one placement.
 const SAMPLES: usize = 12;
 /// Number of candidates after which a scan ends; workers are scanned if no sampled one has room.
-const FOUND_MAX: usize = 4;
+const SCAN_CANDIDATES_MAX: usize = 4;
 /// Weight of a worker's unused capacity: fuller workers are preferred, so that large tasks fit
 /// elsewhere.
 const FIT_WEIGHT: f64 = 1.0;
@@ -32,7 +32,7 @@
     pub(crate) fn choose(&mut self, job: JobId, amount: Amount) -> Option<WorkerId> {
         let mut candidates = self.sample(job, amount);
         if candidates.is_empty() {
-            candidates = self.walk(job, amount);
+            candidates = self.scan(job, amount);
         }
         let mut best: Option<(f64, WorkerId)> = None;
         for id in candidates {
@@ -46,16 +46,16 @@
 
     fn sample(&mut self, job: JobId, amount: Amount) -> Candidates {
         let mut found = Candidates::new();
-        if self.roster.is_empty() {
+        if self.worker_ids.is_empty() {
             return found;
         }
-        if self.roster.len() <= SAMPLES {
-            found.extend(self.roster.iter().copied());
+        if self.worker_ids.len() <= SAMPLES {
+            found.extend(self.worker_ids.iter().copied());
             found.retain(|&mut id| self.has_room(id, job, amount));
             return found;
         }
         for _ in 0..SAMPLES {
-            let id = self.roster[self.rng.random_range(0..self.roster.len())];
+            let id = self.worker_ids[self.rng.random_range(0..self.worker_ids.len())];
             if self.has_room(id, job, amount) && !found.contains(&id) {
                 found.push(id);
             }
@@ -64,18 +64,18 @@
     }
 
     /// Scans the table of free capacity from a random index, which is fast in a nearly full cell.
-    fn walk(&mut self, job: JobId, amount: Amount) -> Candidates {
+    fn scan(&mut self, job: JobId, amount: Amount) -> Candidates {
         let mut found = Candidates::new();
-        let count = self.roster.len();
+        let count = self.worker_ids.len();
         if count == 0 {
             return found;
         }
         let start = self.rng.random_range(0..count);
         for step in 0..count {
-            let id = self.roster[(start + step) % count];
-            if amount.fits(self.rooms[id.index()]) && self.has_room(id, job, amount) {
+            let id = self.worker_ids[(start + step) % count];
+            if amount.fits(self.free_capacity[id.index()]) && self.has_room(id, job, amount) {
                 found.push(id);
-                if found.len() >= FOUND_MAX {
+                if found.len() >= SCAN_CANDIDATES_MAX {
                     break;
                 }
             }
@@ -85,12 +85,12 @@
 
     /// Returns `true` if a worker can take a task of a job.
     pub(crate) fn has_room(&self, id: WorkerId, job: JobId, amount: Amount) -> bool {
-        if !amount.fits(self.rooms[id.index()]) {
+        if !amount.fits(self.free_capacity[id.index()]) {
             return false;
         }
         let worker = &self.workers[id];
-        let kept = worker.claimed(job, self.now);
-        self.is_eligible(worker) && amount.fits(worker.free().minus(kept))
+        let reserved = worker.reserved_for_others(job, self.now);
+        self.is_eligible(worker) && amount.fits(worker.free().minus(reserved))
     }
 
     /// Returns the score of a worker for a task, where lower is better, or `None` if a paying task
@@ -99,14 +99,14 @@
         let risk = f64::from(self.risk(id, job)?) * RISK_WEIGHT * self.policy.latency_weight;
         let worker = &self.workers[id];
         let left = worker.free().minus(amount);
-        let part =
+        let fraction =
             |left: u32, all: u32| if all == 0 { 0.0 } else { f64::from(left) / f64::from(all) };
-        let unused = part(left.cpu_milli, worker.capacity.cpu_milli)
-            + part(left.memory_mib, worker.capacity.memory_mib)
-            + part(left.accelerators.into(), worker.capacity.accelerators.into());
+        let unused = fraction(left.cpu_milli, worker.capacity.cpu_milli)
+            + fraction(left.memory_mib, worker.capacity.memory_mib)
+            + fraction(left.accelerators.into(), worker.capacity.accelerators.into());
         let entry = &self.jobs[job];
-        let near = entry.racks.get(usize::from(worker.rack)).copied().unwrap_or(0);
-        let spread = f64::from(near) / f64::from(entry.holds + 1);
+        let tasks_in_rack = entry.runs_by_rack.get(usize::from(worker.rack)).copied().unwrap_or(0);
+        let spread = f64::from(tasks_in_rack) / f64::from(entry.runs + 1);
         let failed = if entry.failed_on.contains(&id) { FAILED_WEIGHT } else { 0.0 };
         Some(FIT_WEIGHT * unused + SPREAD_WEIGHT * spread + failed + risk)
     }
--- a/crates/cell/src/exchange.rs
+++ b/crates/cell/src/exchange.rs
@@ -19,17 +19,17 @@
 use crate::event::Sequence;
 use crate::job::JobId;
 use crate::lease;
-use crate::life::Life;
+use crate::life::Stage;
+use crate::worker::Allocation;
 use crate::worker::Fence;
 use crate::worker::Flight;
 use crate::worker::Health;
-use crate::worker::Hold;
 use crate::worker::WorkerId;
 
 /// Backoff after the first failed exchange; doubled for each further one up to a heartbeat.
-pub(crate) const RETRY: Duration = Duration::from_millis(100);
+pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Consecutive failed exchanges after which a worker is reported as suspect.
-const SUSPECT_MISSES: u32 = 2;
+const SUSPECT_FAILURES: u32 = 2;
 
 impl Cell {
     /// Marks a worker to be processed by [`Cell::flush`] before the step ends.
@@ -48,7 +48,7 @@
             }
             self.timers.pop_first();
             self.workers[id].timer = None;
-            self.check_lapse(id);
+            self.check_expiry(id);
             self.check_quarantine(id);
             self.touch(id);
         }
@@ -62,22 +62,26 @@
             let Some(worker) = self.workers.get_mut(id) else { continue };
             worker.touched = false;
             let Some(epoch) = owned else { continue };
-            let is_due = worker.due <= self.now || worker.has_need();
-            if worker.flight.is_none() && worker.hush <= self.now && is_due {
+            let is_due = worker.next_exchange <= self.now || worker.has_commands();
+            if worker.flight.is_none() && worker.backoff_until <= self.now && is_due {
                 self.send(id, epoch);
             }
-            self.retime(id);
+            self.update_timer(id);
         }
         self.touched = touched;
     }
 
-    fn retime(&mut self, id: WorkerId) {
-        let lapse = self.lapse_due(id);
+    fn update_timer(&mut self, id: WorkerId) {
+        let expiry = self.expiry_due(id);
         let worker = &mut self.workers[id];
-        let said = if worker.has_need() { worker.hush } else { worker.due.max(worker.hush) };
-        let send = worker.flight.is_none().then_some(said);
-        let probe = worker.blame.probe_due().filter(|&due| due > self.now);
-        let time = [lapse, send, probe].into_iter().flatten().min();
+        let next_send = if worker.has_commands() {
+            worker.backoff_until
+        } else {
+            worker.next_exchange.max(worker.backoff_until)
+        };
+        let send = worker.flight.is_none().then_some(next_send);
+        let probe = worker.history.probe_due().filter(|&due| due > self.now);
+        let time = [expiry, send, probe].into_iter().flatten().min();
         if worker.timer == time {
             return;
         }
@@ -90,45 +94,45 @@
     }
 
     /// Returns the time by which all runs of a worker have ended unless its lease is renewed.
-    fn lapse_due(&self, id: WorkerId) -> Option<Time> {
+    fn expiry_due(&self, id: WorkerId) -> Option<Time> {
         let worker = &self.workers[id];
         match worker.fence {
-            Fence::Unfenced => self.former_lapse(),
-            Fence::Fenced => Some(worker.lapse),
-            Fence::Lapsed => None,
+            Fence::Unfenced => self.former_expiry(),
+            Fence::Fenced => Some(worker.lease_expiry),
+            Fence::Expired => None,
         }
     }
 
     /// Drops the runs of a worker that can't be reached and whose leases have all expired.
-    fn check_lapse(&mut self, id: WorkerId) {
-        let Some(lapse) = self.lapse_due(id) else { return };
-        if lapse > self.now {
+    fn check_expiry(&mut self, id: WorkerId) {
+        let Some(expiry) = self.expiry_due(id) else { return };
+        if expiry > self.now {
             return;
         }
         self.lose_runs(id, "its worker can't be reached and its lease has lapsed");
         let worker = &mut self.workers[id];
-        worker.fence = Fence::Lapsed;
+        worker.fence = Fence::Expired;
         worker.health = Health::Suspect;
         worker.version = 0;
         worker.reading = None;
         let name = worker.name.clone();
         self.fencing_changed = true;
-        self.refresh(id);
+        self.update_free_capacity(id);
         self.note(Number::WorkerSuspect, &name, "every lease that it may hold has lapsed");
     }
 
     fn send(&mut self, id: WorkerId, epoch: id::Epoch) {
         self.sequence += 1;
-        let valid = self.lease();
+        let valid = self.grantable_lease();
         let commands = self.commands(id);
         let worker = &mut self.workers[id];
         let reading = worker.reading.filter(|_| !valid.is_zero());
         let grant = reading.map(|reading| Grant { stamp: reading.stamp, valid });
         if let Some(reading) = reading {
-            worker.lapse = worker.lapse.max(lease::lapse(reading.received, valid));
+            worker.lease_expiry = worker.lease_expiry.max(lease::expiry(reading.received, valid));
         }
         let now = self.now;
-        let due = worker.later.extract_if(.., |later| later.from <= now);
+        let due = worker.deferred_acks.extract_if(.., |later| later.from <= now);
         worker.acks.extend(due.map(|later| later.run));
         let acks = std::mem::take(&mut worker.acks);
         let exchange = worker::Exchange {
@@ -144,8 +148,8 @@
         worker.flight = Some(Flight { sequence, acks, stale: false });
         // The policy's lease may not be granted yet, and its heartbeat may be too slow for the
         // shorter one.
-        let within = if valid.is_zero() { self.policy.lease } else { valid } / 3;
-        worker.due = self.now + self.policy.heartbeat.min(within);
+        let heartbeat_max = if valid.is_zero() { self.policy.lease } else { valid } / 3;
+        worker.next_exchange = self.now + self.policy.heartbeat.min(heartbeat_max);
         self.actions.push(Action::Exchange {
             sequence,
             worker: worker.name.clone(),
@@ -157,32 +161,39 @@
     fn commands(&mut self, id: WorkerId) -> Vec<Command> {
         let worker = &mut self.workers[id];
         let mut commands = Vec::new();
-        for hold in worker.holds.iter_mut().filter(|hold| hold.need) {
-            hold.need = false;
-            hold.flying = true;
-            hold.flying_start = matches!(hold.life, Life::Starting(_));
-            hold.tries += 1;
-            commands.push(command(&self.jobs, hold));
+        for allocation in
+            worker.allocations.iter_mut().filter(|allocation| allocation.command_pending)
+        {
+            allocation.command_pending = false;
+            allocation.command_in_flight = true;
+            allocation.start_in_flight = matches!(allocation.stage, Stage::Starting(_));
+            allocation.sends += 1;
+            commands.push(command(&self.jobs, allocation));
         }
         commands
     }
 
     /// Handles an exchange that returned no report.
-    pub(crate) fn miss(&mut self, sequence: Sequence, name: &id::Instance, unknown: bool) {
-        let Some((id, flight)) = self.land_flight(sequence, name) else { return };
+    pub(crate) fn handle_failed_exchange(
+        &mut self,
+        sequence: Sequence,
+        name: &id::Instance,
+        unknown: bool,
+    ) {
+        let Some((id, flight)) = self.finish_exchange(sequence, name) else { return };
         if flight.stale {
             return;
         }
         self.workers[id].acks.extend(flight.acks);
-        self.retry(id, unknown);
+        self.resend_failed(id, unknown);
         let worker = &mut self.workers[id];
-        worker.misses += 1;
-        let backoff = RETRY * 2u32.saturating_pow(worker.misses.min(10) - 1);
-        worker.hush = self.now + backoff.min(self.policy.heartbeat);
-        worker.due = worker.hush;
-        self.refresh(id);
+        worker.failed_exchanges += 1;
+        let backoff = RETRY_DELAY * 2u32.saturating_pow(worker.failed_exchanges.min(10) - 1);
+        worker.backoff_until = self.now + backoff.min(self.policy.heartbeat);
+        worker.next_exchange = worker.backoff_until;
+        self.update_free_capacity(id);
         let worker = &mut self.workers[id];
-        if worker.misses == SUSPECT_MISSES && worker.fence == Fence::Fenced {
+        if worker.failed_exchanges == SUSPECT_FAILURES && worker.fence == Fence::Fenced {
             worker.health = Health::Suspect;
             self.note(
                 Number::WorkerSuspect,
@@ -193,13 +204,13 @@
     }
 
     /// Ends an exchange and returns its worker, or `None` if that is no longer listed.
-    pub(crate) fn land_flight(
+    pub(crate) fn finish_exchange(
         &mut self,
         sequence: Sequence,
         name: &id::Instance,
     ) -> Option<(WorkerId, Flight)> {
         let Some(&id) = self.worker_names.get(name) else {
-            self.orphans.remove(name);
+            self.unlisted_exchanges.remove(name);
             return None;
         };
         let worker = &mut self.workers[id];
@@ -210,24 +221,27 @@
 
     /// Marks the commands of a failed exchange to be sent again; a start that certainly never
     /// arrived is cancelled.
-    fn retry(&mut self, id: WorkerId, unknown: bool) {
+    fn resend_failed(&mut self, id: WorkerId, unknown: bool) {
         let worker = &mut self.workers[id];
         // The worker ignores a start that arrives after the lease granted with it has expired.
-        let lapse = worker.lapse;
-        for hold in worker.holds.iter_mut().filter(|hold| hold.flying) {
-            hold.flying = false;
-            hold.need = true;
-            let was_start = std::mem::take(&mut hold.flying_start);
+        let lease_expiry = worker.lease_expiry;
+        for allocation in
+            worker.allocations.iter_mut().filter(|allocation| allocation.command_in_flight)
+        {
+            allocation.command_in_flight = false;
+            allocation.command_pending = true;
+            let was_start = std::mem::take(&mut allocation.start_in_flight);
             if !unknown {
-                hold.tries -= 1;
+                allocation.sends -= 1;
             } else if was_start {
-                hold.linger = lapse;
+                allocation.late_start_until = lease_expiry;
             }
         }
-        let unsent: Vec<Hold> = worker.holds.extract_if(.., |hold| hold.is_unsent()).collect();
-        for hold in unsent {
-            self.released(id, &hold);
-            self.end_quietly(id, &hold);
+        let unsent: Vec<Allocation> =
+            worker.allocations.extract_if(.., |allocation| allocation.is_unsent()).collect();
+        for allocation in unsent {
+            self.release_allocation(id, &allocation);
+            self.end_without_result(id, &allocation);
         }
     }
 
@@ -235,47 +249,53 @@
     pub(crate) fn stop_task(&mut self, id: WorkerId, job: JobId, task: id::TaskIndex) {
         let worker = &mut self.workers[id];
         let mut unsent = None;
-        for (index, hold) in worker.holds.iter_mut().enumerate() {
-            if hold.job != job || hold.task != task || matches!(hold.life, Life::Stopping(_)) {
+        for (index, allocation) in worker.allocations.iter_mut().enumerate() {
+            if allocation.job != job
+                || allocation.task != task
+                || matches!(allocation.stage, Stage::Stopping(_))
+            {
                 continue;
             }
-            if hold.is_unsent() {
+            if allocation.is_unsent() {
                 unsent = Some(index);
                 continue;
             }
-            hold.life = hold.life.stop();
-            hold.need = true;
+            allocation.stage = allocation.stage.stop();
+            allocation.command_pending = true;
         }
         if let Some(index) = unsent {
-            let hold = self.workers[id].holds.swap_remove(index);
-            self.released(id, &hold);
-            self.end_quietly(id, &hold);
+            let allocation = self.workers[id].allocations.swap_remove(index);
+            self.release_allocation(id, &allocation);
+            self.end_without_result(id, &allocation);
         }
         self.touch(id);
     }
 
     /// Returns the run of an allocation.
-    pub(crate) fn run(&self, hold: &Hold) -> Run {
-        let job = self.jobs[hold.job].name.clone();
-        Run { job, task: hold.task, attempt: hold.attempt }
+    pub(crate) fn run(&self, allocation: &Allocation) -> Run {
+        let job = self.jobs[allocation.job].name.clone();
+        Run { job, task: allocation.task, attempt: allocation.attempt }
     }
 }
 
 /// Builds the command for an allocation's intended lifecycle state.
-fn command(jobs: &cowslipchute_base::entity::Table<crate::job::Job>, hold: &Hold) -> Command {
-    let job = &jobs[hold.job];
-    let run = Run { job: job.name.clone(), task: hold.task, attempt: hold.attempt };
-    match hold.life {
-        Life::Starting(_) => Command::Start {
+fn command(
+    jobs: &cowslipchute_base::entity::Table<crate::job::Job>,
+    allocation: &Allocation,
+) -> Command {
+    let job = &jobs[allocation.job];
+    let run = Run { job: job.name.clone(), task: allocation.task, attempt: allocation.attempt };
+    match allocation.stage {
+        Stage::Starting(_) => Command::Start {
             run,
-            amount: hold.amount,
-            checkpoint: job.live.get(&hold.task).and_then(|task| task.checkpoint.clone()),
+            amount: allocation.amount,
+            checkpoint: job.live.get(&allocation.task).and_then(|task| task.checkpoint.clone()),
             duration: job.spec.as_ref().map_or(Duration::ZERO, |spec| spec.duration),
         },
-        Life::Running(_) | Life::Throttled(_) => {
-            Command::Throttle { run, permille: hold.life.permille() }
+        Stage::Running(_) | Stage::Throttled(_) => {
+            Command::Throttle { run, permille: allocation.stage.permille() }
         }
-        Life::Evicting(_) => Command::Evict { run },
-        Life::Stopping(_) => Command::Stop { run },
+        Stage::Evicting(_) => Command::Evict { run },
+        Stage::Stopping(_) => Command::Stop { run },
     }
 }
--- a/crates/cell/src/fit.rs
+++ b/crates/cell/src/fit.rs
@@ -8,10 +8,10 @@
 
 impl Cell {
     /// Checks all jobs against the listed workers' capacities.
-    pub(crate) fn refit(&mut self) {
+    pub(crate) fn check_fit_all(&mut self) {
         let jobs: Vec<JobId> = self.jobs.iter().map(|(id, _)| id).collect();
         for id in jobs {
-            if self.refit_job(id) {
+            if self.check_fit(id) {
                 self.enqueue(id);
             }
         }
@@ -19,9 +19,13 @@
 
     /// Parks a job that fits no listed worker and unparks one that does; returns `true` on a
     /// change.
-    pub(crate) fn refit_job(&mut self, id: JobId) -> bool {
+    pub(crate) fn check_fit(&mut self, id: JobId) -> bool {
         let job = &self.jobs[id];
-        if job.spec.is_none() || self.view == 0 || job.is_cancelled() || job.broken {
+        if job.spec.is_none()
+            || self.list_version == 0
+            || job.is_cancelled()
+            || job.fails_everywhere
+        {
             return false;
         }
         let amount = job.declared();
@@ -34,15 +38,15 @@
             self.jobs[id].parked = None;
             self.note(Number::TaskUnparked, &name, "a worker is large enough for it");
         } else {
-            let reason = self.unfit(amount);
+            let reason = self.unfit_reason(amount);
             self.jobs[id].parked = Some(reason.clone());
             self.note(Number::TaskParked, &name, reason);
         }
         true
     }
 
-    fn unfit(&self, amount: Amount) -> String {
-        let largest = self.largest();
+    fn unfit_reason(&self, amount: Amount) -> String {
+        let largest = self.largest_capacity();
         let asked = [
             ("cpu_milli", amount.cpu_milli, largest.cpu_milli),
             ("memory_mib", amount.memory_mib, largest.memory_mib),
@@ -60,7 +64,7 @@
     }
 
     /// Returns the largest capacity of any worker in each dimension.
-    pub(crate) fn largest(&self) -> Amount {
+    pub(crate) fn largest_capacity(&self) -> Amount {
         self.workers.iter().fold(Amount::ZERO, |most, (_, worker)| Amount {
             cpu_milli: most.cpu_milli.max(worker.capacity.cpu_milli),
             memory_mib: most.memory_mib.max(worker.capacity.memory_mib),
--- a/crates/cell/src/interfere.rs
+++ b/crates/cell/src/interfere.rs
@@ -16,15 +16,15 @@
 use crate::job::JobId;
 
 /// Prior mean of a neighbour's effect on a paying task's slowdown, in thousandths.
-const PRIOR: f32 = 2.0;
+const PRIOR_MEAN: f32 = 2.0;
 /// Prior variance of a pair.
 const PRIOR_VARIANCE: f32 = 900.0;
 /// Variance of one measurement.
-const NOISE: f32 = 100.0;
+const MEASUREMENT_VARIANCE: f32 = 100.0;
 /// Maximum variance of a pair that counts as measured.
-const MEASURED: f32 = 300.0;
+const MEASURED_VARIANCE_MAX: f32 = 300.0;
 /// Variance added to a pair with each measurement, so that the estimate follows a changing load.
-const DRIFT: f32 = 0.5;
+const DRIFT_VARIANCE: f32 = 0.5;
 /// Learning rate of a class's mean for each measurement of one of its pairs.
 const CLASS_RATE: f32 = 0.02;
 /// Number of pairs above which those of removed jobs are dropped.
@@ -55,7 +55,7 @@
 pub(crate) type Neighbours = SmallVec<[Neighbour; 16]>;
 
 /// Jobs whose effect on another one has just become measured.
-pub(crate) type Met = SmallVec<[JobId; 4]>;
+pub(crate) type Measured = SmallVec<[JobId; 4]>;
 
 /// The interference model.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
 
 impl Default for Model {
     fn default() -> Self {
-        Model { pairs: HashMap::new(), classes: [PRIOR; Class::ALL.len()] }
+        Model { pairs: HashMap::new(), classes: [PRIOR_MEAN; Class::ALL.len()] }
     }
 }
 
@@ -81,37 +81,38 @@
     /// Returns `true` if the effect of a job on another one has been measured well enough.
     pub(crate) fn is_measured(&self, victim: JobId, neighbour: JobId) -> bool {
         let pair = Pair { victim, neighbour };
-        self.pairs.get(&pair).is_some_and(|estimate| estimate.variance <= MEASURED)
+        self.pairs.get(&pair).is_some_and(|estimate| estimate.variance <= MEASURED_VARIANCE_MAX)
     }
 
     /// Updates the model with one measured slowdown, in thousandths above none; returns the
     /// neighbours whose effect has become measured.
-    pub(crate) fn learn(&mut self, victim: JobId, neighbours: &Neighbours, extra: f32) -> Met {
+    pub(crate) fn learn(&mut self, victim: JobId, neighbours: &Neighbours, extra: f32) -> Measured {
         let mut predicted = 0.0;
-        let mut uncertainty = NOISE;
+        let mut uncertainty = MEASUREMENT_VARIANCE;
         for neighbour in neighbours {
             let estimate = self.estimate(victim, neighbour);
             predicted += neighbour.share * estimate.mean;
             uncertainty += neighbour.share * neighbour.share * estimate.variance;
         }
         let error = extra - predicted;
-        let mut met = Met::new();
+        let mut newly_measured = Measured::new();
         for neighbour in neighbours {
             let mut estimate = self.estimate(victim, neighbour);
             let gain = estimate.variance * neighbour.share / uncertainty;
             // A neighbour never makes a run faster.
             estimate.mean = (estimate.mean + gain * error).max(0.0);
-            estimate.variance = (1.0 - gain * neighbour.share) * estimate.variance + DRIFT;
+            estimate.variance = (1.0 - gain * neighbour.share) * estimate.variance + DRIFT_VARIANCE;
             let class = &mut self.classes[neighbour.class as usize];
             *class += CLASS_RATE * (estimate.mean - *class);
             let pair = Pair { victim, neighbour: neighbour.job };
             let before = self.pairs.insert(pair, estimate);
-            let was_measured = before.is_some_and(|before| before.variance <= MEASURED);
-            if !was_measured && estimate.variance <= MEASURED {
-                met.push(neighbour.job);
+            let was_measured =
+                before.is_some_and(|before| before.variance <= MEASURED_VARIANCE_MAX);
+            if !was_measured && estimate.variance <= MEASURED_VARIANCE_MAX {
+                newly_measured.push(neighbour.job);
             }
         }
-        met
+        newly_measured
     }
 
     fn estimate(&self, victim: JobId, neighbour: &Neighbour) -> Estimate {
@@ -124,8 +125,8 @@
     /// Drops the pairs of removed jobs once there are many pairs.
     pub(crate) fn trim(&mut self, jobs: &Table<Job>) {
         if self.pairs.len() > PAIRS_MAX {
-            let lives = |job: JobId| jobs.get(job).is_some();
-            self.pairs.retain(|pair, _| lives(pair.victim) && lives(pair.neighbour));
+            let exists = |job: JobId| jobs.get(job).is_some();
+            self.pairs.retain(|pair, _| exists(pair.victim) && exists(pair.neighbour));
         }
     }
 
--- a/crates/cell/src/inventory.rs
+++ b/crates/cell/src/inventory.rs
@@ -15,12 +15,12 @@
 use crate::job::JobId;
 use crate::job::Outcome;
 use crate::job::State;
-use crate::life::Life;
 use crate::life::Running;
+use crate::life::Stage;
 use crate::life::Starting;
-use crate::usage::Speed;
-use crate::worker::Hold;
-use crate::worker::Later;
+use crate::usage::Measurement;
+use crate::worker::Ack;
+use crate::worker::Allocation;
 use crate::worker::WorkerId;
 
 /// One attempt of one task.
@@ -32,7 +32,7 @@
 }
 
 /// The relation of a reported run to its task.
-enum Standing {
+enum Relation {
     /// The task's current run, which replaces the run recorded so far.
     Current,
     /// The task has ended or has a newer run; the run is ignored.
@@ -44,33 +44,34 @@
 
 impl Cell {
     /// Applies a report's inventory.
-    pub(crate) fn take_inventory(&mut self, id: WorkerId, report: &Report) {
+    pub(crate) fn apply_inventory(&mut self, id: WorkerId, report: &Report) {
         let mut keys = HashSet::new();
         for held in &report.held {
-            let job = self.job(&held.run.job);
+            let job = self.job_or_insert(&held.run.job);
             let key = Key { job, task: held.run.task, attempt: held.run.attempt };
-            self.take_held(id, key, held);
+            self.apply_held(id, key, held);
             keys.insert(key);
         }
         if !report.whole {
             return;
         }
         let worker = &mut self.workers[id];
-        let vanished: Vec<Hold> = worker
-            .holds
-            .extract_if(.., |hold| {
-                let key = Key { job: hold.job, task: hold.task, attempt: hold.attempt };
-                !matches!(hold.life, Life::Starting(_)) && !keys.contains(&key)
+        let missing: Vec<Allocation> = worker
+            .allocations
+            .extract_if(.., |allocation| {
+                let key =
+                    Key { job: allocation.job, task: allocation.task, attempt: allocation.attempt };
+                !matches!(allocation.stage, Stage::Starting(_)) && !keys.contains(&key)
             })
             .collect();
-        for hold in vanished {
-            self.released(id, &hold);
-            self.note_lost(id, &hold, "its worker no longer reports it");
-            self.end_quietly(id, &hold);
+        for allocation in missing {
+            self.release_allocation(id, &allocation);
+            self.note_lost(id, &allocation, "its worker no longer reports it");
+            self.end_without_result(id, &allocation);
         }
     }
 
-    fn take_held(&mut self, id: WorkerId, key: Key, held: &Held) {
+    fn apply_held(&mut self, id: WorkerId, key: Key, held: &Held) {
         match &held.phase {
             Phase::Running | Phase::Stopping => self.found_running(id, key, held),
             Phase::Forgotten => self.found_forgotten(id, key),
@@ -83,59 +84,62 @@
         if let Some(index) = self.workers[id].find(key.job, key.task, key.attempt) {
             return self.confirm(id, index, held);
         }
-        let life = match self.standing(id, key) {
-            Standing::Current => {
-                self.claim(id, key);
-                Life::Running(Running)
+        let stage = match self.relation(id, key) {
+            Relation::Current => {
+                self.adopt(id, key);
+                Stage::Running(Running)
             }
-            Standing::Lingering => {
+            Relation::Lingering => {
                 self.jobs[key.job].set(key.task, State::Placed(id));
-                Life::Running(Running).stop()
+                Stage::Running(Running).stop()
             }
-            Standing::Stale => Life::Running(Running).stop(),
+            Relation::Stale => Stage::Running(Running).stop(),
         };
         let unwanted = self.jobs[key.job].is_unwanted(key.task);
-        let life = if unwanted { life.stop() } else { life };
-        let life = if stopping && !life.is_ending() { life.evict().unwrap_or(life) } else { life };
-        let hold = Hold {
+        let stage = if unwanted { stage.stop() } else { stage };
+        let stage =
+            if stopping && !stage.is_ending() { stage.evict().unwrap_or(stage) } else { stage };
+        let allocation = Allocation {
             job: key.job,
             task: key.task,
             attempt: key.attempt,
             amount: held.amount,
-            life,
+            stage,
             since: self.now,
-            ending: Time::ZERO,
-            speed: Speed::default(),
-            former: None,
-            need: life.is_ending() && !stopping,
-            flying: false,
-            tries: 1,
-            flying_start: false,
-            linger: Time::ZERO,
+            evicted_at: Time::ZERO,
+            measurement: Measurement::default(),
+            previous_throttle: None,
+            command_pending: stage.is_ending() && !stopping,
+            command_in_flight: false,
+            sends: 1,
+            start_in_flight: false,
+            late_start_until: Time::ZERO,
         };
-        let hold = Hold { life: throttled(hold.life, held.permille), ..hold };
-        self.hold(id, hold);
+        let allocation =
+            Allocation { stage: with_throttle(allocation.stage, held.permille), ..allocation };
+        self.add_allocation(id, allocation);
     }
 
     fn confirm(&mut self, id: WorkerId, index: usize, held: &Held) {
         let worker = &mut self.workers[id];
-        let hold = &mut worker.holds[index];
-        let was_starting = matches!(hold.life, Life::Starting(_));
-        hold.life = hold.life.confirm();
-        let (job, before) = (hold.job, hold.amount);
-        hold.amount = held.amount;
+        let allocation = &mut worker.allocations[index];
+        let was_starting = matches!(allocation.stage, Stage::Starting(_));
+        allocation.stage = allocation.stage.confirm();
+        let (job, before) = (allocation.job, allocation.amount);
+        allocation.amount = held.amount;
         if was_starting {
-            hold.since = self.now;
+            allocation.since = self.now;
         }
-        let said = hold.need || hold.flying;
-        if held.phase == Phase::Stopping && !hold.life.is_ending() {
-            hold.life = hold.life.evict().unwrap_or(hold.life);
-            hold.need = false;
-        } else if held.phase == Phase::Running && !said {
-            hold.need = hold.life.is_ending() || hold.life.permille() != held.permille;
+        let is_command_pending = allocation.command_pending || allocation.command_in_flight;
+        if held.phase == Phase::Stopping && !allocation.stage.is_ending() {
+            allocation.stage = allocation.stage.evict().unwrap_or(allocation.stage);
+            allocation.command_pending = false;
+        } else if held.phase == Phase::Running && !is_command_pending {
+            allocation.command_pending =
+                allocation.stage.is_ending() || allocation.stage.permille() != held.permille;
         }
         if before != held.amount {
-            self.resized(id, job, before, held.amount);
+            self.resize_allocation(id, job, before, held.amount);
         }
         if was_starting {
             let name = self.workers[id].name.clone();
@@ -149,30 +153,30 @@
     }
 
     /// Classifies a reported run by the state of its task.
-    fn standing(&mut self, id: WorkerId, key: Key) -> Standing {
+    fn relation(&mut self, id: WorkerId, key: Key) -> Relation {
         let job = &mut self.jobs[key.job];
-        if job.is_fated(key.task) || key.attempt <= job.floor {
-            return Standing::Stale;
+        if job.has_ended(key.task) || key.attempt <= job.floor {
+            return Relation::Stale;
         }
-        let Some(task) = job.live.get(&key.task) else { return Standing::Current };
+        let Some(task) = job.live.get(&key.task) else { return Relation::Current };
         match task.state {
             // The store may have this end already; a newer run doesn't revert it.
-            State::Settling(Outcome::Done | Outcome::Cancelled) => Standing::Stale,
-            State::Queued | State::Parked(_) if key.attempt < task.attempt => Standing::Lingering,
-            State::Queued | State::Parked(_) => Standing::Current,
+            State::Settling(Outcome::Done | Outcome::Cancelled) => Relation::Stale,
+            State::Queued | State::Parked(_) if key.attempt < task.attempt => Relation::Lingering,
+            State::Queued | State::Parked(_) => Relation::Current,
             State::Placed(worker) if worker == id && key.attempt == task.attempt => {
-                Standing::Current
+                Relation::Current
             }
-            State::Placed(_) | State::Settling(_) if key.attempt <= task.attempt => Standing::Stale,
-            State::Placed(_) | State::Settling(_) => Standing::Current,
+            State::Placed(_) | State::Settling(_) if key.attempt <= task.attempt => Relation::Stale,
+            State::Placed(_) | State::Settling(_) => Relation::Current,
         }
     }
 
     /// Makes a reported run the task's current one; a run on another worker is older and is
     /// stopped.
-    fn claim(&mut self, id: WorkerId, key: Key) {
+    fn adopt(&mut self, id: WorkerId, key: Key) {
         let job = &mut self.jobs[key.job];
-        job.highest = job.highest.max(key.attempt);
+        job.highest_attempt = job.highest_attempt.max(key.attempt);
         let task = job.entry(key.task);
         task.attempt = key.attempt;
         let before = std::mem::replace(&mut task.state, State::Placed(id));
@@ -187,57 +191,58 @@
     fn found_forgotten(&mut self, id: WorkerId, key: Key) {
         let Some(index) = self.workers[id].find(key.job, key.task, key.attempt) else { return };
         let worker = &mut self.workers[id];
-        if worker.holds[index].linger > self.now {
+        if worker.allocations[index].late_start_until > self.now {
             // An exchange that was given up as lost may still start the run; the allocation is kept
             // so that the run is stopped then.
-            worker.holds[index].need = true;
-            worker.hush = self.now + self.policy.heartbeat;
+            worker.allocations[index].command_pending = true;
+            worker.backoff_until = self.now + self.policy.heartbeat;
             return;
         }
-        let hold = self.workers[id].holds.swap_remove(index);
-        self.released(id, &hold);
-        self.end_quietly(id, &hold);
+        let allocation = self.workers[id].allocations.swap_remove(index);
+        self.release_allocation(id, &allocation);
+        self.end_without_result(id, &allocation);
     }
 
     fn found_result(&mut self, id: WorkerId, key: Key, phase: &Phase) {
-        let hold = match self.workers[id].find(key.job, key.task, key.attempt) {
+        let allocation = match self.workers[id].find(key.job, key.task, key.attempt) {
             Some(index) => {
-                let hold = self.workers[id].holds.swap_remove(index);
-                self.released(id, &hold);
-                Some(hold)
+                let allocation = self.workers[id].allocations.swap_remove(index);
+                self.release_allocation(id, &allocation);
+                Some(allocation)
             }
             None => None,
         };
-        if self.is_kept(id, key) {
+        if self.is_result_pending(id, key) {
             return;
         }
-        if let (Phase::Evicted { .. }, Some(hold)) = (phase, &hold)
-            && hold.ending > Time::ZERO
+        if let (Phase::Evicted { .. }, Some(allocation)) = (phase, &allocation)
+            && allocation.evicted_at > Time::ZERO
         {
-            self.learn_checkpoint(hold.ending);
+            self.record_checkpoint_time(allocation.evicted_at);
         }
-        let linger = hold.as_ref().map_or(Time::ZERO, |hold| hold.linger);
-        match self.standing(id, key) {
-            Standing::Current => {
-                self.claim(id, key);
-                self.end_run(id, key, phase, linger);
+        let ack_from =
+            allocation.as_ref().map_or(Time::ZERO, |allocation| allocation.late_start_until);
+        match self.relation(id, key) {
+            Relation::Current => {
+                self.adopt(id, key);
+                self.end_run(id, key, phase, ack_from);
             }
-            Standing::Stale | Standing::Lingering => {
-                self.ack(id, key, linger);
-                if let Some(hold) = hold {
-                    self.end_quietly(id, &hold);
+            Relation::Stale | Relation::Lingering => {
+                self.ack(id, key, ack_from);
+                if let Some(allocation) = allocation {
+                    self.end_without_result(id, &allocation);
                 }
             }
         }
     }
 
     /// Returns `true` if a result is already being written to the store.
-    fn is_kept(&self, id: WorkerId, key: Key) -> bool {
+    fn is_result_pending(&self, id: WorkerId, key: Key) -> bool {
         let job = &self.jobs[key.job];
         let Some(task) = job.live.get(&key.task) else { return false };
         matches!(task.state, State::Settling(_))
             && task.attempt == key.attempt
-            && self.ledger.keeps(job, id, key)
+            && self.writer.has_result(job, id, key)
     }
 
     /// Acknowledges a result, so that the worker drops it, in the first exchange at or after
@@ -248,49 +253,53 @@
         let worker = &mut self.workers[id];
         if from <= self.now {
             worker.acks.push(run);
-        } else if !worker.later.iter().any(|later| later.run == run) {
-            worker.later.push(Later { run, from });
+        } else if !worker.deferred_acks.iter().any(|later| later.run == run) {
+            worker.deferred_acks.push(Ack { run, from });
         }
     }
 
     /// Drops all allocations of a worker whose runs are certain to have ended.
     pub(crate) fn lose_runs(&mut self, id: WorkerId, reason: &str) {
-        let holds = std::mem::take(&mut self.workers[id].holds);
-        for hold in &holds {
-            self.released(id, hold);
-            self.note_lost(id, hold, reason);
-            self.end_quietly(id, hold);
+        let allocations = std::mem::take(&mut self.workers[id].allocations);
+        for allocation in &allocations {
+            self.release_allocation(id, allocation);
+            self.note_lost(id, allocation, reason);
+            self.end_without_result(id, allocation);
         }
     }
 
-    fn note_lost(&mut self, id: WorkerId, hold: &Hold, reason: &str) {
+    fn note_lost(&mut self, id: WorkerId, allocation: &Allocation, reason: &str) {
         let name = self.workers[id].name.clone();
-        let run = self.run(hold);
+        let run = self.run(allocation);
         self.note_run(Number::TaskLost, &name, run, reason);
     }
 
     /// Creates the allocation of a run whose start was not sent yet.
-    pub(crate) fn starting(&self, key: Key, amount: cowslipchute_base::amount::Amount) -> Hold {
-        Hold {
+    pub(crate) fn new_allocation(
+        &self,
+        key: Key,
+        amount: cowslipchute_base::amount::Amount,
+    ) -> Allocation {
+        Allocation {
             job: key.job,
             task: key.task,
             attempt: key.attempt,
             amount,
-            life: Life::Starting(Starting),
+            stage: Stage::Starting(Starting),
             since: self.now,
-            ending: Time::ZERO,
-            speed: Speed::default(),
-            former: None,
-            need: true,
-            flying: false,
-            tries: 0,
-            flying_start: false,
-            linger: Time::ZERO,
+            evicted_at: Time::ZERO,
+            measurement: Measurement::default(),
+            previous_throttle: None,
+            command_pending: true,
+            command_in_flight: false,
+            sends: 0,
+            start_in_flight: false,
+            late_start_until: Time::ZERO,
         }
     }
 }
 
 /// Applies a reported throttle, which a former owner may have set, to the run's lifecycle.
-fn throttled(life: Life, permille: u16) -> Life {
-    if life.is_ending() { life } else { life.throttle(permille).unwrap_or(life) }
+fn with_throttle(stage: Stage, permille: u16) -> Stage {
+    if stage.is_ending() { stage } else { stage.throttle(permille).unwrap_or(stage) }
 }
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -18,7 +18,7 @@
 use smallvec::SmallVec;
 
 use crate::blame::Score;
-use crate::queue::Place;
+use crate::queue::Item;
 use crate::quota::TeamIndex;
 use crate::record::Span;
 use crate::size::Size;
@@ -76,16 +76,16 @@
     pub(crate) task: TaskIndex,
     pub(crate) attempt: Attempt,
     /// The worker that retains the result; `None` if the run ended with its worker.
-    pub(crate) keeper: Option<Keeper>,
+    pub(crate) holder: Option<Holder>,
 }
 
 /// The incarnation of a worker that retains a result until it is acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Keeper {
+pub(crate) struct Holder {
     pub(crate) worker: WorkerId,
     pub(crate) incarnation: id::Incarnation,
     /// The earliest time at which the result may be acknowledged.
-    pub(crate) linger: Time,
+    pub(crate) ack_from: Time,
 }
 
 #[derive(Clone, Debug)]
@@ -96,44 +96,44 @@
     /// Position in order of arrival.
     pub(crate) order: u64,
     /// The job is no longer declared; it is dropped after its last run has ended.
-    pub(crate) gone: bool,
+    pub(crate) removed: bool,
     /// Whether its record is being removed from the store.
-    pub(crate) removing: bool,
+    pub(crate) deleting_record: bool,
     /// A new declaration under the same name, received while the former one's last runs end.
     pub(crate) successor: Option<Arc<job::Spec>>,
     /// The highest attempt of any of its tasks.
-    pub(crate) highest: Attempt,
+    pub(crate) highest_attempt: Attempt,
     /// The reason why none of its tasks may start.
     pub(crate) parked: Option<String>,
     /// Its entry in the queue, if it has one.
-    pub(crate) place: Option<Place>,
+    pub(crate) queue_item: Option<Item>,
     /// Tasks that are neither fresh nor ended.
     pub(crate) live: BTreeMap<TaskIndex, Task>,
     /// The tasks in `live` that wait for a worker.
     pub(crate) queued: BTreeSet<TaskIndex>,
     /// Tasks from this index on that are in no other set are fresh: they wait for a first run.
-    pub(crate) fresh: TaskIndex,
+    pub(crate) first_fresh: TaskIndex,
     pub(crate) done: Spans,
     pub(crate) cancelled: Spans,
     /// Ends of runs that are not in a batch yet.
     pub(crate) pending: Vec<Pending>,
     /// Number of batches in flight that contain its record.
-    pub(crate) writing: u32,
+    pub(crate) writes_in_flight: u32,
     /// Number of its runs on workers, including those of older attempts.
-    pub(crate) holds: u32,
+    pub(crate) runs: u32,
     /// Number of its runs by rack.
-    pub(crate) racks: SmallVec<[u16; 8]>,
+    pub(crate) runs_by_rack: SmallVec<[u16; 8]>,
     /// The sum of its runs' allocations.
-    pub(crate) taken: Amount,
+    pub(crate) allocated: Amount,
     /// Whether its runs are counted as best-effort, which are those that must leave the reserve
     /// free.
-    pub(crate) low: bool,
+    pub(crate) best_effort: bool,
     /// The index of its team in the cell's table.
     pub(crate) team: TeamIndex,
     /// Measured usage of its tasks.
     pub(crate) size: Size,
     /// The allocation of its next task; zero while there are too few measurements.
-    pub(crate) amount: Amount,
+    pub(crate) learnt_amount: Amount,
     /// Failure statistics of its runs.
     pub(crate) score: Score,
     /// Number of runs that failed since one completed.
@@ -141,7 +141,7 @@
     /// Workers on which it failed since one of its runs completed.
     pub(crate) failed_on: SmallVec<[WorkerId; 4]>,
     /// Whether it is parked because it fails on every worker.
-    pub(crate) broken: bool,
+    pub(crate) fails_everywhere: bool,
     /// Attempts up to this one belong to an earlier job of the same name.
     pub(crate) floor: Attempt,
 }
@@ -152,30 +152,30 @@
             name,
             spec: None,
             order,
-            gone: false,
-            removing: false,
+            removed: false,
+            deleting_record: false,
             successor: None,
-            highest: 0,
+            highest_attempt: 0,
             parked: None,
-            place: None,
+            queue_item: None,
             live: BTreeMap::new(),
             queued: BTreeSet::new(),
-            fresh: 0,
+            first_fresh: 0,
             done: Spans::default(),
             cancelled: Spans::default(),
             pending: Vec::new(),
-            writing: 0,
-            holds: 0,
-            racks: SmallVec::new(),
-            taken: Amount::ZERO,
-            low: false,
+            writes_in_flight: 0,
+            runs: 0,
+            runs_by_rack: SmallVec::new(),
+            allocated: Amount::ZERO,
+            best_effort: false,
             team: 0,
             size: Size::default(),
-            amount: Amount::ZERO,
+            learnt_amount: Amount::ZERO,
             score: Score::default(),
             failures: 0,
             failed_on: SmallVec::new(),
-            broken: false,
+            fails_everywhere: false,
             floor: 0,
         }
     }
@@ -184,9 +184,9 @@
     pub(crate) fn reset(&mut self) {
         let fresh = Job::open(self.name.clone(), self.order);
         let spec = self.spec.take();
-        let gone = self.gone;
+        let removed = self.removed;
         let successor = self.successor.take();
-        *self = Job { spec, gone, successor, team: self.team, ..fresh };
+        *self = Job { spec, removed, successor, team: self.team, ..fresh };
     }
 
     pub(crate) fn class(&self) -> Class {
@@ -207,7 +207,7 @@
 
     /// Returns `true` if no task of the job should run any more.
     pub(crate) fn is_cancelled(&self) -> bool {
-        self.gone || self.spec.as_ref().is_some_and(|spec| spec.cancelled)
+        self.removed || self.spec.as_ref().is_some_and(|spec| spec.cancelled)
     }
 
     /// Returns `true` if a task should not run any more; `false` for jobs that are not declared
@@ -217,7 +217,7 @@
     }
 
     /// Returns `true` if a task has completed or was cancelled.
-    pub(crate) fn is_fated(&self, index: TaskIndex) -> bool {
+    pub(crate) fn has_ended(&self, index: TaskIndex) -> bool {
         self.done.contains(index) || self.cancelled.contains(index)
     }
 
@@ -227,16 +227,16 @@
             return Some(index);
         }
         self.skip_fresh();
-        (self.fresh < self.tasks()).then_some(self.fresh)
+        (self.first_fresh < self.tasks()).then_some(self.first_fresh)
     }
 
     fn skip_fresh(&mut self) {
-        while self.fresh < self.tasks() {
-            let next = self.cancelled.skip(self.done.skip(self.fresh));
-            if next == self.fresh && !self.live.contains_key(&next) {
+        while self.first_fresh < self.tasks() {
+            let next = self.cancelled.skip(self.done.skip(self.first_fresh));
+            if next == self.first_fresh && !self.live.contains_key(&next) {
                 return;
             }
-            self.fresh = if next == self.fresh { next + 1 } else { next };
+            self.first_fresh = if next == self.first_fresh { next + 1 } else { next };
         }
     }
 
@@ -283,11 +283,11 @@
     /// Cancels every task from `from` on that is on no worker and returns their number.
     pub(crate) fn cancel_waiting(&mut self, from: TaskIndex, to: TaskIndex) -> u32 {
         let before = self.cancelled.len();
-        let idle = |task: &Task| matches!(task.state, State::Queued | State::Parked(_));
+        let is_idle = |task: &Task| matches!(task.state, State::Queued | State::Parked(_));
         let entries: SmallVec<[TaskIndex; 16]> = self
             .live
             .range(from..)
-            .filter(|(_, task)| idle(task))
+            .filter(|(_, task)| is_idle(task))
             .map(|(&index, _)| index)
             .collect();
         for index in entries {
@@ -299,26 +299,26 @@
 
     /// Cancels the fresh tasks of a span; the cost depends on the number of gaps in it.
     fn cancel_fresh(&mut self, from: TaskIndex, to: TaskIndex) {
-        let mut start = from.max(self.fresh);
+        let mut start = from.max(self.first_fresh);
         while start < to {
             let next = self.cancelled.skip(self.done.skip(start));
             if next > start || self.live.contains_key(&start) {
                 start = next.max(start + 1);
                 continue;
             }
-            let end = self.next_taken(start).min(to);
+            let end = self.next_occupied(start).min(to);
             self.cancelled.insert_span(Span { start, end });
             start = end;
         }
     }
 
-    fn next_taken(&self, start: TaskIndex) -> TaskIndex {
+    fn next_occupied(&self, start: TaskIndex) -> TaskIndex {
         let live = self.live.range(start..).next().map_or(TaskIndex::MAX, |(&index, _)| index);
         live.min(self.done.next(start)).min(self.cancelled.next(start))
     }
 
     /// Returns `true` if the job has no run on a worker and no pending write to the store.
     pub(crate) fn is_idle(&self) -> bool {
-        self.holds == 0 && self.pending.is_empty() && self.writing == 0
+        self.runs == 0 && self.pending.is_empty() && self.writes_in_flight == 0
     }
 }
--- a/crates/cell/src/jobs.rs
+++ b/crates/cell/src/jobs.rs
@@ -21,47 +21,47 @@
 use crate::size::Size;
 
 /// Time that an undeclared job's runs and records are kept while its declaration may still arrive.
-const STRANGER: Duration = Duration::from_secs(30);
+const UNDECLARED_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A job that is known from a worker or the store and may never be declared.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Stranger {
+pub(crate) struct Undeclared {
     pub(crate) since: Time,
     job: JobId,
 }
 
 impl Cell {
     /// Returns the time at which the next undeclared job is to be removed.
-    pub(crate) fn stranger_due(&self) -> Option<Time> {
-        let due = self.strangers.front().map(|stranger| stranger.since + STRANGER);
+    pub(crate) fn undeclared_due(&self) -> Option<Time> {
+        let due = self.undeclared.front().map(|undeclared| undeclared.since + UNDECLARED_TIMEOUT);
         due.filter(|_| self.ownership.is_ready())
     }
 
     /// Returns a job by name; an unknown one gets an entry without a declaration.
-    pub(crate) fn job(&mut self, name: &id::Job) -> JobId {
+    pub(crate) fn job_or_insert(&mut self, name: &id::Job) -> JobId {
         if let Some(&id) = self.job_names.get(name) {
             return id;
         }
         self.arrivals += 1;
         let mut job = Job::open(name.clone(), self.arrivals);
-        job.floor = self.floors.get(name).copied().unwrap_or(0);
+        job.floor = self.attempt_floors.get(name).copied().unwrap_or(0);
         let id = self.jobs.insert(job);
         self.job_names.insert(name.clone(), id);
-        self.strangers.push_back(Stranger { since: self.now, job: id });
+        self.undeclared.push_back(Undeclared { since: self.now, job: id });
         id
     }
 
-    pub(crate) fn load(&mut self, records: &[Record]) {
+    pub(crate) fn load_records(&mut self, records: &[Record]) {
         for record in records.iter().filter(|record| &*record.job != LIST) {
-            let id = self.job(&record.job);
+            let id = self.job_or_insert(&record.job);
             self.jobs[id].load(record);
         }
     }
 
-    pub(crate) fn declare(&mut self, name: id::Job, spec: Arc<job::Spec>) {
-        let id = self.job(&name);
+    pub(crate) fn declare_job(&mut self, name: id::Job, spec: Arc<job::Spec>) {
+        let id = self.job_or_insert(&name);
         let job = &mut self.jobs[id];
-        if job.gone {
+        if job.removed {
             job.successor = Some(spec);
             return;
         }
@@ -69,25 +69,25 @@
             return;
         }
         job.spec = Some(spec);
-        job.amount = Amount::ZERO;
+        job.learnt_amount = Amount::ZERO;
         job.size = Size::default();
-        self.join(id);
-        self.unpark(id);
-        self.apply(id);
+        self.set_team(id);
+        self.unpark_tasks(id);
+        self.reconcile(id);
     }
 
-    pub(crate) fn undeclare(&mut self, name: &id::Job) {
+    pub(crate) fn remove_job(&mut self, name: &id::Job) {
         let Some(&id) = self.job_names.get(name) else { return };
         let job = &mut self.jobs[id];
-        job.gone = true;
+        job.removed = true;
         job.successor = None;
-        self.apply(id);
+        self.reconcile(id);
     }
 
     /// Reconciles a job's tasks with its declaration.
-    pub(crate) fn apply(&mut self, id: JobId) {
+    pub(crate) fn reconcile(&mut self, id: JobId) {
         if self.ownership.epoch().is_none() {
-            return self.finish_job(id);
+            return self.schedule_reap(id);
         }
         let job = &mut self.jobs[id];
         let tasks = job.tasks();
@@ -96,28 +96,28 @@
         let cancelled = job.cancel_waiting(kept, tasks.max(last));
         let name = job.name.clone();
         if cancelled > 0 {
-            self.ledger.mark(id);
+            self.writer.mark(id);
             let reason = format!("{cancelled} tasks that were on no worker");
             self.note(Number::TaskCancelled, &name, reason);
         }
-        self.stop_from(id, kept);
-        self.refit_job(id);
+        self.stop_tasks_from(id, kept);
+        self.check_fit(id);
         self.enqueue(id);
-        self.finish_job(id);
+        self.schedule_reap(id);
     }
 
     /// Reconciles all jobs, whose declarations may have changed while the cell was not owned.
-    pub(crate) fn apply_all(&mut self) {
+    pub(crate) fn reconcile_all(&mut self) {
         let jobs: Vec<JobId> = self.jobs.iter().map(|(id, _)| id).collect();
         for id in jobs {
             if self.jobs.get(id).is_some_and(|job| job.spec.is_some()) {
-                self.apply(id);
+                self.reconcile(id);
             }
         }
     }
 
     /// Stops the runs of a job's tasks from `kept` on.
-    fn stop_from(&mut self, id: JobId, kept: TaskIndex) {
+    fn stop_tasks_from(&mut self, id: JobId, kept: TaskIndex) {
         let placed: Vec<(TaskIndex, _)> = self.jobs[id]
             .live
             .range(kept..)
@@ -131,10 +131,10 @@
         }
     }
 
-    fn unpark(&mut self, id: JobId) {
+    fn unpark_tasks(&mut self, id: JobId) {
         let job = &mut self.jobs[id];
         job.parked = None;
-        job.broken = false;
+        job.fails_everywhere = false;
         let parked: Vec<TaskIndex> = job
             .live
             .iter()
@@ -149,7 +149,7 @@
             return;
         }
         let name = job.name.clone();
-        self.ledger.mark(id);
+        self.writer.mark(id);
         let reason = format!("the job was changed; {} tasks", parked.len());
         self.note(Number::TaskUnparked, &name, reason);
     }
@@ -159,21 +159,21 @@
         for id in jobs {
             let job = &mut self.jobs[id];
             job.reset();
-            if job.gone || job.spec.is_none() {
-                let declared = job.successor.clone();
+            if job.removed || job.spec.is_none() {
+                let successor = job.successor.clone();
                 let name = job.name.clone();
                 self.drop_job(id);
-                if let Some(spec) = declared {
-                    self.declare(name, spec);
+                if let Some(spec) = successor {
+                    self.declare_job(name, spec);
                 }
             }
         }
     }
 
     /// Schedules a job for [`Cell::reap`] if it is no longer declared.
-    pub(crate) fn finish_job(&mut self, id: JobId) {
-        if self.jobs[id].gone {
-            self.finishing.push(id);
+    pub(crate) fn schedule_reap(&mut self, id: JobId) {
+        if self.jobs[id].removed {
+            self.to_reap.push(id);
         }
     }
 
@@ -187,40 +187,40 @@
         if matches!(self.ownership, Ownership::Fencing(_)) {
             return;
         }
-        while let Some(stranger) = self.strangers.front()
-            && stranger.since + STRANGER <= self.now
+        while let Some(undeclared) = self.undeclared.front()
+            && undeclared.since + UNDECLARED_TIMEOUT <= self.now
         {
-            let id = stranger.job;
-            self.strangers.pop_front();
-            if self.jobs.get(id).is_some_and(|job| job.spec.is_none() && !job.gone) {
-                self.jobs[id].gone = true;
-                self.apply(id);
+            let id = undeclared.job;
+            self.undeclared.pop_front();
+            if self.jobs.get(id).is_some_and(|job| job.spec.is_none() && !job.removed) {
+                self.jobs[id].removed = true;
+                self.reconcile(id);
             }
         }
-        while let Some(id) = self.finishing.pop() {
+        while let Some(id) = self.to_reap.pop() {
             self.reap_job(id);
         }
     }
 
     fn reap_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(id) else { return };
-        if !job.gone || job.removing || !job.is_idle() {
+        if !job.removed || job.deleting_record || !job.is_idle() {
             return;
         }
         if self.ownership.epoch().is_none() {
             return self.drop_job(id);
         }
-        self.ledger.unmark(id);
-        self.ledger.remove(id);
-        self.jobs[id].removing = true;
+        self.writer.unmark(id);
+        self.writer.remove(id);
+        self.jobs[id].deleting_record = true;
     }
 
     /// Drops a job whose record was removed and declares its successor under the same name.
     ///
     /// The successor waits until then because a later owner would take the old record for its own.
-    pub(crate) fn removed(&mut self, id: JobId) {
+    pub(crate) fn record_removed(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.removing = false;
+        job.deleting_record = false;
         if !job.is_idle() {
             // A run of it was found on a worker in the meantime and has to end first.
             return;
@@ -230,17 +230,17 @@
         // A worker whose lease was waited out may return with a run of a former owner that was
         // never seen here.
         let epoch = self.ownership.epoch().expect("only an owner removes records");
-        let floor = job.highest.max(first_attempt(epoch).saturating_sub(1));
-        self.floors.insert(name.clone(), floor);
+        let floor = job.highest_attempt.max(first_attempt(epoch).saturating_sub(1));
+        self.attempt_floors.insert(name.clone(), floor);
         self.drop_job(id);
         if let Some(spec) = successor {
-            self.declare(name, spec);
+            self.declare_job(name, spec);
         }
     }
 
     fn drop_job(&mut self, id: JobId) {
         self.dequeue(id);
-        self.ledger.unmark(id);
+        self.writer.unmark(id);
         if let Some(job) = self.jobs.remove(id) {
             self.job_names.remove(&job.name);
         }
--- a/crates/cell/src/lease.rs
+++ b/crates/cell/src/lease.rs
@@ -13,9 +13,9 @@
 /// Maximum relative drift of two monotonic clocks, in thousandths.
 const DRIFT_PERMILLE: u32 = 20;
 /// Margin for the granularity of the clocks and of messages, which carry whole milliseconds.
-const GRAIN: Duration = Duration::from_millis(100);
+const GRANULARITY: Duration = Duration::from_millis(100);
 
 /// Returns the time by which a lease has expired whose stamp was received at `received`.
-pub(crate) fn lapse(received: Time, valid: Duration) -> Time {
-    received + valid + valid * DRIFT_PERMILLE / 1000 + GRAIN
+pub(crate) fn expiry(received: Time, valid: Duration) -> Time {
+    received + valid + valid * DRIFT_PERMILLE / 1000 + GRANULARITY
 }
--- a/crates/cell/src/life.rs
+++ b/crates/cell/src/life.rs
@@ -76,7 +76,7 @@
 
 /// The lifecycle state of a run as intended by the owner.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Life {
+pub(crate) enum Stage {
     Starting(Starting),
     Running(Running),
     Throttled(Throttled),
@@ -84,58 +84,58 @@
     Stopping(Stopping),
 }
 
-impl Life {
+impl Stage {
     /// Records that the worker has confirmed the run.
-    pub(crate) fn confirm(self) -> Life {
+    pub(crate) fn confirm(self) -> Stage {
         match self {
-            Life::Starting(starting) => Life::Running(starting.confirm()),
+            Stage::Starting(starting) => Stage::Running(starting.confirm()),
             other => other,
         }
     }
 
     /// Ends the run without a checkpoint, which overrides a checkpoint in progress.
-    pub(crate) fn stop(self) -> Life {
-        Life::Stopping(match self {
-            Life::Starting(starting) => starting.stop(),
-            Life::Running(running) => running.stop(),
-            Life::Throttled(throttled) => throttled.stop(),
-            Life::Evicting(evicting) => evicting.stop(),
-            Life::Stopping(stopping) => stopping,
+    pub(crate) fn stop(self) -> Stage {
+        Stage::Stopping(match self {
+            Stage::Starting(starting) => starting.stop(),
+            Stage::Running(running) => running.stop(),
+            Stage::Throttled(throttled) => throttled.stop(),
+            Stage::Evicting(evicting) => evicting.stop(),
+            Stage::Stopping(stopping) => stopping,
         })
     }
 
     /// Checkpoints and ends the run; returns `None` if it can't be evicted in this state.
-    pub(crate) fn evict(self) -> Option<Life> {
+    pub(crate) fn evict(self) -> Option<Stage> {
         match self {
-            Life::Running(running) => Some(Life::Evicting(running.evict())),
-            Life::Throttled(throttled) => Some(Life::Evicting(throttled.evict())),
-            Life::Starting(_) | Life::Evicting(_) | Life::Stopping(_) => None,
+            Stage::Running(running) => Some(Stage::Evicting(running.evict())),
+            Stage::Throttled(throttled) => Some(Stage::Evicting(throttled.evict())),
+            Stage::Starting(_) | Stage::Evicting(_) | Stage::Stopping(_) => None,
         }
     }
 
     /// Sets the run's share of its processors; returns `None` if it can't be throttled in this
     /// state.
-    pub(crate) fn throttle(self, permille: u16) -> Option<Life> {
+    pub(crate) fn throttle(self, permille: u16) -> Option<Stage> {
         let running = match self {
-            Life::Running(running) => running,
-            Life::Throttled(throttled) => throttled.restore(),
-            Life::Starting(_) | Life::Evicting(_) | Life::Stopping(_) => return None,
+            Stage::Running(running) => running,
+            Stage::Throttled(throttled) => throttled.restore(),
+            Stage::Starting(_) | Stage::Evicting(_) | Stage::Stopping(_) => return None,
         };
         if permille >= FULL_PERMILLE {
-            return Some(Life::Running(running));
+            return Some(Stage::Running(running));
         }
-        Some(Life::Throttled(running.throttle(permille)))
+        Some(Stage::Throttled(running.throttle(permille)))
     }
 
     /// Returns `true` if the run is to end.
     pub(crate) fn is_ending(self) -> bool {
-        matches!(self, Life::Evicting(_) | Life::Stopping(_))
+        matches!(self, Stage::Evicting(_) | Stage::Stopping(_))
     }
 
     /// Returns the intended share of the run's processors, in thousandths.
     pub(crate) fn permille(self) -> u16 {
         match self {
-            Life::Throttled(throttled) => throttled.permille,
+            Stage::Throttled(throttled) => throttled.permille,
             _ => FULL_PERMILLE,
         }
     }
@@ -163,7 +163,7 @@
 }
 
 impl Unowned {
-    pub(crate) fn own(self, epoch: Epoch, since: Time, former: Former) -> Fencing {
+    pub(crate) fn acquire(self, epoch: Epoch, since: Time, former: Former) -> Fencing {
         Fencing { epoch, since, former }
     }
 }
--- a/crates/cell/src/listing.rs
+++ b/crates/cell/src/listing.rs
@@ -21,16 +21,16 @@
 
 impl Cell {
     /// Applies a list; a worker that is no longer listed has been ended by the platform.
-    pub(crate) fn list(&mut self, view: &View) {
-        if view.version < self.view {
+    pub(crate) fn apply_list(&mut self, view: &View) {
+        if view.version < self.list_version {
             return;
         }
-        self.view = view.version;
+        self.list_version = view.version;
         let members = view.members.iter().filter(|member| member.role == Role::Worker);
         let mut listed = HashSet::new();
         for member in members {
             listed.insert(member.instance.clone());
-            self.list_member(member);
+            self.apply_member(member);
         }
         let missing: Vec<WorkerId> = self
             .workers
@@ -42,24 +42,25 @@
             self.remove_worker(id);
         }
         self.fencing_changed = true;
-        self.recount();
-        self.refit();
+        self.update_totals();
+        self.check_fit_all();
     }
 
-    fn list_member(&mut self, member: &Member) {
+    fn apply_member(&mut self, member: &Member) {
         let Some(&id) = self.worker_names.get(&member.instance) else {
             self.add_worker(member);
             return;
         };
         let worker = &self.workers[id];
-        if worker.incarnation != member.incarnation && !worker.retired.contains(&member.incarnation)
+        if worker.incarnation != member.incarnation
+            && !worker.ended_incarnations.contains(&member.incarnation)
         {
             self.restart_worker(id, member.incarnation);
-            self.count_in(id);
-        } else if worker.incarnation == member.incarnation && worker.counted_by.is_none() {
-            self.count_in(id);
+            self.mark_listed(id);
+        } else if worker.incarnation == member.incarnation && worker.known_from.is_none() {
+            self.mark_listed(id);
         }
-        let rack = self.rack(&member.rack);
+        let rack = self.rack_index(&member.rack);
         let worker = &mut self.workers[id];
         let was_leaving = worker.leaving;
         worker.address = member.address;
@@ -70,49 +71,49 @@
             let name = worker.name.clone();
             self.note(Number::WorkerLeaving, &name, "the platform lists it as leaving");
         }
-        self.mark(id);
-        self.refresh(id);
+        self.mark_freed(id);
+        self.update_free_capacity(id);
     }
 
     fn add_worker(&mut self, member: &Member) {
-        let rack = self.rack(&member.rack);
+        let rack = self.rack_index(&member.rack);
         let worker = Worker {
             name: member.instance.clone(),
             incarnation: member.incarnation,
-            retired: SmallVec::new(),
+            ended_incarnations: SmallVec::new(),
             address: member.address,
             rack,
             capacity: member.capacity,
             leaving: member.state == State::Leaving,
             fence: Fence::Unfenced,
             health: Health::Unfenced,
-            holds: Vec::new(),
+            allocations: Vec::new(),
             committed: Amount::ZERO,
-            blame: blame::Record::default(),
-            past: Vec::new(),
-            relieved: id::Time::ZERO,
-            claim: None,
+            history: blame::History::default(),
+            ended_runs: Vec::new(),
+            mitigated: id::Time::ZERO,
+            reservation: None,
             version: 0,
-            flight: self.orphans.remove(&member.instance).map(Flight::stale),
+            flight: self.unlisted_exchanges.remove(&member.instance).map(Flight::stale),
             acks: Vec::new(),
-            later: Vec::new(),
+            deferred_acks: Vec::new(),
             reading: None,
-            lapse: id::Time::ZERO,
-            counted_by: None,
-            misses: 0,
-            due: self.now,
-            hush: self.now,
+            lease_expiry: id::Time::ZERO,
+            known_from: None,
+            failed_exchanges: 0,
+            next_exchange: self.now,
+            backoff_until: self.now,
             timer: None,
             touched: false,
         };
         let id = self.workers.insert(worker);
         self.worker_names.insert(member.instance.clone(), id);
-        self.refresh(id);
-        self.count_in(id);
+        self.update_free_capacity(id);
+        self.mark_listed(id);
         self.touch(id);
     }
 
-    fn rack(&mut self, rack: &id::Rack) -> u16 {
+    fn rack_index(&mut self, rack: &id::Rack) -> u16 {
         let next = u16::try_from(self.racks.len()).unwrap_or(u16::MAX);
         *self.racks.entry(rack.clone()).or_insert(next)
     }
@@ -123,12 +124,12 @@
             self.timers.remove(&(time, id));
         }
         let Some(worker) = self.workers.remove(id) else { return };
-        self.rooms[id.index()] = Amount::ZERO;
+        self.free_capacity[id.index()] = Amount::ZERO;
         self.worker_names.remove(&worker.name);
         if let Some(flight) = &worker.flight {
-            self.orphans.insert(worker.name.clone(), flight.sequence);
+            self.unlisted_exchanges.insert(worker.name.clone(), flight.sequence);
         }
-        self.forget_free(id);
+        self.unmark_freed(id);
         if self.ownership.epoch().is_some() {
             self.note(Number::WorkerGone, &worker.name, "the platform no longer lists it");
         }
@@ -140,13 +141,13 @@
         self.lose_runs(id, "its worker was restarted");
         let now = self.now;
         let worker = &mut self.workers[id];
-        worker.retired.push(worker.incarnation);
+        worker.ended_incarnations.push(worker.incarnation);
         worker.incarnation = incarnation;
-        worker.forget(now);
-        worker.counted_by = None;
-        self.mark(id);
+        worker.reset(now);
+        worker.known_from = None;
+        self.mark_freed(id);
         self.touch(id);
         self.fencing_changed = true;
-        self.refresh(id);
+        self.update_free_capacity(id);
     }
 }
--- a/crates/cell/src/outcome.rs
+++ b/crates/cell/src/outcome.rs
@@ -8,35 +8,35 @@
 
 use crate::cell::Cell;
 use crate::inventory::Key;
-use crate::job::Keeper;
+use crate::job::Holder;
 use crate::job::Outcome;
 use crate::job::Pending;
 use crate::job::State;
-use crate::worker::Hold;
+use crate::worker::Allocation;
 use crate::worker::WorkerId;
 
 impl Cell {
     /// Handles the result of a task's current run. The worker retains it until the store has it.
-    pub(crate) fn end_run(&mut self, id: WorkerId, key: Key, phase: &Phase, linger: Time) {
+    pub(crate) fn end_run(&mut self, id: WorkerId, key: Key, phase: &Phase, ack_from: Time) {
         let unwanted = self.jobs[key.job].is_unwanted(key.task);
         let task = self.jobs[key.job].entry(key.task);
         task.ended = key.attempt;
         let outcome = match phase {
             Phase::Done => {
-                self.praise(id, key.job);
+                self.record_success(id, key.job);
                 Outcome::Done
             }
             Phase::Evicted { checkpoint } => {
                 // Without a new checkpoint, the one that the run resumed from remains valid.
-                let kept = checkpoint.clone().or(task.checkpoint.take());
-                task.checkpoint = kept;
+                let newest = checkpoint.clone().or(task.checkpoint.take());
+                task.checkpoint = newest;
                 Outcome::Evicted
             }
-            Phase::Failed { reason } => self.failed(id, key, reason),
+            Phase::Failed { reason } => self.handle_failure(id, key, reason),
             _ if unwanted => Outcome::Cancelled,
             _ => {
-                self.ack(id, key, linger);
-                return self.wait_again(key);
+                self.ack(id, key, ack_from);
+                return self.requeue_when_stored(key);
             }
         };
         let outcome = match outcome {
@@ -45,20 +45,20 @@
             other => other,
         };
         let incarnation = self.workers[id].incarnation;
-        self.keep(key, outcome, Some(Keeper { worker: id, incarnation, linger }));
+        self.record_end(key, outcome, Some(Holder { worker: id, incarnation, ack_from }));
     }
 
-    fn failed(&mut self, id: WorkerId, key: Key, reason: &str) -> Outcome {
+    fn handle_failure(&mut self, id: WorkerId, key: Key, reason: &str) -> Outcome {
         let job = &mut self.jobs[key.job];
         let limit = job.spec.as_ref().map_or(u32::MAX, |spec| spec.failures_max.max(1));
         job.failures += 1;
         let run = Run { job: job.name.clone(), task: key.task, attempt: key.attempt };
         let name = self.workers[id].name.clone();
         self.note_run(Number::TaskFailed, &name, run, reason);
-        if !self.blame(id, key) {
+        if !self.attribute_failure(id, key) {
             return Outcome::Failed;
         }
-        self.check_broken(key.job, reason);
+        self.check_failing(key.job, reason);
         let task = self.jobs[key.job].entry(key.task);
         task.failures += 1;
         let failures = task.failures;
@@ -69,28 +69,28 @@
     }
 
     /// Marks the end of a run to be written; the task waits until it is stored.
-    fn keep(&mut self, key: Key, outcome: Outcome, keeper: Option<Keeper>) {
+    fn record_end(&mut self, key: Key, outcome: Outcome, holder: Option<Holder>) {
         let job = &mut self.jobs[key.job];
         job.set(key.task, State::Settling(outcome));
-        job.pending.push(Pending { task: key.task, attempt: key.attempt, keeper });
-        self.ledger.mark(key.job);
+        job.pending.push(Pending { task: key.task, attempt: key.attempt, holder });
+        self.writer.mark(key.job);
     }
 
     /// Ends a run that left no result, on a worker that certainly no longer runs it.
-    pub(crate) fn end_quietly(&mut self, id: WorkerId, hold: &Hold) {
-        let key = Key { job: hold.job, task: hold.task, attempt: hold.attempt };
+    pub(crate) fn end_without_result(&mut self, id: WorkerId, allocation: &Allocation) {
+        let key = Key { job: allocation.job, task: allocation.task, attempt: allocation.attempt };
         let job = &mut self.jobs[key.job];
-        let placed = job
+        let is_placed = job
             .live
             .get(&key.task)
             .is_some_and(|task| matches!(task.state, State::Placed(worker) if worker == id));
         // The task may have another run on the same worker.
-        let again = self
+        let has_other_run = self
             .workers
             .get(id)
-            .is_some_and(|w| w.holds.iter().any(|h| h.job == key.job && h.task == key.task));
-        if !placed || again {
-            return self.finish_job(key.job);
+            .is_some_and(|w| w.allocations.iter().any(|h| h.job == key.job && h.task == key.task));
+        if !is_placed || has_other_run {
+            return self.schedule_reap(key.job);
         }
         let job = &mut self.jobs[key.job];
         let unwanted = job.is_unwanted(key.task);
@@ -98,16 +98,16 @@
         task.ended = task.ended.max(key.attempt);
         let key = Key { attempt: task.attempt, ..key };
         if unwanted {
-            return self.keep(key, Outcome::Cancelled, None);
+            return self.record_end(key, Outcome::Cancelled, None);
         }
-        self.wait_again(key);
+        self.requeue_when_stored(key);
     }
 
     /// Requeues a task, but only after an earlier run's end is stored: no run resumes from a
     /// checkpoint that the store doesn't have.
-    fn wait_again(&mut self, key: Key) {
-        if self.ledger.writes(&self.jobs[key.job], key) {
-            return self.keep(key, Outcome::Evicted, None);
+    fn requeue_when_stored(&mut self, key: Key) {
+        if self.writer.has_end(&self.jobs[key.job], key) {
+            return self.record_end(key, Outcome::Evicted, None);
         }
         self.requeue(key);
     }
@@ -119,12 +119,12 @@
     }
 
     /// Applies the outcome of a run whose end is now stored.
-    pub(crate) fn settled(&mut self, job: crate::job::JobId, pending: &Pending) {
+    pub(crate) fn apply_stored_end(&mut self, job: crate::job::JobId, pending: &Pending) {
         let key = Key { job, task: pending.task, attempt: pending.attempt };
-        if let Some(keeper) = pending.keeper
-            && self.workers.get(keeper.worker).is_some_and(|w| w.incarnation == keeper.incarnation)
+        if let Some(holder) = pending.holder
+            && self.workers.get(holder.worker).is_some_and(|w| w.incarnation == holder.incarnation)
         {
-            self.ack(keeper.worker, key, keeper.linger);
+            self.ack(holder.worker, key, holder.ack_from);
         }
         let job = &mut self.jobs[key.job];
         let Some(task) = job.live.get(&key.task) else { return };
@@ -138,17 +138,17 @@
             Outcome::Park(reason) => job.set(key.task, State::Parked(reason.clone())),
             Outcome::Evicted | Outcome::Failed if job.is_unwanted(key.task) => {
                 job.finish(key.task, &Outcome::Cancelled);
-                self.ledger.mark(key.job);
+                self.writer.mark(key.job);
             }
             Outcome::Evicted | Outcome::Failed => self.requeue(key),
         }
-        self.note_settled(key, pending.keeper, &outcome);
+        self.note_stored_end(key, pending.holder, &outcome);
     }
 
-    fn note_settled(&mut self, key: Key, keeper: Option<Keeper>, outcome: &Outcome) {
+    fn note_stored_end(&mut self, key: Key, holder: Option<Holder>, outcome: &Outcome) {
         let job = self.jobs[key.job].name.clone();
-        let subject: id::Instance = keeper
-            .and_then(|keeper| self.workers.get(keeper.worker))
+        let subject: id::Instance = holder
+            .and_then(|holder| self.workers.get(holder.worker))
             .map_or_else(|| job.clone(), |worker| worker.name.clone());
         let run = Run { job, task: key.task, attempt: key.attempt };
         let (number, reason) = match outcome {
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -17,32 +17,32 @@
 impl Cell {
     /// Takes the ownership and rebuilds the state from the stored records; the workers' inventories
     /// add what runs.
-    pub(crate) fn own(&mut self, epoch: Epoch, former: Former, records: &[Record]) {
-        if self.ownership.epoch().is_some_and(|held| held >= epoch) {
+    pub(crate) fn acquire(&mut self, epoch: Epoch, former: Former, records: &[Record]) {
+        if self.ownership.epoch().is_some_and(|current| current >= epoch) {
             return;
         }
         self.clear();
-        self.load(records);
-        self.load_census(records);
-        let fencing = Unowned.own(epoch, self.now, former);
+        self.load_records(records);
+        self.load_membership(records);
+        let fencing = Unowned.acquire(epoch, self.now, former);
         self.ownership = Ownership::Fencing(fencing);
         self.note_cell(Number::CellOwned, format!("epoch {epoch}, former owner {former:?}"));
-        self.retime_all();
-        self.apply_all();
+        self.touch_all();
+        self.reconcile_all();
         self.fencing_changed = true;
     }
 
-    pub(crate) fn learn_former(&mut self, former: Former) {
+    pub(crate) fn update_former(&mut self, former: Former) {
         if let Ownership::Fencing(fencing) = &mut self.ownership {
             // The former owner may have granted leases until now, so their expiry is counted from
             // now.
             *fencing = Fencing { former, since: self.now, ..*fencing };
             self.fencing_changed = true;
-            self.retime_all();
+            self.touch_all();
         }
     }
 
-    pub(crate) fn disown(&mut self, reason: &str) {
+    pub(crate) fn lose_ownership(&mut self, reason: &str) {
         if self.ownership.epoch().is_none() {
             return;
         }
@@ -53,34 +53,34 @@
 
     /// Clears the state that belongs to an ownership; declarations, policy and worker list stay.
     fn clear(&mut self) {
-        self.ledger.clear();
+        self.writer.clear();
         self.timers.clear();
         self.touched.clear();
         self.queue.clear();
-        self.totals.low = Default::default();
-        self.totals.holds = 0;
-        self.budget = Default::default();
+        self.totals.best_effort = Default::default();
+        self.totals.runs = 0;
+        self.eviction_budget = Default::default();
         for team in &mut self.teams {
             team.used = Default::default();
         }
         self.reset_jobs();
         let now = self.now;
         for (_, worker) in self.workers.iter_mut() {
-            worker.forget(now);
-            worker.holds.clear();
+            worker.reset(now);
+            worker.allocations.clear();
             worker.committed = Default::default();
             worker.timer = None;
             worker.touched = false;
         }
-        self.rooms.fill(Default::default());
+        self.free_capacity.fill(Default::default());
     }
 
     /// Returns the time by which all leases granted by the former owner have expired, or `None` if
     /// it may still be renewing them.
-    pub(crate) fn former_lapse(&self) -> Option<Time> {
+    pub(crate) fn former_expiry(&self) -> Option<Time> {
         match self.ownership {
             Ownership::Fencing(fencing) if fencing.former != Former::Unheard => {
-                Some(lease::lapse(fencing.since, self.census.lease_max))
+                Some(lease::expiry(fencing.since, self.membership.lease_max))
             }
             _ => None,
         }
@@ -94,19 +94,20 @@
         }
         let Ownership::Fencing(fencing) = self.ownership else { return };
         // A list older than the former owner's may lack workers that it used.
-        let lags = self.view == 0 || self.view < self.census.stored;
-        if lags || self.workers.iter().any(|(_, w)| w.fence == Fence::Unfenced) {
+        let is_list_behind =
+            self.list_version == 0 || self.list_version < self.membership.stored_version;
+        if is_list_behind || self.workers.iter().any(|(_, w)| w.fence == Fence::Unfenced) {
             return;
         }
         self.ownership = Ownership::Ready(fencing.finish());
-        self.change_lease();
-        let lapsed = self.workers.iter().filter(|(_, w)| w.fence == Fence::Lapsed).count();
+        self.lease_changed();
+        let expired = self.workers.iter().filter(|(_, w)| w.fence == Fence::Expired).count();
         let all = self.workers.len();
-        self.note_cell(Number::CellReady, format!("{all} workers, {lapsed} of them waited out"));
+        self.note_cell(Number::CellReady, format!("{all} workers, {expired} of them waited out"));
         self.enqueue_all();
     }
 
-    fn retime_all(&mut self) {
+    fn touch_all(&mut self) {
         let workers: Vec<WorkerId> = self.workers.iter().map(|(id, _)| id).collect();
         for id in workers {
             self.touch(id);
--- a/crates/cell/src/place.rs
+++ b/crates/cell/src/place.rs
@@ -10,13 +10,13 @@
 use crate::inventory::Key;
 use crate::job::JobId;
 use crate::job::State;
-use crate::queue::Place;
+use crate::queue::Item;
 use crate::worker::WorkerId;
 
 /// Maximum number of blocked jobs tried on a worker that has freed capacity.
-const TRIES: usize = 32;
+const FILL_JOBS_MAX: usize = 32;
 /// Predicted slowdown of paying tasks, in thousandths, up to which a job counts as harmless.
-const HARMLESS: f32 = 3.0;
+const HARMLESS_PERMILLE: f32 = 3.0;
 /// Maximum number of placements tried in one step, which bounds its time; the next step continues.
 const STARTS_MAX: u32 = 1000;
 /// Number of low bits of an attempt that count runs under one epoch.
@@ -24,15 +24,15 @@
 
 /// The reason why the placement of a job's tasks stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Wait {
+enum Stop {
     /// No task waits any more.
-    Over,
+    Empty,
     /// No worker has enough free capacity.
-    Room,
+    NoRoom,
     /// The team's share is used up.
-    Share,
+    Quota,
     /// The step has reached its limit of placements.
-    Turn,
+    StepLimit,
 }
 
 impl Cell {
@@ -41,16 +41,16 @@
         if !self.ownership.is_ready() {
             return;
         }
-        self.uncap();
-        self.urge();
-        let mut left = STARTS_MAX;
-        while let Some(place) = self.queue.open.pop_first() {
-            match self.place_job(place, &mut left) {
-                Wait::Over => self.jobs[place.job].place = None,
-                Wait::Room => _ = self.queue.blocked.insert(place),
-                Wait::Share => _ = self.queue.capped.insert(place),
-                Wait::Turn => {
-                    self.queue.open.insert(place);
+        self.retry_over_quota();
+        self.retry_preemptors();
+        let mut starts_left = STARTS_MAX;
+        while let Some(item) = self.queue.open.pop_first() {
+            match self.place_job(item, &mut starts_left) {
+                Stop::Empty => self.jobs[item.job].queue_item = None,
+                Stop::NoRoom => _ = self.queue.blocked.insert(item),
+                Stop::Quota => _ = self.queue.over_quota.insert(item),
+                Stop::StepLimit => {
+                    self.queue.open.insert(item);
                     return;
                 }
             }
@@ -63,33 +63,33 @@
     }
 
     /// Returns `true` if waiting tasks were deferred to the next step.
-    pub(crate) fn has_more(&self) -> bool {
+    pub(crate) fn has_open_jobs(&self) -> bool {
         self.ownership.is_ready() && !self.queue.open.is_empty()
     }
 
     /// Places a job's tasks until none waits or none can start, and returns why it stopped.
-    fn place_job(&mut self, place: Place, left: &mut u32) -> Wait {
-        let id = place.job;
+    fn place_job(&mut self, item: Item, starts_left: &mut u32) -> Stop {
+        let id = item.job;
         while let Some(task) = self.jobs[id].next() {
-            if *left == 0 {
-                return Wait::Turn;
+            if *starts_left == 0 {
+                return Stop::StepLimit;
             }
-            *left -= 1;
+            *starts_left -= 1;
             let amount = self.amount(id);
-            if !self.is_allowed(id, amount) {
-                return Wait::Share;
+            if !self.is_within_share(id, amount) {
+                return Stop::Quota;
             }
-            let kept = self.is_low(id) && self.is_reserved();
-            let chosen = if kept { None } else { self.choose(id, amount) };
+            let must_leave_reserve = self.is_best_effort(id) && self.is_reserve_reached();
+            let chosen = if must_leave_reserve { None } else { self.choose(id, amount) };
             let Some(worker) = chosen else {
-                if place.may_preempt() {
+                if item.may_preempt() {
                     self.preempt(id, amount);
                 }
-                return Wait::Room;
+                return Stop::NoRoom;
             };
             self.start(worker, id, task, amount);
         }
-        Wait::Over
+        Stop::Empty
     }
 
     /// Offers a worker's free capacity to blocked jobs.
@@ -98,31 +98,32 @@
         if !self.is_eligible(worker) {
             return;
         }
-        let places: Vec<Place> = self.queue.blocked.iter().take(TRIES).copied().collect();
+        let items: Vec<Item> = self.queue.blocked.iter().take(FILL_JOBS_MAX).copied().collect();
         // Tries jobs that are predicted harmless to the paying tasks there before all others.
-        for harm in [HARMLESS, f32::INFINITY] {
-            for &place in &places {
-                self.fill_from(id, place, harm);
+        for risk_max in [HARMLESS_PERMILLE, f32::INFINITY] {
+            for &item in &items {
+                self.fill_from(id, item, risk_max);
             }
         }
     }
 
-    fn fill_from(&mut self, id: WorkerId, place: Place, harm: f32) {
-        if self.jobs[place.job].place != Some(place) {
+    fn fill_from(&mut self, id: WorkerId, item: Item, risk_max: f32) {
+        if self.jobs[item.job].queue_item != Some(item) {
             return;
         }
         loop {
-            let job = place.job;
+            let job = item.job;
             let amount = self.amount(job);
-            let kept = self.is_low(job) && self.is_reserved();
-            let harms = self.risk(id, job).is_none_or(|risk| risk > harm && !place.may_preempt());
-            let fits = self.has_room(id, job, amount) && self.is_allowed(job, amount);
-            if kept || harms || !fits {
+            let must_leave_reserve = self.is_best_effort(job) && self.is_reserve_reached();
+            let is_too_harmful =
+                self.risk(id, job).is_none_or(|risk| risk > risk_max && !item.may_preempt());
+            let fits = self.has_room(id, job, amount) && self.is_within_share(job, amount);
+            if must_leave_reserve || is_too_harmful || !fits {
                 return;
             }
             let Some(task) = self.jobs[job].next() else {
-                self.queue.blocked.remove(&place);
-                self.jobs[job].place = None;
+                self.queue.blocked.remove(&item);
+                self.jobs[job].queue_item = None;
                 return;
             };
             self.start(id, job, task, amount);
@@ -134,19 +135,19 @@
         assert!(worker.committed.plus(amount).fits(worker.capacity), "no worker is overcommitted");
         let epoch = self.ownership.epoch().expect("only an owner starts tasks");
         let entry = self.jobs[job].entry(task);
-        let resumed = entry.checkpoint.is_some();
+        let is_resumed = entry.checkpoint.is_some();
         entry.attempt = next_attempt(entry.attempt, epoch);
         let key = Key { job, task, attempt: entry.attempt };
         let entry = &mut self.jobs[job];
-        entry.highest = entry.highest.max(key.attempt);
+        entry.highest_attempt = entry.highest_attempt.max(key.attempt);
         entry.set(task, State::Placed(id));
-        let hold = self.starting(key, amount);
-        let run = self.run(&hold);
-        self.hold(id, hold);
-        self.use_claim(id, job);
+        let allocation = self.new_allocation(key, amount);
+        let run = self.run(&allocation);
+        self.add_allocation(id, allocation);
+        self.end_reservation(id, job);
         self.note_probe(id, key);
         let name = self.workers[id].name.clone();
-        let number = if resumed { Number::TaskResumed } else { Number::TaskStarting };
+        let number = if is_resumed { Number::TaskResumed } else { Number::TaskStarting };
         self.note_run(number, &name, run, "it fits there");
     }
 }
--- a/crates/cell/src/quota.rs
+++ b/crates/cell/src/quota.rs
@@ -10,7 +10,7 @@
 
 use crate::cell::Cell;
 use crate::job::JobId;
-use crate::queue::Place;
+use crate::queue::Item;
 
 /// The share and usage of one team.
 #[derive(Clone, Debug, Default)]
@@ -30,7 +30,7 @@
 pub(crate) struct TeamNames(HashMap<id::Team, TeamIndex>);
 
 impl Cell {
-    fn team(&mut self, name: &str) -> TeamIndex {
+    fn team_index(&mut self, name: &str) -> TeamIndex {
         if let Some(&index) = self.team_names.0.get(name) {
             return index;
         }
@@ -41,39 +41,39 @@
     }
 
     pub(crate) fn set_share(&mut self, name: &id::Team, share: Option<Amount>) {
-        let index = self.team(name);
+        let index = self.team_index(name);
         self.teams[index].share = share;
         self.teams[index].freed = true;
     }
 
     /// Moves a job's usage to the team that its declaration names.
-    pub(crate) fn join(&mut self, id: JobId) {
+    pub(crate) fn set_team(&mut self, id: JobId) {
         let Some(spec) = self.jobs[id].spec.clone() else { return };
-        let index = self.team(&spec.team);
+        let index = self.team_index(&spec.team);
         let job = &mut self.jobs[id];
         let before = std::mem::replace(&mut job.team, index);
-        let taken = job.taken;
-        self.teams[before].used = self.teams[before].used.minus(taken);
+        let allocated = job.allocated;
+        self.teams[before].used = self.teams[before].used.minus(allocated);
         self.teams[before].freed = true;
-        self.teams[index].used = self.teams[index].used.plus(taken);
+        self.teams[index].used = self.teams[index].used.plus(allocated);
     }
 
     /// Returns `true` if one more task of a job stays within its team's share.
-    pub(crate) fn is_allowed(&self, id: JobId, amount: Amount) -> bool {
+    pub(crate) fn is_within_share(&self, id: JobId, amount: Amount) -> bool {
         let team = &self.teams[self.jobs[id].team];
         team.share.is_none_or(|share| team.used.plus(amount).fits(share))
     }
 
     /// Reopens the queue entries of jobs whose team may use more than before.
-    pub(crate) fn uncap(&mut self) {
-        if self.queue.capped.is_empty() || !self.teams.iter().any(|team| team.freed) {
+    pub(crate) fn retry_over_quota(&mut self) {
+        if self.queue.over_quota.is_empty() || !self.teams.iter().any(|team| team.freed) {
             return;
         }
-        let is_freed = |place: &Place| self.teams[self.jobs[place.job].team].freed;
-        let freed: Vec<Place> = self.queue.capped.iter().copied().filter(is_freed).collect();
-        for place in freed {
-            self.queue.capped.remove(&place);
-            self.queue.open.insert(place);
+        let is_freed = |item: &Item| self.teams[self.jobs[item.job].team].freed;
+        let freed: Vec<Item> = self.queue.over_quota.iter().copied().filter(is_freed).collect();
+        for item in freed {
+            self.queue.over_quota.remove(&item);
+            self.queue.open.insert(item);
         }
         for team in &mut self.teams {
             team.freed = false;
--- a/crates/cell/src/size.rs
+++ b/crates/cell/src/size.rs
@@ -11,24 +11,24 @@
 use crate::job::JobId;
 
 /// Number of measurements kept for each job.
-const KEPT: usize = 32;
+const SAMPLES_MAX: usize = 32;
 /// Minimum number of measurements for an estimate.
-const ENOUGH: usize = 8;
+const SAMPLES_MIN: usize = 8;
 /// Number of measurements between two updates of the estimate.
-const BATCH: usize = 8;
+const UPDATE_INTERVAL: usize = 8;
 /// Index of the measurement used, in descending order: one in sixteen may be larger.
-const RANK: usize = 2;
+const QUANTILE_RANK: usize = 2;
 /// Processor allocation as a multiple of the measured usage, in thousandths.
-const CPU_HEADROOM: u64 = 1150;
+const CPU_FACTOR_PERMILLE: u64 = 1150;
 /// Memory allocation as a multiple of the measured usage, in thousandths; it is larger because a
 /// lack of memory ends a run instead of slowing it.
-const MEMORY_HEADROOM: u64 = 1300;
+const MEMORY_FACTOR_PERMILLE: u64 = 1300;
 /// Usage, in thousandths of the allocation, from which a run is assumed to need more than measured.
-const FULL: u64 = 950;
+const USED_UP_PERMILLE: u64 = 950;
 /// Assumed need of a run that uses up its allocation, in thousandths of that allocation.
-const GROWTH: u64 = 2000;
+const GROWTH_PERMILLE: u64 = 2000;
 /// Minimum allocation, in thousandths of the declared amount.
-const LEAST: u64 = 50;
+const LEAST_PERMILLE: u64 = 50;
 
 /// The recent measurements of a job's tasks.
 #[derive(Clone, Debug, Default)]
@@ -41,46 +41,51 @@
 impl Size {
     /// Records one measurement of a run whose allocation is `granted`.
     fn learn(&mut self, used: Amount, granted: Amount) {
-        let cpu = wanted(used.cpu_milli, granted.cpu_milli);
-        let memory = wanted(used.memory_mib, granted.memory_mib);
-        if self.cpu.len() < KEPT {
+        let cpu = needed(used.cpu_milli, granted.cpu_milli);
+        let memory = needed(used.memory_mib, granted.memory_mib);
+        if self.cpu.len() < SAMPLES_MAX {
             self.cpu.push(cpu);
             self.memory.push(memory);
         } else {
             self.cpu[self.next] = cpu;
             self.memory[self.next] = memory;
         }
-        self.next = (self.next + 1) % KEPT;
+        self.next = (self.next + 1) % SAMPLES_MAX;
     }
 
     /// Returns the allocation of a task, which is the declared amount while there are few
     /// measurements.
     fn amount(&self, declared: Amount, largest: Amount) -> Amount {
-        if self.cpu.len() < ENOUGH {
+        if self.cpu.len() < SAMPLES_MIN {
             return declared;
         }
-        let cpu = given(&self.cpu, CPU_HEADROOM, declared.cpu_milli, largest.cpu_milli);
-        let memory = given(&self.memory, MEMORY_HEADROOM, declared.memory_mib, largest.memory_mib);
+        let cpu = allocation(&self.cpu, CPU_FACTOR_PERMILLE, declared.cpu_milli, largest.cpu_milli);
+        let memory = allocation(
+            &self.memory,
+            MEMORY_FACTOR_PERMILLE,
+            declared.memory_mib,
+            largest.memory_mib,
+        );
         Amount { cpu_milli: cpu, memory_mib: memory, accelerators: declared.accelerators }
     }
 }
 
 /// Returns the estimated need of a run: more than its allocation if it uses that up.
-fn wanted(used: u32, granted: u32) -> u32 {
-    let is_full = u64::from(used) * 1000 >= u64::from(granted) * FULL;
-    if is_full { part(granted, GROWTH) } else { used }
+fn needed(used: u32, granted: u32) -> u32 {
+    let is_full = u64::from(used) * 1000 >= u64::from(granted) * USED_UP_PERMILLE;
+    if is_full { scaled(granted, GROWTH_PERMILLE) } else { used }
 }
 
-fn given(seen: &[u32], headroom: u64, declared: u32, largest: u32) -> u32 {
-    let mut sorted: SmallVec<[u32; KEPT]> = seen.iter().copied().collect();
+fn allocation(samples: &[u32], factor_permille: u64, declared: u32, largest: u32) -> u32 {
+    let mut sorted: SmallVec<[u32; SAMPLES_MAX]> = samples.iter().copied().collect();
     sorted.sort_unstable_by(|a, b| b.cmp(a));
-    let quantile = sorted[RANK.min(sorted.len() - 1)];
-    let least = part(declared, LEAST).max(1);
+    let quantile = sorted[QUANTILE_RANK.min(sorted.len() - 1)];
+    let least = scaled(declared, LEAST_PERMILLE).max(1);
     // Never exceeds the largest worker unless the declaration does, and then the job is parked.
-    part(quantile, headroom).max(least).min(largest.max(declared))
+    scaled(quantile, factor_permille).max(least).min(largest.max(declared))
 }
 
-fn most(one: Amount, other: Amount) -> Amount {
+fn component_max(one: Amount, other: Amount) -> Amount {
     Amount {
         cpu_milli: one.cpu_milli.max(other.cpu_milli),
         memory_mib: one.memory_mib.max(other.memory_mib),
@@ -88,7 +93,7 @@
     }
 }
 
-fn part(amount: u32, permille: u64) -> u32 {
+fn scaled(amount: u32, permille: u64) -> u32 {
     u32::try_from(u64::from(amount) * permille / 1000).unwrap_or(u32::MAX)
 }
 
@@ -99,17 +104,17 @@
         let before = self.amount(id);
         let job = &mut self.jobs[id];
         job.size.learn(used, granted);
-        if !job.size.next.is_multiple_of(BATCH) {
+        if !job.size.next.is_multiple_of(UPDATE_INTERVAL) {
             return;
         }
         let declared = job.declared();
         let learnt = job.size.amount(declared, largest);
         // A paying task is never allocated less than declared.
-        job.amount = match job.class() {
-            Class::Paying => most(learnt, declared),
+        job.learnt_amount = match job.class() {
+            Class::Paying => component_max(learnt, declared),
             Class::Trial | Class::Batch => learnt,
         };
-        if job.amount != before && job.amount.fits(before) {
+        if job.learnt_amount != before && job.learnt_amount.fits(before) {
             self.enqueue(id);
         }
     }
@@ -117,6 +122,6 @@
     /// Returns the allocation of a job's next task.
     pub(crate) fn amount(&self, id: JobId) -> Amount {
         let job = &self.jobs[id];
-        if job.amount == Amount::ZERO { job.declared() } else { job.amount }
+        if job.learnt_amount == Amount::ZERO { job.declared() } else { job.learnt_amount }
     }
 }
--- a/crates/cell/src/span.rs
+++ b/crates/cell/src/span.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns the number of spans.
-    pub(crate) fn gaps(&self) -> usize {
+    pub(crate) fn span_count(&self) -> usize {
         self.ends.len()
     }
 
--- a/crates/cell/src/status.rs
+++ b/crates/cell/src/status.rs
@@ -9,8 +9,8 @@
 use crate::cell::Cell;
 use crate::job::Outcome;
 use crate::job::State;
-use crate::life::Life;
 use crate::life::Ownership;
+use crate::life::Stage;
 use crate::worker::Fence;
 use crate::worker::Health;
 
@@ -94,7 +94,7 @@
     pub fn phase(&self) -> Phase {
         match self.ownership {
             Ownership::Unowned(_) => Phase::Unowned,
-            _ if self.ledger.isolated => Phase::Isolated,
+            _ if self.writer.isolated => Phase::Isolated,
             Ownership::Fencing(_) => Phase::Fencing,
             Ownership::Ready(_) => Phase::Ready,
         }
@@ -111,7 +111,7 @@
         for (_, job) in self.jobs.iter() {
             self.count_job(job, &mut counts);
         }
-        self.count_holds(&mut counts);
+        self.count_runs(&mut counts);
         counts
     }
 
@@ -121,7 +121,7 @@
         for (_, job) in self.jobs.iter() {
             let mut counts = Counts::default();
             self.count_job(job, &mut counts);
-            counts.running = job.holds;
+            counts.running = job.runs;
             all.insert(job.name.clone(), counts);
         }
         all
@@ -144,18 +144,18 @@
         }
     }
 
-    fn count_holds(&self, counts: &mut Counts) {
+    fn count_runs(&self, counts: &mut Counts) {
         for (_, worker) in self.workers.iter() {
-            let maybe = worker.misses > 0;
-            for hold in &worker.holds {
-                match hold.life {
-                    Life::Starting(_) => counts.starting += 1,
-                    Life::Running(_) => counts.running += 1,
-                    Life::Throttled(_) => counts.throttled += 1,
-                    Life::Evicting(_) => counts.evicting += 1,
-                    Life::Stopping(_) => counts.stopping += 1,
+            let is_unreachable = worker.failed_exchanges > 0;
+            for allocation in &worker.allocations {
+                match allocation.stage {
+                    Stage::Starting(_) => counts.starting += 1,
+                    Stage::Running(_) => counts.running += 1,
+                    Stage::Throttled(_) => counts.throttled += 1,
+                    Stage::Evicting(_) => counts.evicting += 1,
+                    Stage::Stopping(_) => counts.stopping += 1,
                 }
-                counts.maybe += u32::from(maybe);
+                counts.maybe += u32::from(is_unreachable);
             }
         }
     }
@@ -167,7 +167,7 @@
             health: if worker.leaving { Health::Leaving } else { worker.health },
             capacity: worker.capacity,
             committed: worker.committed,
-            runs: worker.holds.len(),
+            runs: worker.allocations.len(),
         })
     }
 
@@ -187,18 +187,20 @@
         let workers: usize = self
             .workers
             .iter()
-            .map(|(_, w)| size_of_val(w) + w.holds.capacity() * size_of::<crate::worker::Hold>())
+            .map(|(_, w)| {
+                size_of_val(w) + w.allocations.capacity() * size_of::<crate::worker::Allocation>()
+            })
             .sum();
         let jobs: usize = self
             .jobs
             .iter()
             .map(|(_, job)| {
-                let spans = job.done.gaps() + job.cancelled.gaps();
+                let spans = job.done.span_count() + job.cancelled.span_count();
                 size_of_val(job)
                     + job.live.len() * size_of::<crate::job::Task>()
                     + spans * size_of::<crate::record::Span>()
             })
             .sum();
-        workers + jobs + self.model.bytes()
+        workers + jobs + self.interference.bytes()
     }
 }
--- a/crates/cell/src/urgent.rs
+++ b/crates/cell/src/urgent.rs
@@ -9,37 +9,39 @@
 
 use crate::cell::Cell;
 use crate::job::JobId;
-use crate::worker::Hold;
+use crate::worker::Allocation;
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
 /// Lifetime of a reservation for a task that preempts.
-const CLAIM: Duration = Duration::from_secs(10);
+const RESERVATION_TIME: Duration = Duration::from_secs(10);
 
 /// Interval at which a job that could not preempt tries again.
-pub(crate) const AGAIN: Duration = Duration::from_secs(1);
+pub(crate) const PREEMPT_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Capacity of a worker that is reserved for one task.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Claim {
+pub(crate) struct Reservation {
     pub(crate) job: JobId,
     amount: Amount,
     until: Time,
 }
 
 /// A set of runs to evict on one worker.
-struct Way {
+struct Plan {
     worker: WorkerId,
-    loss: f64,
+    cost: f64,
     /// Indices of the allocations to evict.
-    holds: SmallVec<[usize; 4]>,
+    indices: SmallVec<[usize; 4]>,
 }
 
 impl Worker {
     /// Returns the capacity that is reserved for jobs other than `job`.
-    pub(crate) fn claimed(&self, job: JobId, now: Time) -> Amount {
-        match self.claim {
-            Some(claim) if claim.job != job && claim.until > now => claim.amount,
+    pub(crate) fn reserved_for_others(&self, job: JobId, now: Time) -> Amount {
+        match self.reservation {
+            Some(reservation) if reservation.job != job && reservation.until > now => {
+                reservation.amount
+            }
             _ => Amount::ZERO,
         }
     }
@@ -47,44 +49,44 @@
 
 impl Cell {
     /// Reopens the queue entries of jobs that may preempt, once their next attempt is due.
-    pub(crate) fn urge(&mut self) {
-        if self.urge_due().is_none_or(|due| due > self.now) {
+    pub(crate) fn retry_preemptors(&mut self) {
+        if self.preempt_retry_due().is_none_or(|due| due > self.now) {
             return;
         }
-        self.queue.urged = self.now;
-        while let Some(&place) = self.queue.blocked.first()
-            && place.may_preempt()
+        self.queue.preempt_retried = self.now;
+        while let Some(&item) = self.queue.blocked.first()
+            && item.may_preempt()
         {
-            self.queue.blocked.remove(&place);
-            self.queue.open.insert(place);
+            self.queue.blocked.remove(&item);
+            self.queue.open.insert(item);
         }
     }
 
     /// Returns the time at which blocked jobs that may preempt are to be tried again.
-    pub(crate) fn urge_due(&self) -> Option<Time> {
-        let waits = self.queue.blocked.first().is_some_and(|place| place.may_preempt());
-        waits.then_some(self.queue.urged + AGAIN)
+    pub(crate) fn preempt_retry_due(&self) -> Option<Time> {
+        let waits = self.queue.blocked.first().is_some_and(|item| item.may_preempt());
+        waits.then_some(self.queue.preempt_retried + PREEMPT_RETRY_INTERVAL)
     }
 
     /// Evicts runs for the waiting tasks of a job, on one worker for each task.
     pub(crate) fn preempt(&mut self, job: JobId, amount: Amount) {
         let waiting = self.jobs[job].waiting();
-        let claims = self.claims(job);
-        for _ in claims..waiting {
-            if !self.is_allowed(job, amount) {
+        let reservations = self.reservations(job);
+        for _ in reservations..waiting {
+            if !self.is_within_share(job, amount) {
                 return;
             }
-            let Some(way) = self.cheapest(job, amount) else { return };
-            let until = self.now + CLAIM;
-            self.workers[way.worker].claim = Some(Claim { job, amount, until });
+            let Some(plan) = self.cheapest_plan(job, amount) else { return };
+            let until = self.now + RESERVATION_TIME;
+            self.workers[plan.worker].reservation = Some(Reservation { job, amount, until });
             let name = self.jobs[job].name.clone();
             let reason = format!("urgent work of {name} needs its room");
-            let gives_up = self.gives_up_for(job);
-            for index in way.holds {
-                if gives_up {
-                    self.give_up(way.worker, index, &reason);
+            let skips_checkpoint = self.skips_checkpoint_for(job);
+            for index in plan.indices {
+                if skips_checkpoint {
+                    self.stop_without_checkpoint(plan.worker, index, &reason);
                 } else {
-                    self.evict(way.worker, index, &reason);
+                    self.evict(plan.worker, index, &reason);
                 }
             }
         }
@@ -92,41 +94,43 @@
 
     /// Returns `true` if runs preempted for a job are ended without a checkpoint. Paying tasks wait
     /// for checkpoints; urgent tasks don't while checkpoints are slow.
-    fn gives_up_for(&self, job: JobId) -> bool {
-        self.jobs[job].is_urgent() && self.is_slow_to_checkpoint()
+    fn skips_checkpoint_for(&self, job: JobId) -> bool {
+        self.jobs[job].is_urgent() && self.are_checkpoints_slow()
     }
 
     /// Returns the cost of preempting a run, which includes all its work if it can't be
     /// checkpointed.
-    fn price(&self, hold: &Hold, gives_up: bool) -> f64 {
-        if !gives_up {
-            return self.loss(hold);
+    fn preemption_cost(&self, allocation: &Allocation, skips_checkpoint: bool) -> f64 {
+        if !skips_checkpoint {
+            return self.eviction_cost(allocation);
         }
-        let run = (self.now - hold.since).as_secs_f64();
-        let cpu = f64::from(hold.amount.cpu_milli) / 1000.0;
-        self.loss(hold) + run * cpu
+        let run = (self.now - allocation.since).as_secs_f64();
+        let cpu = f64::from(allocation.amount.cpu_milli) / 1000.0;
+        self.eviction_cost(allocation) + run * cpu
     }
 
-    fn claims(&self, job: JobId) -> u32 {
+    fn reservations(&self, job: JobId) -> u32 {
         let now = self.now;
-        let is_ours = |claim: Claim| claim.job == job && claim.until > now;
-        let claimed = self.workers.iter().filter(|(_, worker)| worker.claim.is_some_and(is_ours));
-        claimed.count() as u32
+        let is_ours = |reservation: Reservation| reservation.job == job && reservation.until > now;
+        let reserved =
+            self.workers.iter().filter(|(_, worker)| worker.reservation.is_some_and(is_ours));
+        reserved.count() as u32
     }
 
     /// Returns the cheapest preemption over all workers.
-    fn cheapest(&self, job: JobId, amount: Amount) -> Option<Way> {
-        let mut best: Option<Way> = None;
-        for &id in &self.roster {
+    fn cheapest_plan(&self, job: JobId, amount: Amount) -> Option<Plan> {
+        let mut best: Option<Plan> = None;
+        for &id in &self.worker_ids {
             let worker = &self.workers[id];
-            let is_claimed = worker.claim.is_some_and(|claim| claim.until > self.now);
-            if is_claimed || !self.is_eligible(worker) || !amount.fits(worker.capacity) {
+            let is_reserved =
+                worker.reservation.is_some_and(|reservation| reservation.until > self.now);
+            if is_reserved || !self.is_eligible(worker) || !amount.fits(worker.capacity) {
                 continue;
             }
-            if let Some(way) = self.way(id, job, amount)
-                && best.as_ref().is_none_or(|best| way.loss < best.loss)
+            if let Some(plan) = self.plan(id, job, amount)
+                && best.as_ref().is_none_or(|best| plan.cost < best.cost)
             {
-                best = Some(way);
+                best = Some(plan);
             }
         }
         best
@@ -134,48 +138,53 @@
 
     /// Selects the runs to evict on one worker so that an amount fits: adds them cheapest first and
     /// then drops those that turn out not to be needed.
-    fn way(&self, id: WorkerId, job: JobId, amount: Amount) -> Option<Way> {
+    fn plan(&self, id: WorkerId, job: JobId, amount: Amount) -> Option<Plan> {
         let worker = &self.workers[id];
-        let gives_up = self.gives_up_for(job);
+        let skips_checkpoint = self.skips_checkpoint_for(job);
         let mut order: SmallVec<[(f64, usize); 32]> = SmallVec::new();
-        let mut room = worker.free().minus(worker.claimed(job, self.now));
-        for (index, hold) in worker.holds.iter().enumerate() {
-            if self.is_evictable(hold) {
+        let mut room = worker.free().minus(worker.reserved_for_others(job, self.now));
+        for (index, allocation) in worker.allocations.iter().enumerate() {
+            if self.is_evictable(allocation) {
                 // Prefers few large runs to many small ones, up to the amount that is needed.
-                let useful = hold.amount.cpu_milli.min(amount.cpu_milli).max(1);
-                order.push((self.price(hold, gives_up) / f64::from(useful), index));
-            } else if hold.life.is_ending() {
-                room = room.plus(hold.amount);
+                let useful = allocation.amount.cpu_milli.min(amount.cpu_milli).max(1);
+                order.push((
+                    self.preemption_cost(allocation, skips_checkpoint) / f64::from(useful),
+                    index,
+                ));
+            } else if allocation.stage.is_ending() {
+                room = room.plus(allocation.amount);
             }
         }
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut picked: SmallVec<[(f64, usize); 4]> = SmallVec::new();
-        for &(loss, index) in &order {
+        for &(cost, index) in &order {
             if amount.fits(room) {
                 break;
             }
-            room = room.plus(worker.holds[index].amount);
-            picked.push((loss, index));
+            room = room.plus(worker.allocations[index].amount);
+            picked.push((cost, index));
         }
         if !amount.fits(room) {
             return None;
         }
-        let mut slack = room.minus(amount);
-        for place in (0..picked.len()).rev() {
-            let spare = worker.holds[picked[place].1].amount;
-            if spare.fits(slack) {
-                slack = slack.minus(spare);
-                picked.remove(place);
+        let mut surplus = room.minus(amount);
+        for i in (0..picked.len()).rev() {
+            let spare = worker.allocations[picked[i].1].amount;
+            if spare.fits(surplus) {
+                surplus = surplus.minus(spare);
+                picked.remove(i);
             }
         }
-        let loss =
-            picked.iter().map(|&(_, index)| self.price(&worker.holds[index], gives_up)).sum();
-        Some(Way { worker: id, loss, holds: picked.iter().map(|&(_, index)| index).collect() })
+        let cost = picked
+            .iter()
+            .map(|&(_, index)| self.preemption_cost(&worker.allocations[index], skips_checkpoint))
+            .sum();
+        Some(Plan { worker: id, cost, indices: picked.iter().map(|&(_, index)| index).collect() })
     }
 
     /// Ends a job's reservation on a worker when its task starts there.
-    pub(crate) fn use_claim(&mut self, id: WorkerId, job: JobId) {
+    pub(crate) fn end_reservation(&mut self, id: WorkerId, job: JobId) {
         let worker = &mut self.workers[id];
-        worker.claim.take_if(|claim| claim.job == job);
+        worker.reservation.take_if(|reservation| reservation.job == job);
     }
 }
--- a/crates/cell/src/usage.rs
+++ b/crates/cell/src/usage.rs
@@ -15,20 +15,20 @@
 use crate::interfere::Neighbours;
 use crate::job::JobId;
 use crate::life::FULL_PERMILLE;
-use crate::worker::Hold;
+use crate::worker::Allocation;
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
 /// Maximum number of ended runs kept for each worker.
-const PAST_MAX: usize = 32;
+const ENDED_RUNS_MAX: usize = 32;
 /// Time that ended runs are kept; measurements lag less than this.
-const PAST: Duration = Duration::from_secs(60);
+const ENDED_RUN_AGE_MAX: Duration = Duration::from_secs(60);
 /// The slowdown, in thousandths, of a run without interference.
-pub(crate) const ALONE: u32 = 1000;
+pub(crate) const NO_SLOWDOWN_PERMILLE: u32 = 1000;
 
 /// A run that ended.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Past {
+pub(crate) struct Ended {
     job: JobId,
     since: Time,
     until: Time,
@@ -37,28 +37,28 @@
 
 /// The last measurement of a run.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Speed {
+pub(crate) struct Measurement {
     /// In thousandths of its time without interference; zero before the first measurement.
     pub(crate) slowdown: u32,
     /// The time of the measurement.
     pub(crate) at: Time,
     /// Number of consecutive measurements above the policy's limit.
-    pub(crate) over: u32,
+    pub(crate) over_limit: u32,
 }
 
 /// A throttle that was in force before the current one.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Former {
+pub(crate) struct Throttle {
     pub(crate) permille: u16,
     pub(crate) until: Time,
 }
 
-impl Hold {
+impl Allocation {
     /// Returns the share of its processors that the run had at the given time.
     fn share_at(&self, at: Time) -> f32 {
-        let permille = match self.former {
-            Some(former) if at < former.until => former.permille,
-            _ => self.life.permille(),
+        let permille = match self.previous_throttle {
+            Some(previous) if at < previous.until => previous.permille,
+            _ => self.stage.permille(),
         };
         f32::from(permille) / f32::from(FULL_PERMILLE)
     }
@@ -66,51 +66,56 @@
 
 impl Cell {
     /// Records an ended run for later measurements.
-    pub(crate) fn remember(&mut self, id: WorkerId, hold: &Hold) {
+    pub(crate) fn record_ended_run(&mut self, id: WorkerId, allocation: &Allocation) {
         let now = self.now;
-        let past = &mut self.workers[id].past;
-        past.retain(|run| run.until + PAST > now);
-        if past.len() >= PAST_MAX {
-            past.remove(0);
+        let ended_runs = &mut self.workers[id].ended_runs;
+        ended_runs.retain(|run| run.until + ENDED_RUN_AGE_MAX > now);
+        if ended_runs.len() >= ENDED_RUNS_MAX {
+            ended_runs.remove(0);
         }
-        let permille = hold.life.permille();
-        past.push(Past { job: hold.job, since: hold.since, until: now, permille });
+        let permille = allocation.stage.permille();
+        ended_runs.push(Ended {
+            job: allocation.job,
+            since: allocation.since,
+            until: now,
+            permille,
+        });
     }
 
     /// Applies a report's measurements.
-    pub(crate) fn take_usage(&mut self, id: WorkerId, report: &Report) {
+    pub(crate) fn apply_usage(&mut self, id: WorkerId, report: &Report) {
         for usage in &report.usage {
             let age = Duration::from_millis(report.stamp.saturating_sub(usage.measured));
-            self.take_measurement(id, usage, self.now.saturating_sub(age));
+            self.apply_measurement(id, usage, self.now.saturating_sub(age));
         }
         if !report.usage.is_empty() {
-            self.model.trim(&self.jobs);
+            self.interference.trim(&self.jobs);
         }
-        self.relieve(id);
+        self.mitigate(id);
     }
 
-    fn take_measurement(&mut self, id: WorkerId, usage: &Usage, at: Time) {
+    fn apply_measurement(&mut self, id: WorkerId, usage: &Usage, at: Time) {
         let Some(&job) = self.job_names.get(&usage.run.job) else { return };
         let found = self.workers[id].find(job, usage.run.task, usage.run.attempt);
         let Some(index) = found else { return };
-        let hold = &self.workers[id].holds[index];
-        if hold.share_at(at) >= 1.0 {
+        let allocation = &self.workers[id].allocations[index];
+        if allocation.share_at(at) >= 1.0 {
             // A throttled run uses less than it needs.
-            self.learn_size(job, usage.amount, hold.amount);
+            self.learn_size(job, usage.amount, allocation.amount);
         }
         if self.jobs[job].class() != Class::Paying {
             return;
         }
         let neighbours = self.neighbours(&self.workers[id], index, at);
-        let extra = usage.slowdown_permille.saturating_sub(ALONE) as f32;
-        let met = self.model.learn(job, &neighbours, extra);
-        self.end_probes(&met);
+        let extra = usage.slowdown_permille.saturating_sub(NO_SLOWDOWN_PERMILLE) as f32;
+        let measured = self.interference.learn(job, &neighbours, extra);
+        self.requeue_measured(&measured);
         let allowed = self.policy.slowdown_permille;
-        let speed = &mut self.workers[id].holds[index].speed;
-        let is_over = usage.slowdown_permille > allowed;
-        speed.over = if is_over { speed.over + 1 } else { 0 };
-        speed.slowdown = usage.slowdown_permille;
-        speed.at = at;
+        let measurement = &mut self.workers[id].allocations[index].measurement;
+        let is_over_limit = usage.slowdown_permille > allowed;
+        measurement.over_limit = if is_over_limit { measurement.over_limit + 1 } else { 0 };
+        measurement.slowdown = usage.slowdown_permille;
+        measurement.at = at;
     }
 
     /// Returns the runs that were on the worker beside a run at the given time, summed by job.
@@ -123,12 +128,12 @@
                 found.push(Neighbour { job, class, share });
             }
         };
-        for (place, hold) in worker.holds.iter().enumerate() {
-            if place != index && hold.since <= at {
-                add(hold.job, hold.share_at(at));
+        for (other, allocation) in worker.allocations.iter().enumerate() {
+            if other != index && allocation.since <= at {
+                add(allocation.job, allocation.share_at(at));
             }
         }
-        for run in worker.past.iter().filter(|run| run.since <= at && at < run.until) {
+        for run in worker.ended_runs.iter().filter(|run| run.since <= at && at < run.until) {
             add(run.job, f32::from(run.permille) / f32::from(FULL_PERMILLE));
         }
         found
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -15,53 +15,53 @@
 use crate::blame;
 use crate::event::Sequence;
 use crate::job::JobId;
-use crate::life::Life;
-use crate::urgent::Claim;
-use crate::usage::Former;
-use crate::usage::Past;
-use crate::usage::Speed;
+use crate::life::Stage;
+use crate::urgent::Reservation;
+use crate::usage::Ended;
+use crate::usage::Measurement;
+use crate::usage::Throttle;
 
 pub(crate) type WorkerId = entity::Id<Worker>;
 
 /// The allocation of part of a worker to a run that is, or may be, on it.
 #[derive(Clone, Debug)]
-pub(crate) struct Hold {
+pub(crate) struct Allocation {
     pub(crate) job: JobId,
     pub(crate) task: TaskIndex,
     pub(crate) attempt: Attempt,
     pub(crate) amount: Amount,
-    pub(crate) life: Life,
+    pub(crate) stage: Stage,
     /// The time at which the run was placed or found, and from its confirmation on the time of
     /// that.
     pub(crate) since: Time,
     /// The time at which its eviction was decided; zero before that.
-    pub(crate) ending: Time,
-    pub(crate) speed: Speed,
+    pub(crate) evicted_at: Time,
+    pub(crate) measurement: Measurement,
     /// The throttle before the current one.
-    pub(crate) former: Option<Former>,
+    pub(crate) previous_throttle: Option<Throttle>,
     /// Whether a command about it has to be sent, for the first time or again.
-    pub(crate) need: bool,
+    pub(crate) command_pending: bool,
     /// Whether the exchange in flight contains a command about it.
-    pub(crate) flying: bool,
+    pub(crate) command_in_flight: bool,
     /// Number of exchanges with a command about it that may have reached the worker.
-    pub(crate) tries: u32,
+    pub(crate) sends: u32,
     /// Whether the exchange in flight contains its start command.
-    pub(crate) flying_start: bool,
+    pub(crate) start_in_flight: bool,
     /// The time until which an exchange with its start, given up as lost, may still take effect.
-    pub(crate) linger: Time,
+    pub(crate) late_start_until: Time,
 }
 
-impl Hold {
+impl Allocation {
     /// Returns `true` if the run's start has certainly never reached the worker.
     pub(crate) fn is_unsent(&self) -> bool {
-        matches!(self.life, Life::Starting(_)) && self.tries == 0
+        matches!(self.stage, Stage::Starting(_)) && self.sends == 0
     }
 }
 
 /// A deferred acknowledgement: while a late exchange may still repeat the run's start, the worker
 /// has to retain the result, by which it recognises the run.
 #[derive(Clone, Debug)]
-pub(crate) struct Later {
+pub(crate) struct Ack {
     pub(crate) run: worker::Run,
     pub(crate) from: Time,
 }
@@ -98,7 +98,7 @@
     /// It has seen our epoch, and we have its complete inventory.
     Fenced,
     /// It can't be reached and every lease that it may hold has expired.
-    Lapsed,
+    Expired,
 }
 
 /// The health of a worker as shown to operators.
@@ -123,41 +123,41 @@
     pub(crate) name: id::Instance,
     pub(crate) incarnation: Incarnation,
     /// Its ended incarnations, which a lagging list may still show.
-    pub(crate) retired: SmallVec<[Incarnation; 2]>,
+    pub(crate) ended_incarnations: SmallVec<[Incarnation; 2]>,
     pub(crate) address: SocketAddr,
     pub(crate) rack: u16,
     pub(crate) capacity: Amount,
     pub(crate) leaving: bool,
     pub(crate) fence: Fence,
     pub(crate) health: Health,
-    pub(crate) holds: Vec<Hold>,
+    pub(crate) allocations: Vec<Allocation>,
     pub(crate) committed: Amount,
     /// Its record of failures.
-    pub(crate) blame: blame::Record,
+    pub(crate) history: blame::History,
     /// Runs that ended recently.
-    pub(crate) past: Vec<Past>,
+    pub(crate) ended_runs: Vec<Ended>,
     /// The time at which its runs were last throttled, evicted or unthrottled for interference.
-    pub(crate) relieved: Time,
+    pub(crate) mitigated: Time,
     /// Capacity reserved for a job that preempted runs on it.
-    pub(crate) claim: Option<Claim>,
+    pub(crate) reservation: Option<Reservation>,
     /// The inventory version that we have; zero for none.
     pub(crate) version: u64,
     pub(crate) flight: Option<Flight>,
     pub(crate) acks: Vec<worker::Run>,
     /// Results that may be acknowledged later.
-    pub(crate) later: Vec<Later>,
+    pub(crate) deferred_acks: Vec<Ack>,
     pub(crate) reading: Option<Reading>,
     /// The time by which every lease that it may hold has expired.
-    pub(crate) lapse: Time,
+    pub(crate) lease_expiry: Time,
     /// The number of the membership write from which on every later owner knows of this
     /// incarnation; `None` before a list has shown it.
-    pub(crate) counted_by: Option<u64>,
+    pub(crate) known_from: Option<u64>,
     /// Number of consecutive failed exchanges.
-    pub(crate) misses: u32,
+    pub(crate) failed_exchanges: u32,
     /// The time of the next exchange if no command has to be sent.
-    pub(crate) due: Time,
+    pub(crate) next_exchange: Time,
     /// The time before which nothing is sent, after an exchange that failed or confirmed nothing.
-    pub(crate) hush: Time,
+    pub(crate) backoff_until: Time,
     /// The time of its entry in the cell's timers.
     pub(crate) timer: Option<Time>,
     /// Whether it is among the workers touched in this step.
@@ -166,9 +166,9 @@
 
 impl Worker {
     pub(crate) fn find(&self, job: JobId, task: TaskIndex, attempt: Attempt) -> Option<usize> {
-        self.holds
-            .iter()
-            .position(|hold| hold.task == task && hold.job == job && hold.attempt == attempt)
+        self.allocations.iter().position(|allocation| {
+            allocation.task == task && allocation.job == job && allocation.attempt == attempt
+        })
     }
 
     /// Returns the free capacity.
@@ -177,28 +177,28 @@
     }
 
     /// Returns `true` if a command has to be sent before the next heartbeat.
-    pub(crate) fn has_need(&self) -> bool {
-        self.holds.iter().any(|hold| hold.need)
+    pub(crate) fn has_commands(&self) -> bool {
+        self.allocations.iter().any(|allocation| allocation.command_pending)
     }
 
     /// Clears all state that belongs to an ended ownership or incarnation.
-    pub(crate) fn forget(&mut self, now: Time) {
+    pub(crate) fn reset(&mut self, now: Time) {
         self.fence = Fence::Unfenced;
-        self.claim = None;
-        self.past.clear();
-        self.relieved = Time::ZERO;
-        self.blame = blame::Record::default();
+        self.reservation = None;
+        self.ended_runs.clear();
+        self.mitigated = Time::ZERO;
+        self.history = blame::History::default();
         self.version = 0;
         self.acks.clear();
-        self.later.clear();
+        self.deferred_acks.clear();
         self.reading = None;
         if let Some(flight) = &mut self.flight {
             flight.stale = true;
         }
-        self.misses = 0;
-        self.due = now;
-        self.hush = now;
-        self.lapse = Time::ZERO;
+        self.failed_exchanges = 0;
+        self.next_exchange = now;
+        self.backoff_until = now;
+        self.lease_expiry = Time::ZERO;
         self.health = Health::Unfenced;
     }
 }
