--- a/crates/cell/examples/speed.rs
+++ b/crates/cell/examples/speed.rs
@@ -91,9 +91,9 @@
     now: Duration,
     starts: u64,
     exchanges: u64,
-    spent: Duration,
+    cpu_time: Duration,
     batch: Option<u64>,
-    wires: Vec<(u64, String, Exchange)>,
+    in_flight: Vec<(u64, String, Exchange)>,
 }
 
 impl Bench {
@@ -101,14 +101,14 @@
         let mut actions = Vec::new();
         let before = Instant::now();
         self.cell.step(self.now, event, &mut actions);
-        self.spent += before.elapsed();
+        self.cpu_time += before.elapsed();
         for action in actions {
             match action {
                 Action::Exchange { sequence, worker, exchange, .. } => {
                     self.exchanges += 1;
                     let start = |command: &&Command| matches!(command, Command::Start { .. });
                     self.starts += exchange.commands.iter().filter(start).count() as u64;
-                    self.wires.push((sequence, worker.to_string(), exchange));
+                    self.in_flight.push((sequence, worker.to_string(), exchange));
                 }
                 Action::Record { batch, .. } => self.batch = Some(batch),
                 Action::Note { .. } => {}
@@ -118,7 +118,7 @@
 
     /// Answers every exchange in flight.
     fn answer(&mut self, ending: usize) {
-        for (sequence, worker, exchange) in std::mem::take(&mut self.wires) {
+        for (sequence, worker, exchange) in std::mem::take(&mut self.in_flight) {
             let fake = self.fakes.get_mut(&worker).expect("a listed worker");
             let report = fake.report(&worker, self.now, &exchange, ending);
             self.step(Event::Reported { sequence, report });
@@ -135,11 +135,11 @@
         }
     }
 
-    fn show(&mut self, what: &str) {
-        let seconds = self.spent.as_secs_f64();
+    fn show(&mut self, phase: &str) {
+        let seconds = self.cpu_time.as_secs_f64();
         let runs = self.cell.workers().map(|worker| worker.runs).sum::<usize>();
         println!(
-            "{what}: {} starts, {} exchanges in {seconds:.3} s of one core: {:.0} starts/s, {:.1} us an exchange; {runs} runs, {} bytes of state",
+            "{phase}: {} starts, {} exchanges in {seconds:.3} s of one core: {:.0} starts/s, {:.1} us an exchange; {runs} runs, {} bytes of state",
             self.starts,
             self.exchanges,
             self.starts as f64 / seconds,
@@ -148,7 +148,7 @@
         );
         self.starts = 0;
         self.exchanges = 0;
-        self.spent = Duration::ZERO;
+        self.cpu_time = Duration::ZERO;
     }
 }
 
@@ -178,9 +178,9 @@
         now: Duration::from_secs(1),
         starts: 0,
         exchanges: 0,
-        spent: Duration::ZERO,
+        cpu_time: Duration::ZERO,
         batch: None,
-        wires: Vec::new(),
+        in_flight: Vec::new(),
     };
     bench.step(Event::Listed { view });
     bench.step(Event::Owned { epoch: 1, former: Former::Released, records: Vec::new() });
--- a/crates/cell/tests/interleavings.rs
+++ b/crates/cell/tests/interleavings.rs
@@ -12,7 +12,7 @@
 use world::play::LEASES;
 use world::play::Step;
 use world::play::WORKERS;
-use world::play::play;
+use world::play::run_steps;
 
 /// Number of job names that a declaration selects from.
 const JOBS: usize = 4;
@@ -28,15 +28,15 @@
         1 => (30u16..150).prop_map(Step::Wait),
         8 => (0u8..8).prop_map(Step::Deliver),
         4 => proptest::strategy::Just(Step::DeliverAll),
-        3 => (0u8..2).prop_map(Step::Settle),
-        1 => worker().prop_map(Step::LoseWires),
+        3 => (0u8..2).prop_map(Step::CompleteBatch),
+        1 => worker().prop_map(Step::LoseTransfers),
         1 => worker().prop_map(Step::LoseAnswer),
         1 => worker().prop_map(Step::LoseExchange),
         1 => (worker(), proptest::bool::ANY).prop_map(|(w, on)| Step::Fails(w, on)),
-        2 => (worker(), 1000u16..1400).prop_map(|(w, slow)| Step::Measure(w, slow)),
-        2 => worker().prop_map(Step::Linger),
-        2 => (0u8..4).prop_map(Step::Haunt),
-        1 => worker().prop_map(Step::Cut),
+        2 => (worker(), 1000u16..1400).prop_map(|(w, slowdown)| Step::Measure(w, slowdown)),
+        2 => worker().prop_map(Step::DelayExchanges),
+        2 => (0u8..4).prop_map(Step::DeliverLate),
+        1 => worker().prop_map(Step::Partition),
         2 => worker().prop_map(Step::Heal),
         1 => (worker(), proptest::bool::ANY).prop_map(|(w, listed)| Step::Restart(w, listed)),
         1 => worker().prop_map(Step::Unlist),
@@ -52,8 +52,8 @@
         1 => (0..JOBS as u8).prop_map(Step::Cancel),
         1 => (0..JOBS as u8).prop_map(Step::Undeclare),
         1 => proptest::bool::ANY.prop_map(Step::StoreDown),
-        1 => proptest::strategy::Just(Step::StoreLose),
-        1 => (0u8..2, 0..LEASES.len() as u8).prop_map(|(seat, lease)| Step::Lease(seat, lease)),
+        1 => proptest::strategy::Just(Step::LoseStoreAnswer),
+        1 => (0u8..2, 0..LEASES.len() as u8).prop_map(|(slot, lease)| Step::Lease(slot, lease)),
     ]
 }
 
@@ -66,7 +66,7 @@
     let steps = proptest::collection::vec(step(), 1..STEPS);
     TestRunner::new(config)
         .run(&steps, |steps| {
-            play(&steps);
+            run_steps(&steps);
             Ok(())
         })
         .unwrap_or_else(|error| panic!("{error}"));
--- a/crates/cell/tests/replays.rs
+++ b/crates/cell/tests/replays.rs
@@ -4,19 +4,19 @@
 mod world;
 
 use world::play::Step;
-use world::play::play;
+use world::play::run_steps;
 
 /// Workers whose leases have expired report results.
 #[test]
 fn an_end_stays_recorded_when_lapsed_workers_come_back() {
-    play(&[
+    run_steps(&[
         Step::Declare(1, 20),
         Step::DeliverAll,
         Step::Wait(1),
         Step::Declare(0, 184),
         Step::DeliverAll,
         Step::Wait(102),
-        Step::LoseWires(0),
+        Step::LoseTransfers(0),
         Step::DeliverAll,
     ]);
 }
@@ -24,7 +24,7 @@
 /// The former owner used a worker that the next owner's list doesn't show.
 #[test]
 fn a_worker_that_the_next_owner_does_not_see_is_not_forgotten() {
-    play(&[
+    run_steps(&[
         Step::Unlist(1),
         Step::Kill(1),
         Step::Declare(0, 2),
@@ -41,7 +41,7 @@
 /// A start arrives after the next owner has cancelled the task and dropped its checkpoint.
 #[test]
 fn a_late_start_resumes_from_what_its_sender_knew() {
-    play(&[
+    run_steps(&[
         Step::Wait(1),
         Step::Declare(0, 4),
         Step::DeliverAll,
@@ -55,7 +55,7 @@
         Step::DeliverAll,
         Step::Wait(2),
         Step::Wait(1),
-        Step::Settle(0),
+        Step::CompleteBatch(0),
         Step::Freeze(0),
         Step::DeliverAll,
         Step::Cancel(0),
@@ -65,7 +65,7 @@
 /// A run was evicted, and a later checkpoint is reported before its first one is stored.
 #[test]
 fn nothing_resumes_from_a_checkpoint_that_is_not_stored() {
-    play(&[
+    run_steps(&[
         Step::Declare(0, 62),
         Step::Own(1),
         Step::DeliverAll,
@@ -80,7 +80,7 @@
         Step::DeliverAll,
         Step::Publish,
         Step::Wait(17),
-        Step::Linger(0),
+        Step::DelayExchanges(0),
         Step::Cancel(2),
         Step::Wait(1),
         Step::Own(1),
@@ -98,7 +98,7 @@
 /// An owner releases the cell that it took from a former owner whose state is unknown.
 #[test]
 fn a_release_says_nothing_of_the_owner_before() {
-    play(&[
+    run_steps(&[
         Step::Declare(3, 82),
         Step::Own(1),
         Step::DeliverAll,
@@ -119,14 +119,14 @@
 /// doesn't show yet.
 #[test]
 fn a_worker_met_before_any_list_shows_it_waits_for_one() {
-    play(&[
-        Step::Settle(0),
+    run_steps(&[
+        Step::CompleteBatch(0),
         Step::Kill(0),
         Step::Own(0),
         Step::Lag(1),
         Step::Unlist(1),
         Step::Restart(2, true),
-        Step::Settle(0),
+        Step::CompleteBatch(0),
         Step::Own(1),
         Step::DeliverAll,
         Step::List(1),
--- a/crates/cell/tests/scenarios.rs
+++ b/crates/cell/tests/scenarios.rs
@@ -22,19 +22,19 @@
 use world::World;
 
 /// One command of a scenario.
-struct Line<'a> {
+struct Command<'a> {
     verb: &'a str,
     words: Vec<&'a str>,
     fields: BTreeMap<&'a str, &'a str>,
 }
 
-impl<'a> Line<'a> {
-    fn parse(text: &'a str) -> Line<'a> {
+impl<'a> Command<'a> {
+    fn parse(text: &'a str) -> Command<'a> {
         let mut parts = text.split_whitespace();
         let verb = parts.next().expect("a command has a verb");
         let (fields, words): (Vec<_>, Vec<_>) = parts.partition(|part| part.contains('='));
         let fields = fields.into_iter().filter_map(|field| field.split_once('=')).collect();
-        Line { verb, words, fields }
+        Command { verb, words, fields }
     }
 
     fn word(&self, index: usize) -> &'a str {
@@ -70,96 +70,106 @@
     }
 }
 
-fn spec(line: &Line<'_>) -> job::Spec {
-    let word = line.fields.get("class").copied().unwrap_or("batch");
+fn spec(command: &Command<'_>) -> job::Spec {
+    let word = command.fields.get("class").copied().unwrap_or("batch");
     let class = Class::ALL.into_iter().find(|class| class.as_str() == word).expect("a class");
     job::Spec {
-        team: line.fields.get("team").copied().unwrap_or("default").to_owned(),
+        team: command.fields.get("team").copied().unwrap_or("default").to_owned(),
         class,
-        tasks: line.number("tasks", 1),
-        amount: line.amount(),
-        duration: line.fields.get("time").map_or(Duration::from_secs(10), |text| time(text)),
-        urgent: line.number("urgent", 0) == 1,
-        failures_max: line.number("failures", 3),
+        tasks: command.number("tasks", 1),
+        amount: command.amount(),
+        duration: command.fields.get("time").map_or(Duration::from_secs(10), |text| time(text)),
+        urgent: command.number("urgent", 0) == 1,
+        failures_max: command.number("failures", 3),
         ..job::Spec::default()
     }
 }
 
 #[derive(Default)]
-struct Story {
+struct Scenario {
     world: World,
     out: String,
 }
 
-impl Story {
-    fn tell(&mut self, text: &str) {
-        let line = Line::parse(text);
-        if !(self.platform(&line) || self.operator(&line) || self.owner(&line)) {
-            self.show(&line);
+impl Scenario {
+    fn execute(&mut self, text: &str) {
+        let command = Command::parse(text);
+        if !(self.platform(&command) || self.operator(&command) || self.owner(&command)) {
+            self.show(&command);
         }
     }
 
     /// Runs commands about workers, the list and the store; returns `false` for any other.
-    fn platform(&mut self, line: &Line<'_>) -> bool {
+    fn platform(&mut self, command: &Command<'_>) -> bool {
         let world = &mut self.world;
-        match line.verb {
+        match command.verb {
             "worker" => {
-                let rack = line.fields.get("rack").copied().unwrap_or("r1");
-                let amount = Amount { memory_mib: line.number("mem", 8000), ..line.amount() };
-                line.words.iter().for_each(|name| world.add_worker(name, rack, amount));
+                let rack = command.fields.get("rack").copied().unwrap_or("r1");
+                let amount = Amount { memory_mib: command.number("mem", 8000), ..command.amount() };
+                command.words.iter().for_each(|name| world.add_worker(name, rack, amount));
                 world.publish();
             }
-            "run" => world.run(time(line.word(0))),
-            "cut" => each(world, line, |fake| fake.cut = true),
-            "heal" => each(world, line, |fake| fake.cut = false),
-            "lose" => each(world, line, |fake| fake.lose += line.number("answers", 1)),
-            "void" => each(world, line, |fake| fake.void += line.number("exchanges", 1)),
-            "linger" => each(world, line, |fake| fake.linger += line.number("exchanges", 1)),
+            "run" => world.run(time(command.word(0))),
+            "cut" => for_each_worker(world, command, |fake| fake.partitioned = true),
+            "heal" => for_each_worker(world, command, |fake| fake.partitioned = false),
+            "lose" => for_each_worker(world, command, |fake| {
+                fake.lose_answers += command.number("answers", 1)
+            }),
+            "void" => for_each_worker(world, command, |fake| {
+                fake.lose_exchanges += command.number("exchanges", 1)
+            }),
+            "linger" => for_each_worker(world, command, |fake| {
+                fake.delay_exchanges += command.number("exchanges", 1)
+            }),
             "haunt" => {
-                while !world.ghosts.is_empty() {
-                    world.haunt(0);
+                while !world.late_exchanges.is_empty() {
+                    world.deliver_late(0);
                 }
             }
-            "checkpoints" => each(world, line, |fake| fake.checkpoint = time(line.fields["take"])),
-            "crash" => each(world, line, world::fleet::Fake::crash),
-            "fails" => each(world, line, |fake| fake.fails = line.number("on", 1) == 1),
-            "stick" => world.stuck.extend(line.words.iter().map(|&name| name.to_owned())),
-            "unstick" => world.stuck.retain(|name| !line.words.contains(&name.as_str())),
-            "drop-answers" => line.words.iter().for_each(|&name| world.lose_wires(name)),
+            "checkpoints" => for_each_worker(world, command, |fake| {
+                fake.checkpoint_time = time(command.fields["take"])
+            }),
+            "crash" => for_each_worker(world, command, world::fleet::Fake::crash),
+            "fails" => for_each_worker(world, command, |fake| {
+                fake.fails_runs = command.number("on", 1) == 1
+            }),
+            "stick" => world.held_back.extend(command.words.iter().map(|&name| name.to_owned())),
+            "unstick" => world.held_back.retain(|name| !command.words.contains(&name.as_str())),
+            "drop-answers" => command.words.iter().for_each(|&name| world.lose_transfers(name)),
             "restart" => {
-                each(world, line, world::fleet::Fake::restart);
-                for &name in &line.words {
+                for_each_worker(world, command, world::fleet::Fake::restart);
+                for &name in &command.words {
                     let incarnation = world.fakes[name].incarnation;
                     world.listed.insert(name.to_owned(), (incarnation, false));
                 }
-                if line.number("listed", 1) == 1 {
+                if command.number("listed", 1) == 1 {
                     world.publish();
                 }
             }
             "leave" => {
-                for &name in &line.words {
+                for &name in &command.words {
                     world.listed.get_mut(name).expect("a listed worker").1 = true;
                 }
                 world.publish();
             }
             "unlist" => {
-                world.listed.retain(|name, _| !line.words.contains(&name.as_str()));
+                world.listed.retain(|name, _| !command.words.contains(&name.as_str()));
                 world.publish();
             }
-            "store" => match line.word(0) {
+            "store" => match command.word(0) {
                 "down" => world.store.down = true,
                 "up" => world.store.down = false,
-                "lose" => world.store.lose += line.number("answers", 1),
+                "lose" => world.store.lose_answers += command.number("answers", 1),
                 other => panic!("unknown store command: {other}"),
             },
-            "usage" => usage(world, line),
-            "unplan" => world.unplanned.extend(line.words.iter().map(|&rack| rack.to_owned())),
+            "usage" => usage(world, command),
+            "unplan" => world.unplanned.extend(command.words.iter().map(|&rack| rack.to_owned())),
             "plan" => {
                 // One owner learns that the plan assigns the rack to the cell; the list version is
                 // the same.
-                world.unplanned.remove(line.word(0));
-                let (owner, view) = (world.owner(line.word(1)), world.view());
-                world.tell(owner, Event::Listed { view });
+                world.unplanned.remove(command.word(0));
+                let (owner, view) = (world.owner(command.word(1)), world.view());
+                world.deliver_event(owner, Event::Listed { view });
             }
             _ => return false,
         }
@@ -167,37 +177,37 @@
     }
 
     /// Runs commands about jobs, teams and the policy; returns `false` for any other.
-    fn operator(&mut self, line: &Line<'_>) -> bool {
+    fn operator(&mut self, command: &Command<'_>) -> bool {
         let world = &mut self.world;
-        match line.verb {
-            "job" => world.declare(line.word(0), spec(line)),
+        match command.verb {
+            "job" => world.declare(command.word(0), spec(command)),
             "cancel" => {
-                for &name in &line.words {
+                for &name in &command.words {
                     let spec = (*world.jobs[name]).clone();
                     world.declare(name, job::Spec { cancelled: true, ..spec });
                 }
             }
             "jobs-late" => world.jobs_late = true,
             "tell-jobs" => {
-                let owner = world.owner(line.word(0));
-                world.tell_jobs(owner);
+                let owner = world.owner(command.word(0));
+                world.send_jobs(owner);
             }
-            "forget" => line.words.iter().for_each(|name| world.undeclare(name)),
+            "forget" => command.words.iter().for_each(|name| world.undeclare(name)),
             "policy" => {
                 let policy = &mut world.policy;
-                policy.slowdown_permille = line.number("slowdown", policy.slowdown_permille);
-                policy.eviction_permille = line.number("evictions", policy.eviction_permille);
+                policy.slowdown_permille = command.number("slowdown", policy.slowdown_permille);
+                policy.eviction_permille = command.number("evictions", policy.eviction_permille);
                 let reserve = u32::from(policy.urgent_reserve_permille);
-                policy.urgent_reserve_permille = line.number("reserve", reserve) as u16;
-                policy.lease = line.fields.get("lease").map_or(policy.lease, |text| time(text));
+                policy.urgent_reserve_permille = command.number("reserve", reserve) as u16;
+                policy.lease = command.fields.get("lease").map_or(policy.lease, |text| time(text));
                 policy.heartbeat = policy.heartbeat.min(policy.lease / 3);
                 let spec = Arc::new(policy.clone());
-                world.tell_all(&Event::Policy { spec });
+                world.broadcast(&Event::Policy { spec });
             }
             "share" => {
-                let amount = (line.number("limit", 1) == 1).then(|| line.amount());
-                world.shares.insert(line.word(0).into(), amount);
-                world.tell_all(&Event::Share { team: line.word(0).into(), amount });
+                let amount = (command.number("limit", 1) == 1).then(|| command.amount());
+                world.shares.insert(command.word(0).into(), amount);
+                world.broadcast(&Event::Share { team: command.word(0).into(), amount });
             }
             _ => return false,
         }
@@ -205,36 +215,36 @@
     }
 
     /// Runs commands about owners; returns `false` for any other.
-    fn owner(&mut self, line: &Line<'_>) -> bool {
+    fn owner(&mut self, command: &Command<'_>) -> bool {
         let world = &mut self.world;
-        match line.verb {
+        match command.verb {
             "own" => {
-                let owner = world.owner(line.word(0));
-                world.own(owner, line.former(1));
+                let owner = world.owner(command.word(0));
+                world.own(owner, command.former(1));
             }
             "former" => {
-                let owner = world.owner(line.word(0));
-                world.tell(owner, Event::Former { former: line.former(1) });
+                let owner = world.owner(command.word(0));
+                world.deliver_event(owner, Event::Former { former: command.former(1) });
             }
             "disown" => {
-                let owner = world.owner(line.word(0));
-                world.tell(owner, Event::Disowned);
+                let owner = world.owner(command.word(0));
+                world.deliver_event(owner, Event::Disowned);
             }
             "kill" => {
-                let owner = world.owner(line.word(0));
+                let owner = world.owner(command.word(0));
                 world.owners[owner].alive = false;
             }
             "freeze" => {
-                let owner = world.owner(line.word(0));
+                let owner = world.owner(command.word(0));
                 world.freeze(owner);
             }
             "lag" => {
-                let owner = world.owner(line.word(0));
-                world.owners[owner].lags = line.number("on", 1) == 1;
+                let owner = world.owner(command.word(0));
+                world.owners[owner].lags = command.number("on", 1) == 1;
                 world.publish();
             }
             "thaw" => {
-                let owner = world.owner(line.word(0));
+                let owner = world.owner(command.word(0));
                 world.thaw(owner);
             }
             _ => return false,
@@ -242,18 +252,18 @@
         true
     }
 
-    fn show(&mut self, line: &Line<'_>) {
-        assert_eq!(line.verb, "show", "unknown command");
-        match line.word(0) {
+    fn show(&mut self, command: &Command<'_>) {
+        assert_eq!(command.verb, "show", "unknown command");
+        match command.word(0) {
             "notes" => {
-                let wanted =
-                    |note: &&String| line.words[1..].iter().any(|word| note.contains(word));
-                for note in self.world.notes.iter().filter(wanted) {
+                let is_wanted =
+                    |note: &&String| command.words[1..].iter().any(|word| note.contains(word));
+                for note in self.world.notes.iter().filter(is_wanted) {
                     writeln!(self.out, "{note}").expect("a string takes any text");
                 }
                 self.world.notes.clear();
             }
-            "counts" => self.show_counts(line.word(1)),
+            "counts" => self.show_counts(command.word(1)),
             "workers" => self.show_workers(),
             "store" => self.show_store(),
             other => panic!("unknown subject to show: {other}"),
@@ -265,8 +275,8 @@
         let cell = &self.world.owners[owner].cell;
         let text = format!("{:?}", cell.counts());
         let fields = text.trim_start_matches("Counts { ").trim_end_matches(" }").split(", ");
-        let some: Vec<&str> = fields.filter(|field| !field.ends_with(": 0")).collect();
-        writeln!(self.out, "{:?} {}", cell.phase(), some.join(", "))
+        let nonzero: Vec<&str> = fields.filter(|field| !field.ends_with(": 0")).collect();
+        writeln!(self.out, "{:?} {}", cell.phase(), nonzero.join(", "))
             .expect("a string takes any text");
     }
 
@@ -316,24 +326,28 @@
     }
 }
 
-fn each(world: &mut World, line: &Line<'_>, change: impl Fn(&mut world::fleet::Fake)) {
-    for &name in &line.words {
+fn for_each_worker(
+    world: &mut World,
+    command: &Command<'_>,
+    change: impl Fn(&mut world::fleet::Fake),
+) {
+    for &name in &command.words {
         let named = |fake: &&mut world::fleet::Fake| fake.name == name || fake.rack == name;
         world.fakes.values_mut().filter(named).for_each(&change);
     }
 }
 
 /// Adds a measurement of a run to its worker's next report: `usage job 0 cpu= mem= slow= ago=`.
-fn usage(world: &mut World, line: &Line<'_>) {
+fn usage(world: &mut World, command: &Command<'_>) {
     let now = world.now;
-    let task = line.word(1).parse().expect("a task");
-    let found = |fake: &mut world::fleet::Fake| fake.find(line.word(0), task);
+    let task = command.word(1).parse().expect("a task");
+    let found = |fake: &mut world::fleet::Fake| fake.find(command.word(0), task);
     let mut fakes = world.fakes.values_mut();
     let (fake, run) =
         fakes.find_map(|fake| found(fake).map(|run| (fake, run))).expect("a run on a worker");
-    let measured = fake.stamp(now) - u64::from(line.number("ago", 0));
-    let slowdown_permille = line.number("slow", 1000);
-    fake.usage.push(Usage { run, amount: line.amount(), measured, slowdown_permille });
+    let measured = fake.stamp(now) - u64::from(command.number("ago", 0));
+    let slowdown_permille = command.number("slow", 1000);
+    fake.usage.push(Usage { run, amount: command.amount(), measured, slowdown_permille });
 }
 
 #[test]
@@ -342,9 +356,12 @@
     walk(files.to_str().expect("a path in UTF-8"), |file| {
         file.run(|case| {
             assert_eq!(case.directive, "scenario", "a block is one scenario");
-            let mut story = Story::default();
-            case.input.lines().filter(|line| !line.trim().is_empty()).for_each(|l| story.tell(l));
-            if story.out.is_empty() { String::from("\n") } else { story.out }
+            let mut scenario = Scenario::default();
+            case.input
+                .lines()
+                .filter(|line| !line.trim().is_empty())
+                .for_each(|l| scenario.execute(l));
+            if scenario.out.is_empty() { String::from("\n") } else { scenario.out }
         });
     });
 }
--- a/crates/cell/tests/world/check.rs
+++ b/crates/cell/tests/world/check.rs
@@ -11,7 +11,7 @@
 
 use super::Key;
 use super::World;
-use super::fleet::Begun;
+use super::fleet::Started;
 
 impl World {
     /// Checks that no worker is overcommitted and that no task runs twice, and collects
@@ -50,53 +50,56 @@
     /// Checks that a start is a new attempt from the stored checkpoint. A start that was sent
     /// before the sender's ownership ended may arrive later; it is checked against the store as of
     /// that end.
-    pub(super) fn check_begun(&mut self, begun: &Begun, epoch: Epoch) {
-        let run = &begun.run;
+    pub(super) fn check_start(&mut self, started: &Started, epoch: Epoch) {
+        let run = &started.run;
         let key = (run.job.clone(), run.task);
-        let last = self.begun.insert(key.clone(), run.attempt);
-        assert!(last.is_none_or(|last| last < run.attempt), "{run:?} started after {last:?}");
-        let records = self.store.left.get(&epoch).unwrap_or(&self.store.records);
+        let last = self.last_attempts.insert(key.clone(), run.attempt);
+        assert!(
+            last.is_none_or(|last| last < run.attempt),
+            "{run:?} started after {last:?}"
+        );
+        let records = self.store.former_records.get(&epoch).unwrap_or(&self.store.records);
         let record = records.get(&run.job);
         let stored = record.and_then(|r| r.tasks.iter().find(|task| task.index == run.task));
         let checkpoint = stored.and_then(|task| task.checkpoint.clone());
-        assert_eq!(begun.checkpoint, checkpoint, "{run:?} resumes from the stored checkpoint");
+        assert_eq!(started.checkpoint, checkpoint, "{run:?} resumes from the stored checkpoint");
         if epoch == self.store.epoch {
-            assert!(!self.fates.contains_key(&key), "{run:?} started after its end");
+            assert!(!self.ends.contains_key(&key), "{run:?} started after its end");
         }
     }
 
     /// Checks that a terminal state in a record never changes and matches what happened.
     pub(super) fn check_record(&mut self, record: &Record) {
-        let mut fates = Vec::new();
+        let mut ends = Vec::new();
         let spans = record.done.iter().map(|span| ("done", span));
-        for (fate, span) in spans.chain(record.cancelled.iter().map(|span| ("cancelled", span))) {
-            fates.extend((span.start..span.end).map(|index| (index, fate)));
+        for (end, span) in spans.chain(record.cancelled.iter().map(|span| ("cancelled", span))) {
+            ends.extend((span.start..span.end).map(|index| (index, end)));
         }
-        for (index, fate) in fates {
+        for (index, end) in ends {
             let key = (record.job.clone(), index);
-            let before = self.fates.insert(key.clone(), fate);
-            assert!(before.is_none_or(|before| before == fate), "{key:?} ended twice");
-            let truth = match fate {
+            let before = self.ends.insert(key.clone(), end);
+            assert!(before.is_none_or(|before| before == end), "{key:?} ended twice");
+            let is_true = match end {
                 "done" => self.completed.contains(&key),
                 _ => self.cancelled.contains(&record.job),
             };
-            assert!(truth, "{key:?} is stored as {fate}, which did not happen");
+            assert!(is_true, "{key:?} is stored as {end}, which did not happen");
         }
-        let kept: BTreeSet<_> = self.fates.keys().filter(|key| key.0 == record.job).collect();
+        let recorded: BTreeSet<_> = self.ends.keys().filter(|key| key.0 == record.job).collect();
         let ended: u32 =
             record.done.iter().chain(&record.cancelled).map(|span| span.end - span.start).sum();
         assert_eq!(
-            kept.len() as u32,
+            recorded.len() as u32,
             ended,
             "an ended task is missing in the record of {}",
             record.job
         );
-        let parked = |task: &cowslipchute_cell::record::Task| {
+        let check_task = |task: &cowslipchute_cell::record::Task| {
             assert!(
                 !matches!(task.fate, Some(Fate::Done | Fate::Cancelled)),
                 "completed and cancelled tasks are stored as spans"
             );
         };
-        record.tasks.iter().for_each(parked);
+        record.tasks.iter().for_each(check_task);
     }
 }
--- a/crates/cell/tests/world/fleet.rs
+++ b/crates/cell/tests/world/fleet.rs
@@ -17,11 +17,11 @@
 use cowslipchute_ports::worker::Usage;
 
 /// Default time of a checkpoint.
-const CHECKPOINT: Duration = Duration::from_millis(300);
+const CHECKPOINT_TIME: Duration = Duration::from_millis(300);
 /// Time of a stop.
-const STOP: Duration = Duration::from_millis(200);
+const STOP_TIME: Duration = Duration::from_millis(200);
 /// Time after which a failing run fails.
-const FAIL: Duration = Duration::from_millis(100);
+const FAIL_TIME: Duration = Duration::from_millis(100);
 
 /// A scheduled change of a run's phase.
 #[derive(Clone, Debug)]
@@ -38,12 +38,12 @@
     change: Option<Change>,
     started: Time,
     /// Work preserved from earlier runs by the checkpoint.
-    before: Duration,
+    resumed_work: Duration,
 }
 
 /// A start command that took effect.
 #[derive(Clone, Debug)]
-pub struct Begun {
+pub struct Started {
     pub run: Run,
     pub checkpoint: Option<Checkpoint>,
 }
@@ -56,18 +56,18 @@
     pub capacity: Amount,
     pub alive: bool,
     /// Whether it is partitioned: no exchange reaches it.
-    pub cut: bool,
+    pub partitioned: bool,
     /// Number of answers still to be lost.
-    pub lose: u32,
+    pub lose_answers: u32,
     /// Number of exchanges still to be lost before they arrive, which the sender can't distinguish
     /// from a lost answer.
-    pub void: u32,
+    pub lose_exchanges: u32,
     /// Number of exchanges still to be delayed: they are reported as lost and may arrive later.
-    pub linger: u32,
+    pub delay_exchanges: u32,
     /// Time of a checkpoint.
-    pub checkpoint: Duration,
+    pub checkpoint_time: Duration,
     /// Whether all its runs fail.
-    pub fails: bool,
+    pub fails_runs: bool,
     pub leaving: bool,
     epoch: Epoch,
     lease: Time,
@@ -86,12 +86,12 @@
             rack: rack.to_owned(),
             capacity,
             alive: true,
-            cut: false,
-            lose: 0,
-            void: 0,
-            linger: 0,
-            checkpoint: CHECKPOINT,
-            fails: false,
+            partitioned: false,
+            lose_answers: 0,
+            lose_exchanges: 0,
+            delay_exchanges: 0,
+            checkpoint_time: CHECKPOINT_TIME,
+            fails_runs: false,
             leaving: false,
             epoch: 0,
             lease: Time::ZERO,
@@ -105,7 +105,7 @@
     /// Starts a new incarnation without the runs of the old one.
     pub fn restart(&mut self) {
         let fresh = Fake::new(&self.name, &self.rack, self.capacity, self.incarnation + 7);
-        *self = Fake { incarnation: self.incarnation + 1, fails: self.fails, ..fresh };
+        *self = Fake { incarnation: self.incarnation + 1, fails_runs: self.fails_runs, ..fresh };
     }
 
     pub fn crash(&mut self) {
@@ -147,17 +147,17 @@
     }
 
     /// Executes or refuses an exchange and returns its report and the starts that took effect.
-    pub fn exchange(&mut self, now: Time, exchange: &Exchange) -> (Report, Vec<Begun>) {
+    pub fn exchange(&mut self, now: Time, exchange: &Exchange) -> (Report, Vec<Started>) {
         self.advance(now);
         let obeyed = exchange.incarnation == self.incarnation && exchange.epoch >= self.epoch;
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         if obeyed {
             self.epoch = exchange.epoch;
             if let Some(grant) = exchange.grant {
                 self.lease = self.lease.max(Duration::from_millis(grant.stamp) + grant.valid);
             }
             for command in &exchange.commands {
-                self.obey(now, command, exchange.grant, &mut begun);
+                self.execute(now, command, exchange.grant, &mut started);
             }
             for run in &exchange.acks {
                 if self.entries.get(run).is_some_and(|entry| !is_active(&entry.held.phase)) {
@@ -166,12 +166,12 @@
             }
         }
         self.advance(now);
-        (self.report(now, exchange.known, obeyed), begun)
+        (self.report(now, exchange.known, obeyed), started)
     }
 
     fn report(&mut self, now: Time, known: u64, obeyed: bool) -> Report {
         let whole = known == 0;
-        let told = |entry: &&Entry| match whole {
+        let is_reported = |entry: &&Entry| match whole {
             true => entry.held.phase != Phase::Forgotten,
             false => entry.version > known,
         };
@@ -183,13 +183,24 @@
             obeyed,
             version: self.version,
             whole,
-            held: self.entries.values().filter(told).map(|entry| entry.held.clone()).collect(),
+            held: self
+                .entries
+                .values()
+                .filter(is_reported)
+                .map(|entry| entry.held.clone())
+                .collect(),
             usage: if obeyed { std::mem::take(&mut self.usage) } else { Vec::new() },
             leaving: self.leaving,
         }
     }
 
-    fn obey(&mut self, now: Time, command: &Command, grant: Option<Grant>, begun: &mut Vec<Begun>) {
+    fn execute(
+        &mut self,
+        now: Time,
+        command: &Command,
+        grant: Option<Grant>,
+        started: &mut Vec<Started>,
+    ) {
         match command {
             Command::Start { run, amount, checkpoint, duration } => {
                 let known = self.entries.get(run).is_some_and(|e| e.held.phase != Phase::Forgotten);
@@ -201,16 +212,16 @@
                     if until.is_none_or(|until| now + self.offset > until) {
                         return self.set(run, Phase::Stopped);
                     }
-                    begun.push(Begun { run: run.clone(), checkpoint: checkpoint.clone() });
+                    started.push(Started { run: run.clone(), checkpoint: checkpoint.clone() });
                 }
             }
-            Command::Stop { run } => self.end(now, run, STOP, Phase::Stopped),
+            Command::Stop { run } => self.end(now, run, STOP_TIME, Phase::Stopped),
             Command::Evict { run } => {
                 let checkpoint = self.progress(now, run);
                 self.end(
                     now,
                     run,
-                    self.checkpoint,
+                    self.checkpoint_time,
                     Phase::Evicted { checkpoint: Some(checkpoint) },
                 );
             }
@@ -232,21 +243,21 @@
         checkpoint: Option<&Checkpoint>,
         duration: Duration,
     ) {
-        let before = checkpoint.map_or(Duration::ZERO, |text| worked(text));
-        let change = if self.fails {
+        let resumed_work = checkpoint.map_or(Duration::ZERO, |text| parse_work(text));
+        let change = if self.fails_runs {
             let reason = String::from("the worker is broken");
-            Some(Change { at: now + FAIL, to: Phase::Failed { reason } })
+            Some(Change { at: now + FAIL_TIME, to: Phase::Failed { reason } })
         } else if run.job.starts_with("bad") {
             let reason = String::from("the job is broken");
-            Some(Change { at: now + FAIL, to: Phase::Failed { reason } })
+            Some(Change { at: now + FAIL_TIME, to: Phase::Failed { reason } })
         } else if duration.is_zero() {
             None
         } else {
-            Some(Change { at: now + duration.saturating_sub(before), to: Phase::Done })
+            Some(Change { at: now + duration.saturating_sub(resumed_work), to: Phase::Done })
         };
         self.version += 1;
         let held = Held { run: run.clone(), amount, phase: Phase::Running, permille: 1000 };
-        let entry = Entry { held, version: self.version, change, started: now, before };
+        let entry = Entry { held, version: self.version, change, started: now, resumed_work };
         self.entries.insert(run.clone(), entry);
     }
 
@@ -264,8 +275,8 @@
             Some(Phase::Forgotten) | None => {
                 self.version += 1;
                 let (held, version) = (forgotten(run), self.version);
-                let before = Duration::ZERO;
-                let entry = Entry { held, version, change: None, started: now, before };
+                let resumed_work = Duration::ZERO;
+                let entry = Entry { held, version, change: None, started: now, resumed_work };
                 self.entries.insert(run.clone(), entry);
             }
         }
@@ -273,7 +284,8 @@
 
     /// Returns a checkpoint name that contains the run and the work done so far.
     fn progress(&self, now: Time, run: &Run) -> Checkpoint {
-        let worked = self.entries.get(run).map_or(Duration::ZERO, |e| e.before + (now - e.started));
+        let worked =
+            self.entries.get(run).map_or(Duration::ZERO, |e| e.resumed_work + (now - e.started));
         format!("{}/{}#{}@{}", run.job, run.task, run.attempt, worked.as_millis()).into()
     }
 
@@ -284,8 +296,8 @@
 
     /// Iterates over the runs in its complete inventory.
     pub fn held(&self) -> impl Iterator<Item = &Held> {
-        let kept = |held: &&Held| held.phase != Phase::Forgotten;
-        self.entries.values().map(|entry| &entry.held).filter(kept)
+        let is_reported = |held: &&Held| held.phase != Phase::Forgotten;
+        self.entries.values().map(|entry| &entry.held).filter(is_reported)
     }
 
     pub fn find(&self, job: &str, task: u32) -> Option<Run> {
@@ -302,7 +314,7 @@
     matches!(phase, Phase::Running | Phase::Stopping)
 }
 
-fn worked(checkpoint: &str) -> Duration {
+fn parse_work(checkpoint: &str) -> Duration {
     let millis = checkpoint.rsplit('@').next().and_then(|text| text.parse().ok());
     Duration::from_millis(millis.expect("a checkpoint of a fake worker"))
 }
--- a/crates/cell/tests/world/mod.rs
+++ b/crates/cell/tests/world/mod.rs
@@ -43,7 +43,7 @@
 
 /// An exchange in flight: the request until it is delivered, then the answer.
 #[derive(Debug)]
-pub struct Wire {
+pub struct Transfer {
     pub owner: usize,
     pub worker: String,
     sequence: Sequence,
@@ -78,10 +78,10 @@
     pub records: BTreeMap<id::Job, Record>,
     pub epoch: Epoch,
     /// The records at the end of each former epoch.
-    left: BTreeMap<Epoch, BTreeMap<id::Job, Record>>,
+    former_records: BTreeMap<Epoch, BTreeMap<id::Job, Record>>,
     pub down: bool,
     /// Number of answers still to be lost after the batch was applied.
-    pub lose: u32,
+    pub lose_answers: u32,
     pub writes: u32,
 }
 
@@ -92,7 +92,7 @@
     /// The platform's current state of the workers: name, incarnation and whether it is leaving.
     pub listed: BTreeMap<String, (u64, bool)>,
     /// The workers as listed under the current version.
-    shown: BTreeMap<String, (u64, bool)>,
+    last_listed: BTreeMap<String, (u64, bool)>,
     version: u64,
     /// Racks that the plan doesn't assign to the cell yet.
     pub unplanned: BTreeSet<String>,
@@ -103,16 +103,16 @@
     pub jobs_late: bool,
     pub shares: BTreeMap<id::Team, Option<Amount>>,
     pub policy: policy::Spec,
-    pub wires: Vec<Wire>,
+    pub transfers: Vec<Transfer>,
     /// Exchanges that were reported as lost and may still arrive, with their workers.
-    pub ghosts: Vec<(String, Exchange)>,
+    pub late_exchanges: Vec<(String, Exchange)>,
     /// Workers whose answers are delayed.
-    pub stuck: BTreeSet<String>,
+    pub held_back: BTreeSet<String>,
     pub notes: Vec<String>,
-    begun: BTreeMap<Key, Attempt>,
+    last_attempts: BTreeMap<Key, Attempt>,
     completed: BTreeSet<Key>,
     cancelled: BTreeSet<id::Job>,
-    fates: BTreeMap<Key, &'static str>,
+    ends: BTreeMap<Key, &'static str>,
 }
 
 impl World {
@@ -140,9 +140,9 @@
     /// Returns the platform's list; its version increases with each change, even one that no owner
     /// saw.
     pub fn view(&mut self) -> View {
-        if self.shown != self.listed {
+        if self.last_listed != self.listed {
             self.version += 1;
-            self.shown = self.listed.clone();
+            self.last_listed = self.listed.clone();
         }
         let is_planned = |name: &&String| !self.unplanned.contains(&self.fakes[*name].rack);
         let planned = self.listed.iter().filter(|(name, _)| is_planned(name));
@@ -171,14 +171,14 @@
         let view = self.view();
         for owner in 0..self.owners.len() {
             if !self.owners[owner].lags {
-                self.tell(owner, Event::Listed { view: view.clone() });
+                self.deliver_event(owner, Event::Listed { view: view.clone() });
             }
         }
     }
 
-    pub fn tell_all(&mut self, event: &Event) {
+    pub fn broadcast(&mut self, event: &Event) {
         for owner in 0..self.owners.len() {
-            self.tell(owner, event.clone());
+            self.deliver_event(owner, event.clone());
         }
     }
 
@@ -189,14 +189,14 @@
             self.cancelled.insert(name.clone());
         }
         self.jobs.insert(name.clone(), spec.clone());
-        self.tell_all(&Event::Job { name, spec });
+        self.broadcast(&Event::Job { name, spec });
     }
 
     pub fn undeclare(&mut self, name: &str) {
         let name: id::Job = name.into();
         self.cancelled.insert(name.clone());
         self.jobs.remove(&name);
-        self.tell_all(&Event::JobGone { name });
+        self.broadcast(&Event::JobGone { name });
     }
 
     /// Opens an owner process that doesn't own the cell yet.
@@ -214,24 +214,24 @@
             batches: VecDeque::new(),
         });
         let owner = self.owners.len() - 1;
-        self.tell(owner, Event::Policy { spec: Arc::new(self.policy.clone()) });
+        self.deliver_event(owner, Event::Policy { spec: Arc::new(self.policy.clone()) });
         let shares: Vec<_> = self.shares.iter().map(|(t, s)| (t.clone(), *s)).collect();
         for (team, amount) in shares {
-            self.tell(owner, Event::Share { team, amount });
+            self.deliver_event(owner, Event::Share { team, amount });
         }
         let view = self.view();
-        self.tell(owner, Event::Listed { view });
+        self.deliver_event(owner, Event::Listed { view });
         if !self.jobs_late {
-            self.tell_jobs(owner);
+            self.send_jobs(owner);
         }
         owner
     }
 
     /// Sends all job declarations to an owner.
-    pub fn tell_jobs(&mut self, owner: usize) {
+    pub fn send_jobs(&mut self, owner: usize) {
         let jobs: Vec<_> = self.jobs.iter().map(|(n, s)| (n.clone(), s.clone())).collect();
         for (name, spec) in jobs {
-            self.tell(owner, Event::Job { name, spec });
+            self.deliver_event(owner, Event::Job { name, spec });
         }
     }
 
@@ -244,16 +244,16 @@
 
     /// Makes an owner take the cell's ownership under a new epoch.
     pub fn own(&mut self, owner: usize, former: Former) {
-        self.store.left.insert(self.store.epoch, self.store.records.clone());
+        self.store.former_records.insert(self.store.epoch, self.store.records.clone());
         self.store.epoch += 1;
         let epoch = self.store.epoch;
         self.owners[owner].epoch = epoch;
         let records = self.store.records.values().cloned().collect();
-        self.tell(owner, Event::Owned { epoch, former, records });
+        self.deliver_event(owner, Event::Owned { epoch, former, records });
     }
 
     /// Delivers an event to an owner; a frozen one gets it when it is thawed.
-    pub fn tell(&mut self, owner: usize, event: Event) {
+    pub fn deliver_event(&mut self, owner: usize, event: Event) {
         let target = &mut self.owners[owner];
         if !target.alive {
             return;
@@ -265,7 +265,7 @@
         let mut actions = Vec::new();
         target.cell.step(self.now, event, &mut actions);
         for action in actions {
-            self.act(owner, action);
+            self.perform(owner, action);
         }
         self.check();
     }
@@ -277,17 +277,18 @@
     pub fn thaw(&mut self, owner: usize) {
         self.owners[owner].frozen = false;
         while let Some(event) = self.owners[owner].waiting.pop_front() {
-            self.tell(owner, event);
+            self.deliver_event(owner, event);
         }
     }
 
-    fn act(&mut self, owner: usize, action: Action) {
+    fn perform(&mut self, owner: usize, action: Action) {
         match action {
             Action::Exchange { sequence, worker, exchange, .. } => {
-                let busy = |w: &Wire| w.owner == owner && w.worker == *worker;
-                assert!(!self.wires.iter().any(busy), "one exchange in flight for a worker");
+                let busy =
+                    |transfer: &Transfer| transfer.owner == owner && transfer.worker == *worker;
+                assert!(!self.transfers.iter().any(busy), "one exchange in flight for a worker");
                 let (worker, exchange) = (worker.to_string(), Some(exchange));
-                self.wires.push(Wire { owner, worker, sequence, exchange, answer: None });
+                self.transfers.push(Transfer { owner, worker, sequence, exchange, answer: None });
             }
             Action::Record { batch: number, records, removed } => {
                 let owner = &mut self.owners[owner];
@@ -305,7 +306,7 @@
     }
 
     /// Completes an owner's oldest batch; returns `false` if there is none.
-    pub fn settle(&mut self, owner: usize) -> bool {
+    pub fn complete_batch(&mut self, owner: usize) -> bool {
         let Some(batch) = self.owners[owner].batches.pop_front() else { return false };
         let number = batch.number;
         let event = if self.store.down {
@@ -316,14 +317,14 @@
             Event::RecordFailed { batch: number }
         } else {
             self.apply(batch);
-            let lost = self.store.lose > 0;
-            self.store.lose = self.store.lose.saturating_sub(1);
+            let lost = self.store.lose_answers > 0;
+            self.store.lose_answers = self.store.lose_answers.saturating_sub(1);
             match lost {
                 true => Event::RecordFailed { batch: number },
                 false => Event::Recorded { batch: number },
             }
         };
-        self.tell(owner, event);
+        self.deliver_event(owner, event);
         true
     }
 
@@ -335,7 +336,7 @@
         }
         for job in batch.removed {
             self.store.records.remove(&job);
-            self.fates.retain(|key, _| key.0 != job);
+            self.ends.retain(|key, _| key.0 != job);
         }
     }
 
@@ -343,37 +344,37 @@
     pub fn tick(&mut self, owner: usize) -> bool {
         let target = &self.owners[owner];
         let is_due = target.cell.next_due().is_some_and(|due| due <= self.now);
-        let ticks = target.alive && !target.frozen && is_due;
-        if ticks {
-            self.tell(owner, Event::Tick);
+        let can_tick = target.alive && !target.frozen && is_due;
+        if can_tick {
+            self.deliver_event(owner, Event::Tick);
         }
-        ticks
+        can_tick
     }
 
     /// Advances the time in steps and delivers everything in flight after each.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
-        self.pump();
+        self.deliver_all();
         while self.now < end {
             self.now += STEP;
             self.check();
-            self.pump();
+            self.deliver_all();
         }
     }
 
-    fn pump(&mut self) {
+    fn deliver_all(&mut self) {
         for _ in 0..20 {
             let mut busy = false;
             for owner in 0..self.owners.len() {
                 busy |= self.tick(owner);
-                busy |= self.settle(owner);
+                busy |= self.complete_batch(owner);
             }
             let mut index = 0;
-            while index < self.wires.len() {
-                let before = self.wires.len();
-                let went = self.deliver(index);
-                busy |= went;
-                index += usize::from(!went || self.wires.len() >= before);
+            while index < self.transfers.len() {
+                let before = self.transfers.len();
+                let has_progressed = self.deliver(index);
+                busy |= has_progressed;
+                index += usize::from(!has_progressed || self.transfers.len() >= before);
             }
             if !busy {
                 return;
--- a/crates/cell/tests/world/play.rs
+++ b/crates/cell/tests/world/play.rs
@@ -19,24 +19,24 @@
 pub const LEASES: [u64; 3] = [6, 10, 25];
 
 /// Maximum time for the remaining work at the end.
-const LONGEST: Duration = Duration::from_secs(240);
+const REMAINING_WORK_TIME: Duration = Duration::from_secs(240);
 /// Time between two checks whether all work has ended and all results are acknowledged.
-const SETTLE: Duration = Duration::from_secs(5);
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
 pub enum Step {
     Wait(u16),
     Deliver(u8),
     DeliverAll,
-    Settle(u8),
-    LoseWires(u8),
+    CompleteBatch(u8),
+    LoseTransfers(u8),
     LoseAnswer(u8),
     LoseExchange(u8),
     Fails(u8, bool),
     Measure(u8, u16),
-    Linger(u8),
-    Haunt(u8),
-    Cut(u8),
+    DelayExchanges(u8),
+    DeliverLate(u8),
+    Partition(u8),
     Heal(u8),
     Restart(u8, bool),
     Unlist(u8),
@@ -52,78 +52,78 @@
     Cancel(u8),
     Undeclare(u8),
     StoreDown(bool),
-    StoreLose,
+    LoseStoreAnswer,
     Lease(u8, u8),
 }
 
-pub struct Play {
+pub struct Simulation {
     world: World,
     /// The indices of the two current owner processes.
-    seats: [usize; 2],
+    slots: [usize; 2],
     /// The owner that took the cell last, unless it has released it.
     holder: Option<usize>,
     /// Owners that took the cell at any time and have neither released it nor ended. Like the claim
     /// in the store, the set is carried over when another owner takes the cell.
-    unsettled: BTreeSet<usize>,
+    unreleased: BTreeSet<usize>,
 }
 
-impl Play {
-    pub fn open() -> Play {
+impl Simulation {
+    pub fn open() -> Simulation {
         let mut world = World::default();
         for index in 0..WORKERS {
             let capacity = Amount { cpu_milli: 3000, memory_mib: 4000, accelerators: 1 };
             world.add_worker(&worker(index as u8), ["r1", "r2"][index % 2], capacity);
         }
         world.publish();
-        let seats = [world.open("a"), world.open("b")];
-        let mut play = Play { world, seats, holder: None, unsettled: BTreeSet::new() };
-        play.own(0);
-        play
+        let slots = [world.open("a"), world.open("b")];
+        let mut simulation = Simulation { world, slots, holder: None, unreleased: BTreeSet::new() };
+        simulation.own(0);
+        simulation
     }
 
-    fn seat(&self, seat: u8) -> usize {
-        self.seats[usize::from(seat)]
+    fn slot(&self, slot: u8) -> usize {
+        self.slots[usize::from(slot)]
     }
 
     /// Takes the cell for a slot, with what a placer would know about the former owner.
-    fn own(&mut self, seat: u8) {
-        let owner = self.seat(seat);
+    fn own(&mut self, slot: u8) {
+        let owner = self.slot(slot);
         if self.holder == Some(owner) || self.world.owners[owner].frozen {
             return;
         }
         let former = match self.holder {
-            _ if self.has_unsettled(owner) => Former::Unheard,
+            _ if self.has_unreleased(owner) => Former::Unheard,
             None => Former::Released,
             Some(_) => Former::Ended,
         };
         self.world.own(owner, former);
         self.holder = Some(owner);
-        self.unsettled.insert(owner);
+        self.unreleased.insert(owner);
     }
 
     /// Returns `true` if an owner other than `owner` may still be renewing leases.
-    fn has_unsettled(&self, owner: usize) -> bool {
-        self.unsettled.iter().any(|&other| other != owner)
+    fn has_unreleased(&self, owner: usize) -> bool {
+        self.unreleased.iter().any(|&other| other != owner)
     }
 
-    fn kill(&mut self, seat: u8) {
-        let owner = self.seat(seat);
+    fn kill(&mut self, slot: u8) {
+        let owner = self.slot(slot);
         self.world.owners[owner].alive = false;
-        self.seats[usize::from(seat)] =
+        self.slots[usize::from(slot)] =
             self.world.open(&format!("{}'", self.world.owners[owner].name));
-        self.unsettled.remove(&owner);
-        let other = self.seats[1 - usize::from(seat)];
-        if self.holder == Some(other) && !self.has_unsettled(other) {
-            self.world.tell(other, Event::Former { former: Former::Ended });
+        self.unreleased.remove(&owner);
+        let other = self.slots[1 - usize::from(slot)];
+        if self.holder == Some(other) && !self.has_unreleased(other) {
+            self.world.deliver_event(other, Event::Former { former: Former::Ended });
         }
     }
 
-    fn release(&mut self, seat: u8) {
-        let owner = self.seat(seat);
+    fn release(&mut self, slot: u8) {
+        let owner = self.slot(slot);
         if self.holder == Some(owner) && !self.world.owners[owner].frozen {
-            self.world.tell(owner, Event::Disowned);
+            self.world.deliver_event(owner, Event::Disowned);
             self.holder = None;
-            self.unsettled.remove(&owner);
+            self.unreleased.remove(&owner);
         }
     }
 
@@ -162,28 +162,28 @@
                 }
             }
             Step::Deliver(index) => {
-                let count = world.wires.len();
+                let count = world.transfers.len();
                 if count > 0 {
                     world.deliver(usize::from(index) % count);
                 }
             }
             Step::DeliverAll => world.run(Duration::ZERO),
-            Step::Settle(seat) => {
-                world.settle(self.seats[usize::from(seat)]);
+            Step::CompleteBatch(slot) => {
+                world.complete_batch(self.slots[usize::from(slot)]);
             }
-            Step::LoseWires(w) => world.lose_wires(&worker(w)),
-            Step::LoseAnswer(w) => world.fake(&worker(w)).lose += 1,
-            Step::LoseExchange(w) => world.fake(&worker(w)).void += 1,
-            Step::Fails(w, on) => world.fake(&worker(w)).fails = on,
-            Step::Measure(w, slow) => world.measure(&worker(w), u32::from(slow)),
-            Step::Linger(w) => world.linger(&worker(w)),
-            Step::Haunt(index) => {
-                if !world.ghosts.is_empty() {
-                    world.haunt(usize::from(index) % world.ghosts.len());
+            Step::LoseTransfers(w) => world.lose_transfers(&worker(w)),
+            Step::LoseAnswer(w) => world.fake(&worker(w)).lose_answers += 1,
+            Step::LoseExchange(w) => world.fake(&worker(w)).lose_exchanges += 1,
+            Step::Fails(w, on) => world.fake(&worker(w)).fails_runs = on,
+            Step::Measure(w, slowdown) => world.measure(&worker(w), u32::from(slowdown)),
+            Step::DelayExchanges(w) => world.delay_exchanges(&worker(w)),
+            Step::DeliverLate(index) => {
+                if !world.late_exchanges.is_empty() {
+                    world.deliver_late(usize::from(index) % world.late_exchanges.len());
                 }
             }
-            Step::Cut(w) => world.fake(&worker(w)).cut = true,
-            Step::Heal(w) => world.fake(&worker(w)).cut = false,
+            Step::Partition(w) => world.fake(&worker(w)).partitioned = true,
+            Step::Heal(w) => world.fake(&worker(w)).partitioned = false,
             Step::Restart(w, listed) => {
                 world.fake(&worker(w)).restart();
                 world.list(&worker(w));
@@ -202,15 +202,15 @@
                 }
             }
             Step::Publish => world.publish(),
-            Step::Lag(seat) => {
-                let owner = self.seats[usize::from(seat)];
+            Step::Lag(slot) => {
+                let owner = self.slots[usize::from(slot)];
                 world.owners[owner].lags ^= true;
             }
-            Step::Freeze(seat) => world.freeze(self.seats[usize::from(seat)]),
-            Step::Thaw(seat) => world.thaw(self.seats[usize::from(seat)]),
-            Step::Kill(seat) => self.kill(seat),
-            Step::Release(seat) => self.release(seat),
-            Step::Own(seat) => self.own(seat),
+            Step::Freeze(slot) => world.freeze(self.slots[usize::from(slot)]),
+            Step::Thaw(slot) => world.thaw(self.slots[usize::from(slot)]),
+            Step::Kill(slot) => self.kill(slot),
+            Step::Release(slot) => self.release(slot),
+            Step::Own(slot) => self.own(slot),
             Step::Declare(index, kind) => self.declare(index, kind),
             Step::Cancel(index) => {
                 let name = format!("job-{index}");
@@ -226,19 +226,19 @@
                 }
             }
             Step::StoreDown(down) => world.store.down = down,
-            Step::StoreLose => world.store.lose += 1,
-            Step::Lease(seat, lease) => {
+            Step::LoseStoreAnswer => world.store.lose_answers += 1,
+            Step::Lease(slot, lease) => {
                 // Only one of the owners gets this policy.
                 world.policy.lease = Duration::from_secs(LEASES[usize::from(lease)]);
                 let spec = Arc::new(world.policy.clone());
-                world.tell(self.seats[usize::from(seat)], Event::Policy { spec });
+                world.deliver_event(self.slots[usize::from(slot)], Event::Policy { spec });
             }
         }
     }
 
     /// Returns `true` if every task has ended and no worker retains a result.
     fn is_settled(&self) -> bool {
-        let counts = self.world.owners[self.seats[0]].cell.counts();
+        let counts = self.world.owners[self.slots[0]].cell.counts();
         let expected: u32 = self.world.jobs.values().map(|spec| spec.tasks).sum();
         counts.done + counts.cancelled == expected
             && self.world.fakes.values().all(|fake| fake.held().count() == 0)
@@ -253,13 +253,13 @@
     pub fn finish(&mut self) {
         let world = &mut self.world;
         world.store.down = false;
-        world.store.lose = 0;
+        world.store.lose_answers = 0;
         for index in 0..WORKERS as u8 {
             let fake = world.fake(&worker(index));
-            fake.cut = false;
-            fake.fails = false;
-            fake.lose = 0;
-            fake.void = 0;
+            fake.partitioned = false;
+            fake.fails_runs = false;
+            fake.lose_answers = 0;
+            fake.lose_exchanges = 0;
             if !fake.alive {
                 fake.restart();
             }
@@ -273,14 +273,14 @@
         self.release(0);
         self.release(1);
         self.own(0);
-        let rounds = LONGEST.as_secs() / SETTLE.as_secs();
+        let rounds = REMAINING_WORK_TIME.as_secs() / CHECK_INTERVAL.as_secs();
         for _ in 0..rounds {
-            self.world.run(SETTLE);
+            self.world.run(CHECK_INTERVAL);
             if self.is_settled() {
                 break;
             }
         }
-        let owner = &self.world.owners[self.seats[0]];
+        let owner = &self.world.owners[self.slots[0]];
         let counts = owner.cell.counts();
         let ended = counts.done + counts.cancelled;
         let expected: u32 = self.world.jobs.values().map(|spec| spec.tasks).sum();
@@ -298,8 +298,8 @@
 }
 
 /// Runs the steps, then removes all faults and checks that every task ends.
-pub fn play(steps: &[Step]) {
-    let mut play = Play::open();
-    steps.iter().for_each(|step| play.take(step));
-    play.finish();
+pub fn run_steps(steps: &[Step]) {
+    let mut simulation = Simulation::open();
+    steps.iter().for_each(|step| simulation.take(step));
+    simulation.finish();
 }
--- a/crates/cell/tests/world/wires.rs
+++ b/crates/cell/tests/world/wires.rs
@@ -9,51 +9,55 @@
 impl World {
     /// Delivers an exchange's request or answer; returns `false` if the answer is held back.
     pub fn deliver(&mut self, index: usize) -> bool {
-        let wire = &mut self.wires[index];
-        let Some(exchange) = wire.exchange.take() else {
-            if self.stuck.contains(&wire.worker) {
+        let transfer = &mut self.transfers[index];
+        let Some(exchange) = transfer.exchange.take() else {
+            if self.held_back.contains(&transfer.worker) {
                 return false;
             }
-            let wire = self.wires.remove(index);
-            self.tell(wire.owner, wire.answer.expect("an exchange that was made has an answer"));
+            let transfer = self.transfers.remove(index);
+            self.deliver_event(
+                transfer.owner,
+                transfer.answer.expect("an exchange that was made has an answer"),
+            );
             return true;
         };
-        let (name, sequence) = (wire.worker.clone(), wire.sequence);
+        let (name, sequence) = (transfer.worker.clone(), transfer.sequence);
         let failed = |unknown| Event::Failed { sequence, worker: name.as_str().into(), unknown };
         let (now, fake) = (self.now, self.fakes.get_mut(&name));
-        let (answer, begun) = match fake {
-            Some(fake) if fake.alive && !fake.cut && fake.linger > 0 => {
-                fake.linger -= 1;
-                self.ghosts.push((name.clone(), exchange.clone()));
+        let (answer, started) = match fake {
+            Some(fake) if fake.alive && !fake.partitioned && fake.delay_exchanges > 0 => {
+                fake.delay_exchanges -= 1;
+                self.late_exchanges.push((name.clone(), exchange.clone()));
                 (failed(true), Vec::new())
             }
-            Some(fake) if fake.alive && !fake.cut && fake.void > 0 => {
-                fake.void -= 1;
+            Some(fake) if fake.alive && !fake.partitioned && fake.lose_exchanges > 0 => {
+                fake.lose_exchanges -= 1;
                 (failed(true), Vec::new())
             }
-            Some(fake) if fake.alive && !fake.cut => {
-                let (report, begun) = fake.exchange(now, &exchange);
-                let lost = fake.lose > 0;
-                fake.lose = fake.lose.saturating_sub(1);
-                let answer = if lost { failed(true) } else { Event::Reported { sequence, report } };
-                (answer, begun)
+            Some(fake) if fake.alive && !fake.partitioned => {
+                let (report, started) = fake.exchange(now, &exchange);
+                let is_lost = fake.lose_answers > 0;
+                fake.lose_answers = fake.lose_answers.saturating_sub(1);
+                let answer =
+                    if is_lost { failed(true) } else { Event::Reported { sequence, report } };
+                (answer, started)
             }
             _ => (failed(false), Vec::new()),
         };
-        self.wires[index].answer = Some(answer);
-        for begun in begun {
-            self.check_begun(&begun, exchange.epoch);
+        self.transfers[index].answer = Some(answer);
+        for started in started {
+            self.check_start(&started, exchange.epoch);
         }
         self.check();
         true
     }
 
     /// Loses all exchanges in flight with a worker.
-    pub fn lose_wires(&mut self, worker: &str) {
-        for wire in self.wires.iter_mut().filter(|wire| wire.worker == worker) {
-            let (sequence, unknown) = (wire.sequence, wire.exchange.is_none());
-            wire.exchange = None;
-            wire.answer = Some(Event::Failed { sequence, worker: worker.into(), unknown });
+    pub fn lose_transfers(&mut self, worker: &str) {
+        for transfer in self.transfers.iter_mut().filter(|transfer| transfer.worker == worker) {
+            let (sequence, unknown) = (transfer.sequence, transfer.exchange.is_none());
+            transfer.exchange = None;
+            transfer.answer = Some(Event::Failed { sequence, worker: worker.into(), unknown });
         }
     }
 
@@ -76,25 +80,26 @@
     }
 
     /// Reports the undelivered requests to a worker as lost; they may arrive later.
-    pub fn linger(&mut self, worker: &str) {
-        for wire in self.wires.iter_mut().filter(|wire| wire.worker == worker) {
-            let Some(exchange) = wire.exchange.take() else { continue };
-            self.ghosts.push((worker.to_owned(), exchange));
-            let (sequence, worker) = (wire.sequence, worker.into());
-            wire.answer = Some(Event::Failed { sequence, worker, unknown: true });
+    pub fn delay_exchanges(&mut self, worker: &str) {
+        for transfer in self.transfers.iter_mut().filter(|transfer| transfer.worker == worker) {
+            let Some(exchange) = transfer.exchange.take() else { continue };
+            self.late_exchanges.push((worker.to_owned(), exchange));
+            let (sequence, worker) = (transfer.sequence, worker.into());
+            transfer.answer = Some(Event::Failed { sequence, worker, unknown: true });
         }
     }
 
     /// Delivers a request that was reported as lost.
-    pub fn haunt(&mut self, index: usize) {
-        let (name, exchange) = self.ghosts.remove(index);
+    pub fn deliver_late(&mut self, index: usize) {
+        let (name, exchange) = self.late_exchanges.remove(index);
         let now = self.now;
-        let Some(fake) = self.fakes.get_mut(&name).filter(|fake| fake.alive && !fake.cut) else {
+        let Some(fake) = self.fakes.get_mut(&name).filter(|fake| fake.alive && !fake.partitioned)
+        else {
             return;
         };
-        let (_, begun) = fake.exchange(now, &exchange);
-        for begun in begun {
-            self.check_begun(&begun, exchange.epoch);
+        let (_, started) = fake.exchange(now, &exchange);
+        for started in started {
+            self.check_start(&started, exchange.epoch);
         }
         self.check();
     }
