--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -182,9 +182,9 @@
     /// Returns the time at which an [`Event::Tick`] is next due.
     pub fn next_due(&self) -> Option<Time> {
         self.ownership.epoch()?;
-        let worker = self.timers.first().map(|&(time, _)| time);
-        let more = self.has_open_jobs().then_some(self.now);
-        [worker, self.write_due(), self.undeclared_due(), more, self.preempt_retry_due()]
+        let timer = self.timers.first().map(|&(time, _)| time);
+        let deferred = self.has_open_jobs().then_some(self.now);
+        [timer, self.write_due(), self.undeclared_due(), deferred, self.preempt_retry_due()]
             .into_iter()
             .flatten()
             .min()
--- a/crates/cell/src/evict.rs
+++ b/crates/cell/src/evict.rs
@@ -53,8 +53,8 @@
     /// Starts the eviction of a run; returns `false` if it can't be evicted in its state.
     pub(crate) fn evict(&mut self, id: WorkerId, index: usize, reason: &str) -> bool {
         let allocation = &mut self.workers[id].allocations[index];
-        let Some(life) = allocation.stage.evict() else { return false };
-        allocation.stage = life;
+        let Some(stage) = allocation.stage.evict() else { return false };
+        allocation.stage = stage;
         allocation.command_pending = true;
         allocation.evicted_at = self.now;
         let run = self.run(&self.workers[id].allocations[index]);
--- a/crates/cell/src/exchange.rs
+++ b/crates/cell/src/exchange.rs
@@ -132,8 +132,8 @@
             worker.lease_expiry = worker.lease_expiry.max(lease::expiry(reading.received, valid));
         }
         let now = self.now;
-        let due = worker.deferred_acks.extract_if(.., |later| later.from <= now);
-        worker.acks.extend(due.map(|later| later.run));
+        let due = worker.deferred_acks.extract_if(.., |ack| ack.from <= now);
+        worker.acks.extend(due.map(|ack| ack.run));
         let acks = std::mem::take(&mut worker.acks);
         let exchange = worker::Exchange {
             cell: self.settings.cell.clone(),
@@ -278,7 +278,7 @@
     }
 }
 
-/// Builds the command for an allocation's intended lifecycle state.
+/// Builds the command that brings a run to its allocation's stage.
 fn command(
     jobs: &cowslipchute_base::entity::Table<crate::job::Job>,
     allocation: &Allocation,
--- a/crates/cell/src/inventory.rs
+++ b/crates/cell/src/inventory.rs
@@ -35,7 +35,7 @@
 enum Relation {
     /// The task's current run, which replaces the run recorded so far.
     Current,
-    /// The task has ended or has a newer run; the run is ignored.
+    /// The task has ended or has a newer run; the run doesn't count and is stopped if it is active.
     Stale,
     /// An older run that is still active while the task is queued; it is stopped and the task waits
     /// for its end.
@@ -80,7 +80,7 @@
     }
 
     fn found_running(&mut self, id: WorkerId, key: Key, held: &Held) {
-        let stopping = held.phase == Phase::Stopping;
+        let is_stopping = held.phase == Phase::Stopping;
         if let Some(index) = self.workers[id].find(key.job, key.task, key.attempt) {
             return self.confirm(id, index, held);
         }
@@ -95,10 +95,10 @@
             }
             Relation::Stale => Stage::Running(Running).stop(),
         };
-        let unwanted = self.jobs[key.job].is_unwanted(key.task);
-        let stage = if unwanted { stage.stop() } else { stage };
+        let should_stop = self.jobs[key.job].should_stop(key.task);
+        let stage = if should_stop { stage.stop() } else { stage };
         let stage =
-            if stopping && !stage.is_ending() { stage.evict().unwrap_or(stage) } else { stage };
+            if is_stopping && !stage.is_ending() { stage.evict().unwrap_or(stage) } else { stage };
         let allocation = Allocation {
             job: key.job,
             task: key.task,
@@ -109,7 +109,7 @@
             evicted_at: Time::ZERO,
             measurement: Measurement::default(),
             previous_throttle: None,
-            command_pending: stage.is_ending() && !stopping,
+            command_pending: stage.is_ending() && !is_stopping,
             command_in_flight: false,
             sends: 1,
             start_in_flight: false,
@@ -253,7 +253,7 @@
         let worker = &mut self.workers[id];
         if from <= self.now {
             worker.acks.push(run);
-        } else if !worker.deferred_acks.iter().any(|later| later.run == run) {
+        } else if !worker.deferred_acks.iter().any(|ack| ack.run == run) {
             worker.deferred_acks.push(Ack { run, from });
         }
     }
@@ -299,7 +299,7 @@
     }
 }
 
-/// Applies a reported throttle, which a former owner may have set, to the run's lifecycle.
+/// Applies a reported throttle, which a former owner may have set, to a run's stage.
 fn with_throttle(stage: Stage, permille: u16) -> Stage {
     if stage.is_ending() { stage } else { stage.throttle(permille).unwrap_or(stage) }
 }
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -125,13 +125,12 @@
     pub(crate) runs_by_rack: SmallVec<[u16; 8]>,
     /// The sum of its runs' allocations.
     pub(crate) allocated: Amount,
-    /// Whether its runs are counted as best-effort, which are those that must leave the reserve
-    /// free.
+    /// Whether its runs are counted as best-effort, which must leave the reserve free.
     pub(crate) best_effort: bool,
     /// The index of its team in the cell's table.
     pub(crate) team: TeamIndex,
     /// Measured usage of its tasks.
-    pub(crate) size: Size,
+    pub(crate) usage: Size,
     /// The allocation of its next task; zero while there are too few measurements.
     pub(crate) learnt_amount: Amount,
     /// Failure statistics of its runs.
@@ -170,7 +169,7 @@
             allocated: Amount::ZERO,
             best_effort: false,
             team: 0,
-            size: Size::default(),
+            usage: Size::default(),
             learnt_amount: Amount::ZERO,
             score: Score::default(),
             failures: 0,
@@ -212,7 +211,7 @@
 
     /// Returns `true` if a task should not run any more; `false` for jobs that are not declared
     /// yet.
-    pub(crate) fn is_unwanted(&self, index: TaskIndex) -> bool {
+    pub(crate) fn should_stop(&self, index: TaskIndex) -> bool {
         self.is_cancelled() || (self.spec.is_some() && index >= self.tasks())
     }
 
--- a/crates/cell/src/jobs.rs
+++ b/crates/cell/src/jobs.rs
@@ -70,7 +70,7 @@
         }
         job.spec = Some(spec);
         job.learnt_amount = Amount::ZERO;
-        job.size = Size::default();
+        job.usage = Size::default();
         self.set_team(id);
         self.unpark_tasks(id);
         self.reconcile(id);
@@ -91,16 +91,16 @@
         }
         let job = &mut self.jobs[id];
         let tasks = job.tasks();
-        let kept = if job.is_cancelled() { 0 } else { tasks };
+        let wanted = if job.is_cancelled() { 0 } else { tasks };
         let last = job.live.last_key_value().map_or(0, |(&index, _)| index + 1);
-        let cancelled = job.cancel_waiting(kept, tasks.max(last));
+        let cancelled = job.cancel_waiting(wanted, tasks.max(last));
         let name = job.name.clone();
         if cancelled > 0 {
             self.writer.mark(id);
             let reason = format!("{cancelled} tasks that were on no worker");
             self.note(Number::TaskCancelled, &name, reason);
         }
-        self.stop_tasks_from(id, kept);
+        self.stop_tasks_from(id, wanted);
         self.check_fit(id);
         self.enqueue(id);
         self.schedule_reap(id);
@@ -116,11 +116,11 @@
         }
     }
 
-    /// Stops the runs of a job's tasks from `kept` on.
-    fn stop_tasks_from(&mut self, id: JobId, kept: TaskIndex) {
+    /// Stops the runs of a job's tasks with the index `wanted` or above.
+    fn stop_tasks_from(&mut self, id: JobId, wanted: TaskIndex) {
         let placed: Vec<(TaskIndex, _)> = self.jobs[id]
             .live
-            .range(kept..)
+            .range(wanted..)
             .filter_map(|(&index, task)| match task.state {
                 State::Placed(worker) => Some((index, worker)),
                 _ => None,
--- a/crates/cell/src/life.rs
+++ b/crates/cell/src/life.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// The lifecycle state of a run as intended by the owner.
+/// The stage of a run's lifecycle as intended by the owner.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Stage {
     Starting(Starting),
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Checkpoints and ends the run; returns `None` if it can't be evicted in this state.
+    /// Checkpoints and ends the run; returns `None` if it can't be evicted in this stage.
     pub(crate) fn evict(self) -> Option<Stage> {
         match self {
             Stage::Running(running) => Some(Stage::Evicting(running.evict())),
@@ -114,7 +114,7 @@
     }
 
     /// Sets the run's share of its processors; returns `None` if it can't be throttled in this
-    /// state.
+    /// stage.
     pub(crate) fn throttle(self, permille: u16) -> Option<Stage> {
         let running = match self {
             Stage::Running(running) => running,
--- a/crates/cell/src/outcome.rs
+++ b/crates/cell/src/outcome.rs
@@ -18,7 +18,7 @@
 impl Cell {
     /// Handles the result of a task's current run. The worker retains it until the store has it.
     pub(crate) fn end_run(&mut self, id: WorkerId, key: Key, phase: &Phase, ack_from: Time) {
-        let unwanted = self.jobs[key.job].is_unwanted(key.task);
+        let should_stop = self.jobs[key.job].should_stop(key.task);
         let task = self.jobs[key.job].entry(key.task);
         task.ended = key.attempt;
         let outcome = match phase {
@@ -33,7 +33,7 @@
                 Outcome::Evicted
             }
             Phase::Failed { reason } => self.handle_failure(id, key, reason),
-            _ if unwanted => Outcome::Cancelled,
+            _ if should_stop => Outcome::Cancelled,
             _ => {
                 self.ack(id, key, ack_from);
                 return self.requeue_when_stored(key);
@@ -41,7 +41,7 @@
         };
         let outcome = match outcome {
             Outcome::Done => Outcome::Done,
-            _ if unwanted => Outcome::Cancelled,
+            _ if should_stop => Outcome::Cancelled,
             other => other,
         };
         let incarnation = self.workers[id].incarnation;
@@ -85,19 +85,18 @@
             .get(&key.task)
             .is_some_and(|task| matches!(task.state, State::Placed(worker) if worker == id));
         // The task may have another run on the same worker.
-        let has_other_run = self
-            .workers
-            .get(id)
-            .is_some_and(|w| w.allocations.iter().any(|h| h.job == key.job && h.task == key.task));
+        let has_other_run = self.workers.get(id).is_some_and(|w| {
+            w.allocations.iter().any(|other| other.job == key.job && other.task == key.task)
+        });
         if !is_placed || has_other_run {
             return self.schedule_reap(key.job);
         }
         let job = &mut self.jobs[key.job];
-        let unwanted = job.is_unwanted(key.task);
+        let should_stop = job.should_stop(key.task);
         let task = job.entry(key.task);
         task.ended = task.ended.max(key.attempt);
         let key = Key { attempt: task.attempt, ..key };
-        if unwanted {
+        if should_stop {
             return self.record_end(key, Outcome::Cancelled, None);
         }
         self.requeue_when_stored(key);
@@ -136,7 +135,7 @@
         match &outcome {
             Outcome::Done | Outcome::Cancelled => job.finish(key.task, &outcome),
             Outcome::Park(reason) => job.set(key.task, State::Parked(reason.clone())),
-            Outcome::Evicted | Outcome::Failed if job.is_unwanted(key.task) => {
+            Outcome::Evicted | Outcome::Failed if job.should_stop(key.task) => {
                 job.finish(key.task, &Outcome::Cancelled);
                 self.writer.mark(key.job);
             }
--- a/crates/cell/src/queue.rs
+++ b/crates/cell/src/queue.rs
@@ -19,9 +19,9 @@
     pub(crate) job: JobId,
 }
 
-/// The rank of urgent jobs.
+/// The priority of urgent jobs.
 const URGENT: u8 = 0;
-/// The rank of paying jobs.
+/// The priority of paying jobs.
 const PAYING: u8 = 1;
 /// Interval at which all blocked jobs are tried again.
 const BLOCKED_RETRY_INTERVAL: Duration = Duration::from_secs(30);
--- a/crates/cell/src/relief.rs
+++ b/crates/cell/src/relief.rs
@@ -78,17 +78,18 @@
             NO_SLOWDOWN_PERMILLE + SEVERE_FACTOR * allowed.saturating_sub(NO_SLOWDOWN_PERMILLE);
         let mut worst: Option<Victim> = None;
         for allocation in &worker.allocations {
-            let speed = allocation.measurement;
-            let is_confirmed = speed.over_limit >= OVER_LIMIT_MIN || speed.slowdown > severe;
+            let measurement = allocation.measurement;
+            let is_confirmed =
+                measurement.over_limit >= OVER_LIMIT_MIN || measurement.slowdown > severe;
             let is_new =
-                speed.at > worker.mitigated + COMMAND_LAG || worker.mitigated == Time::ZERO;
-            let excess = speed.slowdown.saturating_sub(allowed);
+                measurement.at > worker.mitigated + COMMAND_LAG || worker.mitigated == Time::ZERO;
+            let excess = measurement.slowdown.saturating_sub(allowed);
             if excess > 0
                 && is_confirmed
                 && is_new
                 && worst.is_none_or(|worst| excess > worst.excess)
             {
-                worst = Some(Victim { job: allocation.job, excess, at: speed.at });
+                worst = Some(Victim { job: allocation.job, excess, at: measurement.at });
             }
         }
         worst
@@ -123,7 +124,7 @@
     }
 
     fn strongest_neighbour(&self, id: WorkerId, victim: Victim) -> Option<(usize, f32)> {
-        let mut most: Option<(usize, f32)> = None;
+        let mut strongest: Option<(usize, f32)> = None;
         for (index, allocation) in self.workers[id].allocations.iter().enumerate() {
             let was_present = allocation.since <= victim.at;
             if !was_present
@@ -133,19 +134,21 @@
                 continue;
             }
             let effect = self.effect_of(victim.job, allocation);
-            if effect >= EFFECT_MIN_PERMILLE && most.is_none_or(|(_, most)| effect > most) {
-                most = Some((index, effect));
+            if effect >= EFFECT_MIN_PERMILLE
+                && strongest.is_none_or(|(_, largest)| effect > largest)
+            {
+                strongest = Some((index, effect));
             }
         }
-        most
+        strongest
     }
 
     /// Evicts the run with the lowest cost for its effect, if the policy's weights justify an
     /// eviction.
     fn evict_for(&mut self, id: WorkerId, victim: Victim) -> bool {
         let weight = |weight: f64| weight.max(f64::EPSILON);
-        let price = weight(self.policy.eviction_weight) / weight(self.policy.latency_weight);
-        if f64::from(victim.excess) < EVICT_EXCESS_PERMILLE * price || !self.may_evict() {
+        let weight_ratio = weight(self.policy.eviction_weight) / weight(self.policy.latency_weight);
+        if f64::from(victim.excess) < EVICT_EXCESS_PERMILLE * weight_ratio || !self.may_evict() {
             return false;
         }
         let mut best: Option<(f64, usize)> = None;
@@ -218,11 +221,11 @@
     /// Returns the remaining slowdown allowed to the slowest paying task of a worker, in
     /// thousandths.
     fn headroom(&self, id: WorkerId) -> f32 {
-        let speeds = self.workers[id]
+        let slowdowns = self.workers[id]
             .allocations
             .iter()
             .map(|allocation| allocation.measurement.slowdown.max(NO_SLOWDOWN_PERMILLE));
-        let slowest = speeds.max().unwrap_or(NO_SLOWDOWN_PERMILLE);
+        let slowest = slowdowns.max().unwrap_or(NO_SLOWDOWN_PERMILLE);
         self.policy.slowdown_permille.saturating_sub(slowest) as f32
     }
 
@@ -242,8 +245,8 @@
     fn slowdown_limit(&self) -> f32 {
         let policy = &self.policy;
         let allowed = policy.slowdown_permille.saturating_sub(NO_SLOWDOWN_PERMILLE) as f32;
-        let price = policy.throughput_weight / policy.latency_weight.max(f64::EPSILON);
-        allowed * (price as f32).clamp(LIMIT_PART_MIN, 1.0)
+        let weight_ratio = policy.throughput_weight / policy.latency_weight.max(f64::EPSILON);
+        allowed * (weight_ratio as f32).clamp(LIMIT_PART_MIN, 1.0)
     }
 
     /// Returns `true` if further runs of a job have to wait until its effect on a paying task is
--- a/crates/cell/src/size.rs
+++ b/crates/cell/src/size.rs
@@ -28,7 +28,7 @@
 /// Assumed need of a run that uses up its allocation, in thousandths of that allocation.
 const GROWTH_PERMILLE: u64 = 2000;
 /// Minimum allocation, in thousandths of the declared amount.
-const LEAST_PERMILLE: u64 = 50;
+const MIN_PERMILLE: u64 = 50;
 
 /// The recent measurements of a job's tasks.
 #[derive(Clone, Debug, Default)]
@@ -80,7 +80,7 @@
     let mut sorted: SmallVec<[u32; SAMPLES_MAX]> = samples.iter().copied().collect();
     sorted.sort_unstable_by(|a, b| b.cmp(a));
     let quantile = sorted[QUANTILE_RANK.min(sorted.len() - 1)];
-    let least = scaled(declared, LEAST_PERMILLE).max(1);
+    let least = scaled(declared, MIN_PERMILLE).max(1);
     // Never exceeds the largest worker unless the declaration does, and then the job is parked.
     scaled(quantile, factor_permille).max(least).min(largest.max(declared))
 }
@@ -103,12 +103,12 @@
         let largest = self.totals.largest;
         let before = self.amount(id);
         let job = &mut self.jobs[id];
-        job.size.learn(used, granted);
-        if !job.size.next.is_multiple_of(UPDATE_INTERVAL) {
+        job.usage.learn(used, granted);
+        if !job.usage.next.is_multiple_of(UPDATE_INTERVAL) {
             return;
         }
         let declared = job.declared();
-        let learnt = job.size.amount(declared, largest);
+        let learnt = job.usage.amount(declared, largest);
         // A paying task is never allocated less than declared.
         job.learnt_amount = match job.class() {
             Class::Paying => component_max(learnt, declared),
--- a/crates/cell/tests/world/check.rs
+++ b/crates/cell/tests/world/check.rs
@@ -54,10 +54,7 @@
         let run = &started.run;
         let key = (run.job.clone(), run.task);
         let last = self.last_attempts.insert(key.clone(), run.attempt);
-        assert!(
-            last.is_none_or(|last| last < run.attempt),
-            "{run:?} started after {last:?}"
-        );
+        assert!(last.is_none_or(|last| last < run.attempt), "{run:?} started after {last:?}");
         let records = self.store.former_records.get(&epoch).unwrap_or(&self.store.records);
         let record = records.get(&run.job);
         let stored = record.and_then(|r| r.tasks.iter().find(|task| task.index == run.task));
