--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -1,6 +1,7 @@
-//! The cell: one owner's decisions about the tasks on its workers.
+//! The state machine of one cell, as run by the cell's owner.
 //!
-//! This module holds the state and the door; each other module adds one duty to [`Cell`].
+//! This module holds the state and the entry point [`Cell::step`]; each other module implements one
+//! part of [`Cell`].
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -19,15 +20,15 @@
 
 use crate::account::Totals;
 use crate::action::Action;
-use crate::census::Census;
+use crate::census::Membership;
 use crate::event::Event;
 use crate::event::Sequence;
 use crate::evict::Budget;
 use crate::interfere::Model;
 use crate::job::Job;
 use crate::job::JobId;
-use crate::jobs::Stranger;
-use crate::ledger::Ledger;
+use crate::jobs::Undeclared;
+use crate::ledger::Writer;
 use crate::life::Ownership;
 use crate::life::Unowned;
 use crate::queue::Queue;
@@ -36,16 +37,16 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// Settings of a cell that no operator changes while it runs.
+/// Settings of a cell that are fixed while it runs.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The cell's name.
     pub cell: id::Cell,
-    /// Seeds all sampling.
+    /// The seed of all random sampling.
     pub seed: u64,
 }
 
-/// Decides about every task of one cell.
+/// The scheduler of one cell's tasks.
 #[derive(Debug)]
 pub struct Cell {
     pub(crate) settings: Settings,
@@ -54,46 +55,48 @@
     pub(crate) now: Time,
     pub(crate) policy: Arc<policy::Spec>,
     pub(crate) ownership: Ownership,
-    /// Version of the list in use.
-    pub(crate) view: u64,
+    /// Version of the worker list in use; zero before the first one.
+    pub(crate) list_version: u64,
     pub(crate) workers: Table<Worker>,
     pub(crate) worker_names: HashMap<id::Instance, WorkerId>,
-    /// Exchanges in flight with workers that are listed no more; one may come back meanwhile.
-    pub(crate) orphans: HashMap<id::Instance, Sequence>,
+    /// Exchanges in flight with workers that are no longer listed; such a worker may be listed
+    /// again before its exchange ends.
+    pub(crate) unlisted_exchanges: HashMap<id::Instance, Sequence>,
     pub(crate) racks: HashMap<id::Rack, u16>,
     pub(crate) jobs: Table<Job>,
     pub(crate) job_names: HashMap<id::Job, JobId>,
-    /// Attempts of jobs that were removed, for a job of the same name.
-    pub(crate) floors: HashMap<id::Job, id::Attempt>,
+    /// The highest attempt of each removed job; a job declared again under the name starts above
+    /// it.
+    pub(crate) attempt_floors: HashMap<id::Job, id::Attempt>,
     pub(crate) arrivals: u64,
-    /// Jobs by when they were first heard of, until it is time to see whether they were declared.
-    pub(crate) strangers: VecDeque<Stranger>,
-    /// Jobs of which nothing may be left.
-    pub(crate) finishing: Vec<JobId>,
+    /// Jobs in the order in which they were first seen, until their time to be declared is over.
+    pub(crate) undeclared: VecDeque<Undeclared>,
+    /// Jobs to be checked for removal at the end of the step.
+    pub(crate) to_reap: Vec<JobId>,
     pub(crate) sequence: Sequence,
-    pub(crate) ledger: Ledger,
+    pub(crate) writer: Writer,
     pub(crate) queue: Queue,
     pub(crate) teams: Vec<Team>,
     pub(crate) team_names: TeamNames,
     pub(crate) totals: Totals,
-    pub(crate) budget: Budget,
-    pub(crate) model: Model,
-    /// Workers in the order in which searches walk them.
-    pub(crate) roster: Vec<WorkerId>,
-    /// Room of each worker by the index of its id; none where no task may start.
-    pub(crate) rooms: Vec<Amount>,
-    /// When each worker is next due, one entry a worker at most.
+    pub(crate) eviction_budget: Budget,
+    pub(crate) interference: Model,
+    /// Workers in the order in which searches visit them.
+    pub(crate) worker_ids: Vec<WorkerId>,
+    /// Free capacity of each worker by the index of its id; zero where no task may start.
+    pub(crate) free_capacity: Vec<Amount>,
+    /// The next due time of each worker, at most one entry for each.
     pub(crate) timers: BTreeSet<(Time, WorkerId)>,
     /// Workers whose commands or timers changed in this step.
     pub(crate) touched: Vec<WorkerId>,
-    /// Whether a worker may have become fenced, gone or lapsed in this step.
+    /// Whether a worker may have become fenced, gone or expired in this step.
     pub(crate) fencing_changed: bool,
-    pub(crate) census: Census,
+    pub(crate) membership: Membership,
     pub(crate) actions: Vec<Action>,
 }
 
 impl Cell {
-    /// Opens a cell that is not owned and knows no worker and no job yet.
+    /// Opens a cell that is not owned yet, without workers and jobs.
     pub fn open(settings: Settings) -> Cell {
         let policy = policy::Spec::default();
         Cell {
@@ -102,82 +105,86 @@
             now: Time::ZERO,
             policy: Arc::new(policy),
             ownership: Ownership::Unowned(Unowned),
-            view: 0,
+            list_version: 0,
             workers: Table::default(),
             worker_names: HashMap::new(),
-            orphans: HashMap::new(),
+            unlisted_exchanges: HashMap::new(),
             racks: HashMap::new(),
             jobs: Table::default(),
             job_names: HashMap::new(),
-            floors: HashMap::new(),
+            attempt_floors: HashMap::new(),
             arrivals: 0,
-            strangers: VecDeque::new(),
-            finishing: Vec::new(),
+            undeclared: VecDeque::new(),
+            to_reap: Vec::new(),
             sequence: 0,
-            ledger: Ledger::default(),
+            writer: Writer::default(),
             queue: Queue::default(),
             teams: vec![Team::default()],
             team_names: TeamNames::default(),
             totals: Totals::default(),
-            budget: Budget::default(),
-            model: Model::default(),
-            roster: Vec::new(),
-            rooms: Vec::new(),
+            eviction_budget: Budget::default(),
+            interference: Model::default(),
+            worker_ids: Vec::new(),
+            free_capacity: Vec::new(),
             timers: BTreeSet::new(),
             touched: Vec::new(),
             fencing_changed: false,
-            census: Census::default(),
+            membership: Membership::default(),
             actions: Vec::new(),
         }
     }
 
-    /// Takes one event at a time and appends what is to be done, in order.
+    /// Applies one event and appends the resulting actions in order.
     ///
-    /// `now` never goes back from one call to the next.
+    /// # Panics
+    ///
+    /// If `now` is earlier than in the previous call.
     pub fn step(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         assert!(now >= self.now, "time never goes back");
         self.now = now;
         self.take(event);
-        self.settle();
+        self.finish_step();
         actions.append(&mut self.actions);
     }
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::Owned { epoch, former, records } => self.own(epoch, former, &records),
-            Event::Former { former } => self.learn_former(former),
-            Event::Disowned => self.disown("the ownership was given up or lost"),
+            Event::Owned { epoch, former, records } => self.acquire(epoch, former, &records),
+            Event::Former { former } => self.update_former(former),
+            Event::Disowned => self.lose_ownership("the ownership was given up or lost"),
             Event::Policy { spec } => self.set_policy(spec),
             Event::Share { team, amount } => self.set_share(&team, amount),
-            Event::Job { name, spec } => self.declare(name, spec),
-            Event::JobGone { name } => self.undeclare(&name),
-            Event::Listed { view } => self.list(&view),
-            Event::Reported { sequence, report } => self.report(sequence, &report),
-            Event::Failed { sequence, worker, unknown } => self.miss(sequence, &worker, unknown),
-            Event::Recorded { batch } => self.recorded(batch),
-            Event::RecordFailed { batch } => self.record_failed(batch),
+            Event::Job { name, spec } => self.declare_job(name, spec),
+            Event::JobGone { name } => self.remove_job(&name),
+            Event::Listed { view } => self.apply_list(&view),
+            Event::Reported { sequence, report } => self.handle_report(sequence, &report),
+            Event::Failed { sequence, worker, unknown } => {
+                self.handle_failed_exchange(sequence, &worker, unknown)
+            }
+            Event::Recorded { batch } => self.handle_recorded_batch(batch),
+            Event::RecordFailed { batch } => self.handle_failed_batch(batch),
             Event::Tick => {}
         }
     }
 
-    /// Draws the consequences of a step: what is due, what may start, what is to be sent.
-    fn settle(&mut self) {
+    /// Completes a step: runs due timers, starts tasks, sends exchanges and records.
+    fn finish_step(&mut self) {
         self.run_timers();
         self.check_ready();
-        self.revisit();
+        self.retry_blocked();
         self.place();
         self.reap();
         self.flush();
-        self.check_lease();
+        self.check_lease_limit();
         self.write();
     }
 
-    /// Tells when a [`Event::Tick`] is next due.
+    /// Returns the time at which an [`Event::Tick`] is next due.
     pub fn next_due(&self) -> Option<Time> {
         self.ownership.epoch()?;
-        let worker = self.timers.first().map(|&(time, _)| time);
-        let more = self.has_more().then_some(self.now);
-        [worker, self.ledger_due(), self.stranger_due(), more, self.urge_due()]
+        let timer = self.timers.first().map(|&(time, _)| time);
+        let deferred = self.has_open_jobs().then_some(self.now);
+        [timer, self.write_due(), self.undeclared_due(), deferred, self.preempt_retry_due()]
             .into_iter()
             .flatten()
             .min()
@@ -186,11 +193,11 @@
     fn set_policy(&mut self, spec: Arc<policy::Spec>) {
         let before = std::mem::replace(&mut self.policy, spec);
         if before.lease != self.policy.lease {
-            self.change_lease();
+            self.lease_changed();
         }
     }
 
-    /// Tells operators of a change about a job, a worker or the cell.
+    /// Reports a log event about a job, a worker or the cell.
     pub(crate) fn note(
         &mut self,
         event: Number,
@@ -201,7 +208,7 @@
         self.actions.push(Action::Note { event, subject, run: None, reason: reason.into() });
     }
 
-    /// Tells operators of a change about one run.
+    /// Reports a log event about one run.
     pub(crate) fn note_run(
         &mut self,
         event: Number,
@@ -213,7 +220,7 @@
         self.actions.push(Action::Note { event, subject, run: Some(run), reason: reason.into() });
     }
 
-    /// Tells operators of a change about the cell.
+    /// Reports a log event about the cell.
     pub(crate) fn note_cell(&mut self, event: Number, reason: impl Into<String>) {
         let cell = self.settings.cell.clone();
         self.note(event, &cell, reason);
--- a/crates/cell/src/fit.rs
+++ b/crates/cell/src/fit.rs
@@ -1,4 +1,4 @@
-//! Jobs that can never run here are parked at once, with the reason.
+//! Parking of jobs whose tasks are too large for every worker of the cell.
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::event::Event as Number;
@@ -7,20 +7,25 @@
 use crate::job::JobId;
 
 impl Cell {
-    /// Looks again which jobs can fit any listed worker.
-    pub(crate) fn refit(&mut self) {
+    /// Checks all jobs against the listed workers' capacities.
+    pub(crate) fn check_fit_all(&mut self) {
         let jobs: Vec<JobId> = self.jobs.iter().map(|(id, _)| id).collect();
         for id in jobs {
-            if self.refit_job(id) {
+            if self.check_fit(id) {
                 self.enqueue(id);
             }
         }
     }
 
-    /// Parks or unparks a job by whether it can fit any listed worker; tells whether that changed.
-    pub(crate) fn refit_job(&mut self, id: JobId) -> bool {
+    /// Parks a job that fits no listed worker and unparks one that does; returns `true` on a
+    /// change.
+    pub(crate) fn check_fit(&mut self, id: JobId) -> bool {
         let job = &self.jobs[id];
-        if job.spec.is_none() || self.view == 0 || job.is_cancelled() || job.broken {
+        if job.spec.is_none()
+            || self.list_version == 0
+            || job.is_cancelled()
+            || job.fails_everywhere
+        {
             return false;
         }
         let amount = job.declared();
@@ -33,15 +38,15 @@
             self.jobs[id].parked = None;
             self.note(Number::TaskUnparked, &name, "a worker is large enough for it");
         } else {
-            let reason = self.unfit(amount);
+            let reason = self.unfit_reason(amount);
             self.jobs[id].parked = Some(reason.clone());
             self.note(Number::TaskParked, &name, reason);
         }
         true
     }
 
-    fn unfit(&self, amount: Amount) -> String {
-        let largest = self.largest();
+    fn unfit_reason(&self, amount: Amount) -> String {
+        let largest = self.largest_capacity();
         let asked = [
             ("cpu_milli", amount.cpu_milli, largest.cpu_milli),
             ("memory_mib", amount.memory_mib, largest.memory_mib),
@@ -53,13 +58,13 @@
             .map(|(field, asked, most)| format!("{field} {asked} of at most {most}"))
             .collect();
         match over.is_empty() {
-            true => String::from("no worker has all that a task asks for together"),
+            true => String::from("no worker has enough of all resources at once for a task"),
             false => format!("no worker is large enough for a task: {}", over.join(", ")),
         }
     }
 
-    /// Returns the most that any worker offers, dimension by dimension.
-    pub(crate) fn largest(&self) -> Amount {
+    /// Returns the largest capacity of any worker in each dimension.
+    pub(crate) fn largest_capacity(&self) -> Amount {
         self.workers.iter().fold(Amount::ZERO, |most, (_, worker)| Amount {
             cpu_milli: most.cpu_milli.max(worker.capacity.cpu_milli),
             memory_mib: most.memory_mib.max(worker.capacity.memory_mib),
--- a/crates/cell/src/queue.rs
+++ b/crates/cell/src/queue.rs
@@ -1,4 +1,4 @@
-//! Jobs with waiting tasks, in the order in which they are served.
+//! The queue of jobs with waiting tasks, in the order in which they are placed.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,44 +10,44 @@
 use crate::job::JobId;
 use crate::worker::WorkerId;
 
-/// A waiting job's place in the queue.
+/// A waiting job's entry in the queue, ordered by priority and arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
-    /// Urgent jobs come first, then classes in their order.
-    rank: u8,
+pub(crate) struct Item {
+    /// The priority: urgent jobs first, then by class.
+    priority: u8,
     order: u64,
     pub(crate) job: JobId,
 }
 
-/// The rank of urgent jobs.
+/// The priority of urgent jobs.
 const URGENT: u8 = 0;
-/// The rank of paying jobs.
+/// The priority of paying jobs.
 const PAYING: u8 = 1;
-/// Time between two tries of all jobs that found no worker.
-const REVISIT: Duration = Duration::from_secs(30);
+/// Interval at which all blocked jobs are tried again.
+const BLOCKED_RETRY_INTERVAL: Duration = Duration::from_secs(30);
 
-impl Place {
-    /// Tells whether trial and batch runs give way to the job.
+impl Item {
+    /// Returns `true` if the job may preempt trial and batch runs.
     pub(crate) fn may_preempt(self) -> bool {
-        self.rank <= PAYING
+        self.priority <= PAYING
     }
 }
 
-/// Jobs with waiting tasks.
+/// The queue of jobs with waiting tasks.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
-    /// Those that may find a worker.
-    pub(crate) open: BTreeSet<Place>,
-    /// Those that found none; they are tried on workers that get free.
-    pub(crate) blocked: BTreeSet<Place>,
-    /// Those whose team has used up its share.
-    pub(crate) capped: BTreeSet<Place>,
-    /// When those that may preempt were last tried again.
-    pub(crate) urged: Time,
-    /// Workers that may take more than before.
+    /// Jobs to be tried in the next placement.
+    pub(crate) open: BTreeSet<Item>,
+    /// Jobs that found no worker; they are tried on workers that free capacity.
+    pub(crate) blocked: BTreeSet<Item>,
+    /// Jobs whose team has used up its share.
+    pub(crate) over_quota: BTreeSet<Item>,
+    /// The time at which blocked jobs that may preempt were last tried again.
+    pub(crate) preempt_retried: Time,
+    /// Workers that may have more free capacity than before.
     pub(crate) freed: Vec<WorkerId>,
-    /// When those that found none are next tried again on all workers.
-    pub(crate) revisit: Time,
+    /// The time at which blocked jobs are next tried again on all workers.
+    pub(crate) blocked_retry_due: Time,
 }
 
 impl Queue {
@@ -55,72 +55,72 @@
         *self = Queue::default();
     }
 
-    fn remove(&mut self, place: &Place) {
-        self.open.remove(place);
-        self.blocked.remove(place);
-        self.capped.remove(place);
+    fn remove(&mut self, item: &Item) {
+        self.open.remove(item);
+        self.blocked.remove(item);
+        self.over_quota.remove(item);
     }
 }
 
 impl Cell {
-    fn rank(&self, id: JobId) -> Place {
+    fn queue_item(&self, id: JobId) -> Item {
         let job = &self.jobs[id];
-        let rank = match job.class() {
+        let priority = match job.class() {
             _ if job.is_urgent() => URGENT,
             Class::Paying => PAYING,
             Class::Trial => 2,
             Class::Batch => 3,
         };
-        Place { rank, order: job.order, job: id }
+        Item { priority, order: job.order, job: id }
     }
 
-    /// Has a job's waiting tasks placed.
+    /// Queues a job for placement if it has waiting tasks.
     pub(crate) fn enqueue(&mut self, id: JobId) {
         self.dequeue(id);
         let job = &self.jobs[id];
         if job.spec.is_none() || job.parked.is_some() || job.is_cancelled() || job.waiting() == 0 {
             return;
         }
-        let place = self.rank(id);
-        self.jobs[id].place = Some(place);
-        self.queue.open.insert(place);
+        let item = self.queue_item(id);
+        self.jobs[id].queue_item = Some(item);
+        self.queue.open.insert(item);
     }
 
-    /// Has every waiting job tried again once in a while: one that waits for a first measurement
-    /// beside paying tasks is told by nobody that there will be none.
-    pub(crate) fn revisit(&mut self) {
-        if self.now < self.queue.revisit {
+    /// Tries all blocked jobs again at an interval: a job that waits for a first measurement beside
+    /// paying tasks gets no event if that measurement never comes.
+    pub(crate) fn retry_blocked(&mut self) {
+        if self.now < self.queue.blocked_retry_due {
             return;
         }
-        self.queue.revisit = self.now + REVISIT;
-        let blocked: Vec<JobId> = self.queue.blocked.iter().map(|place| place.job).collect();
+        self.queue.blocked_retry_due = self.now + BLOCKED_RETRY_INTERVAL;
+        let blocked: Vec<JobId> = self.queue.blocked.iter().map(|item| item.job).collect();
         for id in blocked {
             self.enqueue(id);
         }
     }
 
     pub(crate) fn dequeue(&mut self, id: JobId) {
-        if let Some(place) = self.jobs[id].place.take() {
-            self.queue.remove(&place);
+        if let Some(item) = self.jobs[id].queue_item.take() {
+            self.queue.remove(&item);
         }
     }
 
     pub(crate) fn enqueue_all(&mut self) {
         let jobs: Vec<JobId> = self.jobs.iter().map(|(id, _)| id).collect();
         for id in jobs {
-            self.refit_job(id);
+            self.check_fit(id);
             self.enqueue(id);
         }
     }
 
-    /// Tells that a worker may take more than before.
-    pub(crate) fn mark(&mut self, id: WorkerId) {
+    /// Records that a worker may have more free capacity than before.
+    pub(crate) fn mark_freed(&mut self, id: WorkerId) {
         if self.queue.freed.last() != Some(&id) {
             self.queue.freed.push(id);
         }
     }
 
-    pub(crate) fn forget_free(&mut self, id: WorkerId) {
-        self.queue.freed.retain(|&freed| freed != id);
+    pub(crate) fn unmark_freed(&mut self, id: WorkerId) {
+        self.queue.freed.retain(|&worker| worker != id);
     }
 }
--- a/crates/cell/src/status.rs
+++ b/crates/cell/src/status.rs
@@ -1,4 +1,4 @@
-//! What a cell tells about itself, for status pages and metrics.
+//! The state of a cell for status pages and metrics.
 
 use std::collections::BTreeMap;
 
@@ -9,54 +9,54 @@
 use crate::cell::Cell;
 use crate::job::Outcome;
 use crate::job::State;
-use crate::life::Life;
 use crate::life::Ownership;
+use crate::life::Stage;
 use crate::worker::Fence;
 use crate::worker::Health;
 
-/// Whose a cell is.
+/// The ownership phase of a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Not ours.
+    /// We don't own it.
     Unowned,
-    /// Ours, but a worker may still run what a former owner started.
+    /// We own it, but a worker may still have unknown runs of a former owner.
     Fencing,
-    /// Ours, and every run is known.
+    /// We own it, and every run is known.
     Ready,
-    /// Ours, while the store takes no records.
+    /// We own it, but records can't be stored at present.
     Isolated,
 }
 
-/// How many tasks are in each state.
+/// The number of tasks in each state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Counts {
-    /// Wait for a worker.
+    /// Tasks that wait for a worker.
     pub queued: u32,
-    /// Were sent to a worker that has not confirmed them.
+    /// Tasks that were placed on a worker that has not confirmed them.
     pub starting: u32,
-    /// Run.
+    /// Running tasks.
     pub running: u32,
-    /// Run with a share of their processors.
+    /// Tasks that run with a share of their processors.
     pub throttled: u32,
-    /// Are being checkpointed.
+    /// Tasks that are being checkpointed and ended.
     pub evicting: u32,
-    /// Are being stopped.
+    /// Tasks that are being stopped.
     pub stopping: u32,
-    /// Are counted among the above on a worker that does not answer.
+    /// Tasks with a run on a worker that does not answer; they are also counted above.
     pub maybe: u32,
-    /// Ended; the store does not have it yet.
+    /// Tasks whose run has ended and whose end is not stored yet.
     pub settling: u32,
-    /// Completed.
+    /// Completed tasks.
     pub done: u32,
-    /// Were cancelled.
+    /// Cancelled tasks.
     pub cancelled: u32,
-    /// Can't run.
+    /// Tasks that can't run until their job is changed.
     pub parked: u32,
 }
 
 impl Counts {
-    /// Names each count.
+    /// Returns each count with its name.
     pub fn named(&self) -> [(&'static str, u32); 11] {
         [
             ("queued", self.queued),
@@ -74,33 +74,33 @@
     }
 }
 
-/// One worker as the cell sees it.
+/// The state of one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Worker {
     /// Its name.
     pub name: id::Instance,
-    /// Whether it takes tasks.
+    /// Its health.
     pub health: Health,
-    /// What it offers.
+    /// Its capacity.
     pub capacity: Amount,
-    /// The sum of what is, or may be, taken.
+    /// The sum of its allocations.
     pub committed: Amount,
-    /// Runs on it.
+    /// Number of runs on it.
     pub runs: usize,
 }
 
 impl Cell {
-    /// Tells whose the cell is.
+    /// Returns the ownership phase.
     pub fn phase(&self) -> Phase {
         match self.ownership {
             Ownership::Unowned(_) => Phase::Unowned,
-            _ if self.ledger.isolated => Phase::Isolated,
+            _ if self.writer.isolated => Phase::Isolated,
             Ownership::Fencing(_) => Phase::Fencing,
             Ownership::Ready(_) => Phase::Ready,
         }
     }
 
-    /// Returns the epoch of our ownership.
+    /// Returns the epoch of our ownership, if we own the cell.
     pub fn epoch(&self) -> Option<id::Epoch> {
         self.ownership.epoch()
     }
@@ -111,7 +111,7 @@
         for (_, job) in self.jobs.iter() {
             self.count_job(job, &mut counts);
         }
-        self.count_holds(&mut counts);
+        self.count_runs(&mut counts);
         counts
     }
 
@@ -121,7 +121,7 @@
         for (_, job) in self.jobs.iter() {
             let mut counts = Counts::default();
             self.count_job(job, &mut counts);
-            counts.running = job.holds;
+            counts.running = job.runs;
             all.insert(job.name.clone(), counts);
         }
         all
@@ -144,61 +144,63 @@
         }
     }
 
-    fn count_holds(&self, counts: &mut Counts) {
+    fn count_runs(&self, counts: &mut Counts) {
         for (_, worker) in self.workers.iter() {
-            let maybe = worker.misses > 0;
-            for hold in &worker.holds {
-                match hold.life {
-                    Life::Starting(_) => counts.starting += 1,
-                    Life::Running(_) => counts.running += 1,
-                    Life::Throttled(_) => counts.throttled += 1,
-                    Life::Evicting(_) => counts.evicting += 1,
-                    Life::Stopping(_) => counts.stopping += 1,
+            let is_unreachable = worker.failed_exchanges > 0;
+            for allocation in &worker.allocations {
+                match allocation.stage {
+                    Stage::Starting(_) => counts.starting += 1,
+                    Stage::Running(_) => counts.running += 1,
+                    Stage::Throttled(_) => counts.throttled += 1,
+                    Stage::Evicting(_) => counts.evicting += 1,
+                    Stage::Stopping(_) => counts.stopping += 1,
                 }
-                counts.maybe += u32::from(maybe);
+                counts.maybe += u32::from(is_unreachable);
             }
         }
     }
 
-    /// Tells about each worker, in the order in which they were met.
+    /// Returns the state of each worker in slot order.
     pub fn workers(&self) -> impl Iterator<Item = Worker> + '_ {
         self.workers.iter().map(|(_, worker)| Worker {
             name: worker.name.clone(),
             health: if worker.leaving { Health::Leaving } else { worker.health },
             capacity: worker.capacity,
             committed: worker.committed,
-            runs: worker.holds.len(),
+            runs: worker.allocations.len(),
         })
     }
 
-    /// Tells why a job's tasks may not start, if they may not.
+    /// Returns the reason why a job is parked, if it is.
     pub fn parked(&self, job: &id::Job) -> Option<&str> {
         let id = self.job_names.get(job)?;
         self.jobs[*id].parked.as_deref()
     }
 
-    /// Counts the workers whose inventory is not known yet.
+    /// Returns the number of workers whose inventory is not known yet.
     pub fn unfenced(&self) -> usize {
         self.workers.iter().filter(|(_, worker)| worker.fence == Fence::Unfenced).count()
     }
 
-    /// Estimates the bytes of state that the cell holds, names left out.
+    /// Estimates the memory used by the cell's state in bytes, excluding names.
     pub fn state_bytes(&self) -> usize {
         let workers: usize = self
             .workers
             .iter()
-            .map(|(_, w)| size_of_val(w) + w.holds.capacity() * size_of::<crate::worker::Hold>())
+            .map(|(_, w)| {
+                size_of_val(w) + w.allocations.capacity() * size_of::<crate::worker::Allocation>()
+            })
             .sum();
         let jobs: usize = self
             .jobs
             .iter()
             .map(|(_, job)| {
-                let spans = job.done.gaps() + job.cancelled.gaps();
+                let spans = job.done.span_count() + job.cancelled.span_count();
                 size_of_val(job)
                     + job.live.len() * size_of::<crate::job::Task>()
                     + spans * size_of::<crate::record::Span>()
             })
             .sum();
-        workers + jobs + self.model.bytes()
+        workers + jobs + self.interference.bytes()
     }
 }
--- a/crates/cell/tests/replays.rs
+++ b/crates/cell/tests/replays.rs
@@ -1,29 +1,30 @@
-//! Sequences that once broke what must hold, shrunk from wide runs of the random interleavings.
+//! Regression tests: step sequences that violated an invariant, minimised from failures of the
+//! random interleavings.
 
 mod world;
 
 use world::play::Step;
-use world::play::play;
+use world::play::run_steps;
 
-/// Results come in from workers whose leases had lapsed.
+/// Workers whose leases have expired report results.
 #[test]
 fn an_end_stays_recorded_when_lapsed_workers_come_back() {
-    play(&[
+    run_steps(&[
         Step::Declare(1, 20),
         Step::DeliverAll,
         Step::Wait(1),
         Step::Declare(0, 184),
         Step::DeliverAll,
         Step::Wait(102),
-        Step::LoseWires(0),
+        Step::LoseTransfers(0),
         Step::DeliverAll,
     ]);
 }
 
-/// The former owner knew a worker that the next one's list doesn't show.
+/// The former owner used a worker that the next owner's list doesn't show.
 #[test]
 fn a_worker_that_the_next_owner_does_not_see_is_not_forgotten() {
-    play(&[
+    run_steps(&[
         Step::Unlist(1),
         Step::Kill(1),
         Step::Declare(0, 2),
@@ -37,10 +38,10 @@
     ]);
 }
 
-/// A start arrives after the sender's successor has cancelled the task and dropped its checkpoint.
+/// A start arrives after the next owner has cancelled the task and dropped its checkpoint.
 #[test]
 fn a_late_start_resumes_from_what_its_sender_knew() {
-    play(&[
+    run_steps(&[
         Step::Wait(1),
         Step::Declare(0, 4),
         Step::DeliverAll,
@@ -54,17 +55,17 @@
         Step::DeliverAll,
         Step::Wait(2),
         Step::Wait(1),
-        Step::Settle(0),
+        Step::CompleteBatch(0),
         Step::Freeze(0),
         Step::DeliverAll,
         Step::Cancel(0),
     ]);
 }
 
-/// A run that was evicted, and whose checkpoint is not in the store yet, turns out to have a later one.
+/// A run was evicted, and a later checkpoint is reported before its first one is stored.
 #[test]
 fn nothing_resumes_from_a_checkpoint_that_is_not_stored() {
-    play(&[
+    run_steps(&[
         Step::Declare(0, 62),
         Step::Own(1),
         Step::DeliverAll,
@@ -79,7 +80,7 @@
         Step::DeliverAll,
         Step::Publish,
         Step::Wait(17),
-        Step::Linger(0),
+        Step::DelayExchanges(0),
         Step::Cancel(2),
         Step::Wait(1),
         Step::Own(1),
@@ -94,10 +95,10 @@
     ]);
 }
 
-/// An owner releases the cell that it took from one of which nothing has been heard since.
+/// An owner releases the cell that it took from a former owner whose state is unknown.
 #[test]
 fn a_release_says_nothing_of_the_owner_before() {
-    play(&[
+    run_steps(&[
         Step::Declare(3, 82),
         Step::Own(1),
         Step::DeliverAll,
@@ -114,17 +115,18 @@
     ]);
 }
 
-/// An owner whose list lags meets a new life of a worker that the next owner's list doesn't show yet.
+/// A lagging owner learns from a report of a worker's new incarnation, which the next owner's list
+/// doesn't show yet.
 #[test]
 fn a_worker_met_before_any_list_shows_it_waits_for_one() {
-    play(&[
-        Step::Settle(0),
+    run_steps(&[
+        Step::CompleteBatch(0),
         Step::Kill(0),
         Step::Own(0),
         Step::Lag(1),
         Step::Unlist(1),
         Step::Restart(2, true),
-        Step::Settle(0),
+        Step::CompleteBatch(0),
         Step::Own(1),
         Step::DeliverAll,
         Step::List(1),
--- a/crates/cell/tests/world/check.rs
+++ b/crates/cell/tests/world/check.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked against the truth at the workers and in the store.
+//! Invariants, checked against the actual state of the workers and the store.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,10 +11,11 @@
 
 use super::Key;
 use super::World;
-use super::fleet::Begun;
+use super::fleet::Started;
 
 impl World {
-    /// Checks what must always hold, against the truth at the workers.
+    /// Checks that no worker is overcommitted and that no task runs twice, and collects
+    /// completions.
     pub fn check(&mut self) {
         let now = self.now;
         let mut places: BTreeMap<Key, &str> = BTreeMap::new();
@@ -23,7 +24,7 @@
         }
         for fake in self.fakes.values() {
             let taken = fake.active().fold(Amount::ZERO, |sum, held| sum.plus(held.amount));
-            assert!(taken.fits(fake.capacity), "{} is taken beyond its capacity", fake.name);
+            assert!(taken.fits(fake.capacity), "{} runs tasks beyond its capacity", fake.name);
             for held in fake.active() {
                 let key = (held.run.job.clone(), held.run.task);
                 let other = places.insert(key, &fake.name);
@@ -46,47 +47,56 @@
         }
     }
 
-    /// Checks that a start is a new attempt, from the checkpoint that the store holds, or held when
-    /// the sender's ownership ended: a start sent before that may arrive later.
-    pub(super) fn check_begun(&mut self, begun: &Begun, epoch: Epoch) {
-        let run = &begun.run;
+    /// Checks that a start is a new attempt from the stored checkpoint. A start that was sent
+    /// before the sender's ownership ended may arrive later; it is checked against the store as of
+    /// that end.
+    pub(super) fn check_start(&mut self, started: &Started, epoch: Epoch) {
+        let run = &started.run;
         let key = (run.job.clone(), run.task);
-        let last = self.begun.insert(key.clone(), run.attempt);
+        let last = self.last_attempts.insert(key.clone(), run.attempt);
         assert!(last.is_none_or(|last| last < run.attempt), "{run:?} started after {last:?}");
-        let records = self.store.left.get(&epoch).unwrap_or(&self.store.records);
+        let records = self.store.former_records.get(&epoch).unwrap_or(&self.store.records);
         let record = records.get(&run.job);
         let stored = record.and_then(|r| r.tasks.iter().find(|task| task.index == run.task));
         let checkpoint = stored.and_then(|task| task.checkpoint.clone());
-        assert_eq!(begun.checkpoint, checkpoint, "{run:?} resumes from the stored checkpoint");
+        assert_eq!(started.checkpoint, checkpoint, "{run:?} resumes from the stored checkpoint");
         if epoch == self.store.epoch {
-            assert!(!self.fates.contains_key(&key), "{run:?} started after its end");
+            assert!(!self.ends.contains_key(&key), "{run:?} started after its end");
         }
     }
 
-    /// Checks that a fate never changes and is true.
+    /// Checks that a terminal state in a record never changes and matches what happened.
     pub(super) fn check_record(&mut self, record: &Record) {
-        let mut fates = Vec::new();
+        let mut ends = Vec::new();
         let spans = record.done.iter().map(|span| ("done", span));
-        for (fate, span) in spans.chain(record.cancelled.iter().map(|span| ("cancelled", span))) {
-            fates.extend((span.start..span.end).map(|index| (index, fate)));
+        for (end, span) in spans.chain(record.cancelled.iter().map(|span| ("cancelled", span))) {
+            ends.extend((span.start..span.end).map(|index| (index, end)));
         }
-        for (index, fate) in fates {
+        for (index, end) in ends {
             let key = (record.job.clone(), index);
-            let before = self.fates.insert(key.clone(), fate);
-            assert!(before.is_none_or(|before| before == fate), "{key:?} ended twice");
-            let truth = match fate {
+            let before = self.ends.insert(key.clone(), end);
+            assert!(before.is_none_or(|before| before == end), "{key:?} ended twice");
+            let is_true = match end {
                 "done" => self.completed.contains(&key),
                 _ => self.cancelled.contains(&record.job),
             };
-            assert!(truth, "{key:?} is {fate} in the store only");
+            assert!(is_true, "{key:?} is stored as {end}, which did not happen");
         }
-        let kept: BTreeSet<_> = self.fates.keys().filter(|key| key.0 == record.job).collect();
+        let recorded: BTreeSet<_> = self.ends.keys().filter(|key| key.0 == record.job).collect();
         let ended: u32 =
             record.done.iter().chain(&record.cancelled).map(|span| span.end - span.start).sum();
-        assert_eq!(kept.len() as u32, ended, "no fate of {} is forgotten", record.job);
-        let parked = |task: &cowslipchute_cell::record::Task| {
-            assert!(!matches!(task.fate, Some(Fate::Done | Fate::Cancelled)), "ends are spans");
+        assert_eq!(
+            recorded.len() as u32,
+            ended,
+            "an ended task is missing in the record of {}",
+            record.job
+        );
+        let check_task = |task: &cowslipchute_cell::record::Task| {
+            assert!(
+                !matches!(task.fate, Some(Fate::Done | Fate::Cancelled)),
+                "completed and cancelled tasks are stored as spans"
+            );
         };
-        record.tasks.iter().for_each(parked);
+        record.tasks.iter().for_each(check_task);
     }
 }
--- a/crates/cell/tests/world/mod.rs
+++ b/crates/cell/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A few fake workers, a fake store and any number of owners, with every promise about tasks
-//! checked after every step.
+//! A simulation of fake workers, a fake store and any number of owners that checks all invariants
+//! after every step.
 
 #![allow(dead_code, reason = "each test binary uses a part of it")]
 
@@ -36,14 +36,14 @@
 use cowslipchute_resource::policy;
 use fleet::Fake;
 
-/// How far time goes in one step of a scenario.
+/// Time increment of a simulation step.
 pub const STEP: Duration = Duration::from_millis(100);
 
 type Key = (id::Job, TaskIndex);
 
-/// An exchange under way: first to the worker, then back.
+/// An exchange in flight: the request until it is delivered, then the answer.
 #[derive(Debug)]
-pub struct Wire {
+pub struct Transfer {
     pub owner: usize,
     pub worker: String,
     sequence: Sequence,
@@ -51,7 +51,7 @@
     answer: Option<Event>,
 }
 
-/// A batch under way to the store.
+/// A batch that was sent to the store.
 #[derive(Debug)]
 struct Batch {
     epoch: Epoch,
@@ -66,7 +66,7 @@
     pub cell: Cell,
     pub alive: bool,
     pub frozen: bool,
-    /// It is shown no newer list.
+    /// Whether it gets no list updates.
     pub lags: bool,
     epoch: Epoch,
     waiting: VecDeque<Event>,
@@ -77,11 +77,11 @@
 pub struct Store {
     pub records: BTreeMap<id::Job, Record>,
     pub epoch: Epoch,
-    /// The records as each former epoch left them.
-    left: BTreeMap<Epoch, BTreeMap<id::Job, Record>>,
+    /// The records at the end of each former epoch.
+    former_records: BTreeMap<Epoch, BTreeMap<id::Job, Record>>,
     pub down: bool,
-    /// Answers yet to be lost, after the batch took effect.
-    pub lose: u32,
+    /// Number of answers still to be lost after the batch was applied.
+    pub lose_answers: u32,
     pub writes: u32,
 }
 
@@ -89,30 +89,30 @@
 pub struct World {
     pub now: Time,
     pub fakes: BTreeMap<String, Fake>,
-    /// Workers as the platform lists them: name, incarnation and whether it is leaving.
+    /// The platform's current state of the workers: name, incarnation and whether it is leaving.
     pub listed: BTreeMap<String, (u64, bool)>,
-    /// What it listed under the present version.
-    shown: BTreeMap<String, (u64, bool)>,
+    /// The workers as listed under the current version.
+    last_listed: BTreeMap<String, (u64, bool)>,
     version: u64,
-    /// Racks that the plan doesn't give to the cell yet.
+    /// Racks that the plan doesn't assign to the cell yet.
     pub unplanned: BTreeSet<String>,
     pub owners: Vec<Owner>,
     pub store: Store,
     pub jobs: BTreeMap<id::Job, Arc<job::Spec>>,
-    /// Owners that are opened hear of the jobs only later.
+    /// Whether new owners are told of the jobs only later.
     pub jobs_late: bool,
     pub shares: BTreeMap<id::Team, Option<Amount>>,
     pub policy: policy::Spec,
-    pub wires: Vec<Wire>,
-    /// Exchanges that were given up as lost and are still under way, by worker.
-    pub ghosts: Vec<(String, Exchange)>,
-    /// Workers whose answers are held back.
-    pub stuck: BTreeSet<String>,
+    pub transfers: Vec<Transfer>,
+    /// Exchanges that were reported as lost and may still arrive, with their workers.
+    pub late_exchanges: Vec<(String, Exchange)>,
+    /// Workers whose answers are delayed.
+    pub held_back: BTreeSet<String>,
     pub notes: Vec<String>,
-    begun: BTreeMap<Key, Attempt>,
+    last_attempts: BTreeMap<Key, Attempt>,
     completed: BTreeSet<Key>,
     cancelled: BTreeSet<id::Job>,
-    fates: BTreeMap<Key, &'static str>,
+    ends: BTreeMap<Key, &'static str>,
 }
 
 impl World {
@@ -126,22 +126,23 @@
         self.fakes.get_mut(name).expect("a worker of the world")
     }
 
-    /// Has the platform list a worker as it is; owners see it when the list is published.
+    /// Lists a worker's current incarnation; owners see it when the list is published.
     pub fn list(&mut self, name: &str) {
         let incarnation = self.fakes[name].incarnation;
         self.listed.insert(name.to_owned(), (incarnation, false));
     }
 
-    /// Tells whether a job of that name was ever cancelled or removed.
+    /// Returns `true` if a job of this name was ever cancelled or removed.
     pub fn was_used(&self, name: &str) -> bool {
         self.cancelled.contains(name)
     }
 
-    /// Reads the platform's list; its version rises with each change, whoever saw it.
+    /// Returns the platform's list; its version increases with each change, even one that no owner
+    /// saw.
     pub fn view(&mut self) -> View {
-        if self.shown != self.listed {
+        if self.last_listed != self.listed {
             self.version += 1;
-            self.shown = self.listed.clone();
+            self.last_listed = self.listed.clone();
         }
         let is_planned = |name: &&String| !self.unplanned.contains(&self.fakes[*name].rack);
         let planned = self.listed.iter().filter(|(name, _)| is_planned(name));
@@ -164,20 +165,20 @@
         View { version: self.version, members: members.collect() }
     }
 
-    /// Shows the list to every owner.
+    /// Publishes the list to every owner that doesn't lag.
     pub fn publish(&mut self) {
         self.version += 1;
         let view = self.view();
         for owner in 0..self.owners.len() {
             if !self.owners[owner].lags {
-                self.tell(owner, Event::Listed { view: view.clone() });
+                self.deliver_event(owner, Event::Listed { view: view.clone() });
             }
         }
     }
 
-    pub fn tell_all(&mut self, event: &Event) {
+    pub fn broadcast(&mut self, event: &Event) {
         for owner in 0..self.owners.len() {
-            self.tell(owner, event.clone());
+            self.deliver_event(owner, event.clone());
         }
     }
 
@@ -188,17 +189,17 @@
             self.cancelled.insert(name.clone());
         }
         self.jobs.insert(name.clone(), spec.clone());
-        self.tell_all(&Event::Job { name, spec });
+        self.broadcast(&Event::Job { name, spec });
     }
 
     pub fn undeclare(&mut self, name: &str) {
         let name: id::Job = name.into();
         self.cancelled.insert(name.clone());
         self.jobs.remove(&name);
-        self.tell_all(&Event::JobGone { name });
+        self.broadcast(&Event::JobGone { name });
     }
 
-    /// Opens an owner that is not one yet.
+    /// Opens an owner process that doesn't own the cell yet.
     pub fn open(&mut self, name: &str) -> usize {
         let seed = self.owners.len() as u64 + 1;
         let cell = Cell::open(Settings { cell: "d1/0".into(), seed });
@@ -213,24 +214,24 @@
             batches: VecDeque::new(),
         });
         let owner = self.owners.len() - 1;
-        self.tell(owner, Event::Policy { spec: Arc::new(self.policy.clone()) });
+        self.deliver_event(owner, Event::Policy { spec: Arc::new(self.policy.clone()) });
         let shares: Vec<_> = self.shares.iter().map(|(t, s)| (t.clone(), *s)).collect();
         for (team, amount) in shares {
-            self.tell(owner, Event::Share { team, amount });
+            self.deliver_event(owner, Event::Share { team, amount });
         }
         let view = self.view();
-        self.tell(owner, Event::Listed { view });
+        self.deliver_event(owner, Event::Listed { view });
         if !self.jobs_late {
-            self.tell_jobs(owner);
+            self.send_jobs(owner);
         }
         owner
     }
 
-    /// Tells an owner of every job.
-    pub fn tell_jobs(&mut self, owner: usize) {
+    /// Sends all job declarations to an owner.
+    pub fn send_jobs(&mut self, owner: usize) {
         let jobs: Vec<_> = self.jobs.iter().map(|(n, s)| (n.clone(), s.clone())).collect();
         for (name, spec) in jobs {
-            self.tell(owner, Event::Job { name, spec });
+            self.deliver_event(owner, Event::Job { name, spec });
         }
     }
 
@@ -241,18 +242,18 @@
         }
     }
 
-    /// Has an owner take the cell by compare-and-swap.
+    /// Makes an owner take the cell's ownership under a new epoch.
     pub fn own(&mut self, owner: usize, former: Former) {
-        self.store.left.insert(self.store.epoch, self.store.records.clone());
+        self.store.former_records.insert(self.store.epoch, self.store.records.clone());
         self.store.epoch += 1;
         let epoch = self.store.epoch;
         self.owners[owner].epoch = epoch;
         let records = self.store.records.values().cloned().collect();
-        self.tell(owner, Event::Owned { epoch, former, records });
+        self.deliver_event(owner, Event::Owned { epoch, former, records });
     }
 
-    /// Hands an event to an owner; one that is frozen finds it when it wakes.
-    pub fn tell(&mut self, owner: usize, event: Event) {
+    /// Delivers an event to an owner; a frozen one gets it when it is thawed.
+    pub fn deliver_event(&mut self, owner: usize, event: Event) {
         let target = &mut self.owners[owner];
         if !target.alive {
             return;
@@ -264,7 +265,7 @@
         let mut actions = Vec::new();
         target.cell.step(self.now, event, &mut actions);
         for action in actions {
-            self.act(owner, action);
+            self.perform(owner, action);
         }
         self.check();
     }
@@ -276,17 +277,18 @@
     pub fn thaw(&mut self, owner: usize) {
         self.owners[owner].frozen = false;
         while let Some(event) = self.owners[owner].waiting.pop_front() {
-            self.tell(owner, event);
+            self.deliver_event(owner, event);
         }
     }
 
-    fn act(&mut self, owner: usize, action: Action) {
+    fn perform(&mut self, owner: usize, action: Action) {
         match action {
             Action::Exchange { sequence, worker, exchange, .. } => {
-                let busy = |w: &Wire| w.owner == owner && w.worker == *worker;
-                assert!(!self.wires.iter().any(busy), "one exchange in flight for a worker");
+                let busy =
+                    |transfer: &Transfer| transfer.owner == owner && transfer.worker == *worker;
+                assert!(!self.transfers.iter().any(busy), "one exchange in flight for a worker");
                 let (worker, exchange) = (worker.to_string(), Some(exchange));
-                self.wires.push(Wire { owner, worker, sequence, exchange, answer: None });
+                self.transfers.push(Transfer { owner, worker, sequence, exchange, answer: None });
             }
             Action::Record { batch: number, records, removed } => {
                 let owner = &mut self.owners[owner];
@@ -303,8 +305,8 @@
         }
     }
 
-    /// Settles an owner's batch; tells whether there was one.
-    pub fn settle(&mut self, owner: usize) -> bool {
+    /// Completes an owner's oldest batch; returns `false` if there is none.
+    pub fn complete_batch(&mut self, owner: usize) -> bool {
         let Some(batch) = self.owners[owner].batches.pop_front() else { return false };
         let number = batch.number;
         let event = if self.store.down {
@@ -315,14 +317,14 @@
             Event::RecordFailed { batch: number }
         } else {
             self.apply(batch);
-            let lost = self.store.lose > 0;
-            self.store.lose = self.store.lose.saturating_sub(1);
+            let lost = self.store.lose_answers > 0;
+            self.store.lose_answers = self.store.lose_answers.saturating_sub(1);
             match lost {
                 true => Event::RecordFailed { batch: number },
                 false => Event::Recorded { batch: number },
             }
         };
-        self.tell(owner, event);
+        self.deliver_event(owner, event);
         true
     }
 
@@ -334,45 +336,45 @@
         }
         for job in batch.removed {
             self.store.records.remove(&job);
-            self.fates.retain(|key, _| key.0 != job);
+            self.ends.retain(|key, _| key.0 != job);
         }
     }
 
-    /// Gives an owner its tick if one is due.
+    /// Sends an owner a tick if one is due.
     pub fn tick(&mut self, owner: usize) -> bool {
         let target = &self.owners[owner];
         let is_due = target.cell.next_due().is_some_and(|due| due <= self.now);
-        let ticks = target.alive && !target.frozen && is_due;
-        if ticks {
-            self.tell(owner, Event::Tick);
+        let can_tick = target.alive && !target.frozen && is_due;
+        if can_tick {
+            self.deliver_event(owner, Event::Tick);
         }
-        ticks
+        can_tick
     }
 
-    /// Lets time pass, with everything under way delivered at once.
+    /// Advances the time in steps and delivers everything in flight after each.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
-        self.pump();
+        self.deliver_all();
         while self.now < end {
             self.now += STEP;
             self.check();
-            self.pump();
+            self.deliver_all();
         }
     }
 
-    fn pump(&mut self) {
+    fn deliver_all(&mut self) {
         for _ in 0..20 {
             let mut busy = false;
             for owner in 0..self.owners.len() {
                 busy |= self.tick(owner);
-                busy |= self.settle(owner);
+                busy |= self.complete_batch(owner);
             }
             let mut index = 0;
-            while index < self.wires.len() {
-                let before = self.wires.len();
-                let went = self.deliver(index);
-                busy |= went;
-                index += usize::from(!went || self.wires.len() >= before);
+            while index < self.transfers.len() {
+                let before = self.transfers.len();
+                let has_progressed = self.deliver(index);
+                busy |= has_progressed;
+                index += usize::from(!has_progressed || self.transfers.len() >= before);
             }
             if !busy {
                 return;
--- a/crates/cell/tests/world/play.rs
+++ b/crates/cell/tests/world/play.rs
@@ -1,4 +1,4 @@
-//! Steps that may come in any order, played by two owners' seats in one world.
+//! Sequences of random steps, run in a simulation with two replaceable owners.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,30 +13,30 @@
 
 use super::World;
 
-/// Workers of the world.
+/// Number of workers in the simulation.
 pub const WORKERS: usize = 3;
-/// Leases of which a policy picks one, in seconds.
+/// The leases that a policy step selects from, in seconds.
 pub const LEASES: [u64; 3] = [6, 10, 25];
 
-/// How long the work that is left may take in the end.
-const LONGEST: Duration = Duration::from_secs(240);
-/// How long the last results may take to be recorded and acknowledged.
-const SETTLE: Duration = Duration::from_secs(5);
+/// Maximum time for the remaining work at the end.
+const REMAINING_WORK_TIME: Duration = Duration::from_secs(240);
+/// Time between two checks whether all work has ended and all results are acknowledged.
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
 pub enum Step {
     Wait(u16),
     Deliver(u8),
     DeliverAll,
-    Settle(u8),
-    LoseWires(u8),
+    CompleteBatch(u8),
+    LoseTransfers(u8),
     LoseAnswer(u8),
     LoseExchange(u8),
     Fails(u8, bool),
     Measure(u8, u16),
-    Linger(u8),
-    Haunt(u8),
-    Cut(u8),
+    DelayExchanges(u8),
+    DeliverLate(u8),
+    Partition(u8),
     Heal(u8),
     Restart(u8, bool),
     Unlist(u8),
@@ -52,78 +52,78 @@
     Cancel(u8),
     Undeclare(u8),
     StoreDown(bool),
-    StoreLose,
+    LoseStoreAnswer,
     Lease(u8, u8),
 }
 
-pub struct Play {
+pub struct Simulation {
     world: World,
-    /// Where the two seats' present owners stand among the world's.
-    seats: [usize; 2],
-    /// Who took the cell last.
+    /// The indices of the two current owner processes.
+    slots: [usize; 2],
+    /// The owner that took the cell last, unless it has released it.
     holder: Option<usize>,
-    /// Who took it at any time and has neither released it nor ended. Like the claim in the store,
-    /// it is carried on by every taking.
-    unsettled: BTreeSet<usize>,
+    /// Owners that took the cell at any time and have neither released it nor ended. Like the claim
+    /// in the store, the set is carried over when another owner takes the cell.
+    unreleased: BTreeSet<usize>,
 }
 
-impl Play {
-    pub fn open() -> Play {
+impl Simulation {
+    pub fn open() -> Simulation {
         let mut world = World::default();
         for index in 0..WORKERS {
             let capacity = Amount { cpu_milli: 3000, memory_mib: 4000, accelerators: 1 };
             world.add_worker(&worker(index as u8), ["r1", "r2"][index % 2], capacity);
         }
         world.publish();
-        let seats = [world.open("a"), world.open("b")];
-        let mut play = Play { world, seats, holder: None, unsettled: BTreeSet::new() };
-        play.own(0);
-        play
+        let slots = [world.open("a"), world.open("b")];
+        let mut simulation = Simulation { world, slots, holder: None, unreleased: BTreeSet::new() };
+        simulation.own(0);
+        simulation
     }
 
-    fn seat(&self, seat: u8) -> usize {
-        self.seats[usize::from(seat)]
+    fn slot(&self, slot: u8) -> usize {
+        self.slots[usize::from(slot)]
     }
 
-    /// Takes the cell for a seat, as a placer would: only from one that it may believe gone.
-    fn own(&mut self, seat: u8) {
-        let owner = self.seat(seat);
+    /// Takes the cell for a slot, with what a placer would know about the former owner.
+    fn own(&mut self, slot: u8) {
+        let owner = self.slot(slot);
         if self.holder == Some(owner) || self.world.owners[owner].frozen {
             return;
         }
         let former = match self.holder {
-            _ if self.has_unsettled(owner) => Former::Unheard,
+            _ if self.has_unreleased(owner) => Former::Unheard,
             None => Former::Released,
             Some(_) => Former::Ended,
         };
         self.world.own(owner, former);
         self.holder = Some(owner);
-        self.unsettled.insert(owner);
+        self.unreleased.insert(owner);
     }
 
-    /// Tells whether another one than `owner` may still be renewing leases.
-    fn has_unsettled(&self, owner: usize) -> bool {
-        self.unsettled.iter().any(|&other| other != owner)
+    /// Returns `true` if an owner other than `owner` may still be renewing leases.
+    fn has_unreleased(&self, owner: usize) -> bool {
+        self.unreleased.iter().any(|&other| other != owner)
     }
 
-    fn kill(&mut self, seat: u8) {
-        let owner = self.seat(seat);
+    fn kill(&mut self, slot: u8) {
+        let owner = self.slot(slot);
         self.world.owners[owner].alive = false;
-        self.seats[usize::from(seat)] =
+        self.slots[usize::from(slot)] =
             self.world.open(&format!("{}'", self.world.owners[owner].name));
-        self.unsettled.remove(&owner);
-        let other = self.seats[1 - usize::from(seat)];
-        if self.holder == Some(other) && !self.has_unsettled(other) {
-            self.world.tell(other, Event::Former { former: Former::Ended });
+        self.unreleased.remove(&owner);
+        let other = self.slots[1 - usize::from(slot)];
+        if self.holder == Some(other) && !self.has_unreleased(other) {
+            self.world.deliver_event(other, Event::Former { former: Former::Ended });
         }
     }
 
-    fn release(&mut self, seat: u8) {
-        let owner = self.seat(seat);
+    fn release(&mut self, slot: u8) {
+        let owner = self.slot(slot);
         if self.holder == Some(owner) && !self.world.owners[owner].frozen {
-            self.world.tell(owner, Event::Disowned);
+            self.world.deliver_event(owner, Event::Disowned);
             self.holder = None;
-            self.unsettled.remove(&owner);
+            self.unreleased.remove(&owner);
         }
     }
 
@@ -144,7 +144,7 @@
             amount,
             duration: Duration::from_secs(1 + u64::from(kind % 13)),
             urgent: kind % 7 == 3,
-            // Nothing may stay parked in the end.
+            // No task may remain parked at the end.
             failures_max: 1000,
             ..job::Spec::default()
         };
@@ -162,28 +162,28 @@
                 }
             }
             Step::Deliver(index) => {
-                let count = world.wires.len();
+                let count = world.transfers.len();
                 if count > 0 {
                     world.deliver(usize::from(index) % count);
                 }
             }
             Step::DeliverAll => world.run(Duration::ZERO),
-            Step::Settle(seat) => {
-                world.settle(self.seats[usize::from(seat)]);
+            Step::CompleteBatch(slot) => {
+                world.complete_batch(self.slots[usize::from(slot)]);
             }
-            Step::LoseWires(w) => world.lose_wires(&worker(w)),
-            Step::LoseAnswer(w) => world.fake(&worker(w)).lose += 1,
-            Step::LoseExchange(w) => world.fake(&worker(w)).void += 1,
-            Step::Fails(w, on) => world.fake(&worker(w)).fails = on,
-            Step::Measure(w, slow) => world.measure(&worker(w), u32::from(slow)),
-            Step::Linger(w) => world.linger(&worker(w)),
-            Step::Haunt(index) => {
-                if !world.ghosts.is_empty() {
-                    world.haunt(usize::from(index) % world.ghosts.len());
+            Step::LoseTransfers(w) => world.lose_transfers(&worker(w)),
+            Step::LoseAnswer(w) => world.fake(&worker(w)).lose_answers += 1,
+            Step::LoseExchange(w) => world.fake(&worker(w)).lose_exchanges += 1,
+            Step::Fails(w, on) => world.fake(&worker(w)).fails_runs = on,
+            Step::Measure(w, slowdown) => world.measure(&worker(w), u32::from(slowdown)),
+            Step::DelayExchanges(w) => world.delay_exchanges(&worker(w)),
+            Step::DeliverLate(index) => {
+                if !world.late_exchanges.is_empty() {
+                    world.deliver_late(usize::from(index) % world.late_exchanges.len());
                 }
             }
-            Step::Cut(w) => world.fake(&worker(w)).cut = true,
-            Step::Heal(w) => world.fake(&worker(w)).cut = false,
+            Step::Partition(w) => world.fake(&worker(w)).partitioned = true,
+            Step::Heal(w) => world.fake(&worker(w)).partitioned = false,
             Step::Restart(w, listed) => {
                 world.fake(&worker(w)).restart();
                 world.list(&worker(w));
@@ -202,15 +202,15 @@
                 }
             }
             Step::Publish => world.publish(),
-            Step::Lag(seat) => {
-                let owner = self.seats[usize::from(seat)];
+            Step::Lag(slot) => {
+                let owner = self.slots[usize::from(slot)];
                 world.owners[owner].lags ^= true;
             }
-            Step::Freeze(seat) => world.freeze(self.seats[usize::from(seat)]),
-            Step::Thaw(seat) => world.thaw(self.seats[usize::from(seat)]),
-            Step::Kill(seat) => self.kill(seat),
-            Step::Release(seat) => self.release(seat),
-            Step::Own(seat) => self.own(seat),
+            Step::Freeze(slot) => world.freeze(self.slots[usize::from(slot)]),
+            Step::Thaw(slot) => world.thaw(self.slots[usize::from(slot)]),
+            Step::Kill(slot) => self.kill(slot),
+            Step::Release(slot) => self.release(slot),
+            Step::Own(slot) => self.own(slot),
             Step::Declare(index, kind) => self.declare(index, kind),
             Step::Cancel(index) => {
                 let name = format!("job-{index}");
@@ -226,19 +226,19 @@
                 }
             }
             Step::StoreDown(down) => world.store.down = down,
-            Step::StoreLose => world.store.lose += 1,
-            Step::Lease(seat, lease) => {
-                // Only one of the owners has seen this policy.
+            Step::LoseStoreAnswer => world.store.lose_answers += 1,
+            Step::Lease(slot, lease) => {
+                // Only one of the owners gets this policy.
                 world.policy.lease = Duration::from_secs(LEASES[usize::from(lease)]);
                 let spec = Arc::new(world.policy.clone());
-                world.tell(self.seats[usize::from(seat)], Event::Policy { spec });
+                world.deliver_event(self.slots[usize::from(slot)], Event::Policy { spec });
             }
         }
     }
 
-    /// Tells whether every task ended and nobody keeps anything of it.
+    /// Returns `true` if every task has ended and no worker retains a result.
     fn is_settled(&self) -> bool {
-        let counts = self.world.owners[self.seats[0]].cell.counts();
+        let counts = self.world.owners[self.slots[0]].cell.counts();
         let expected: u32 = self.world.jobs.values().map(|spec| spec.tasks).sum();
         counts.done + counts.cancelled == expected
             && self.world.fakes.values().all(|fake| fake.held().count() == 0)
@@ -249,17 +249,17 @@
         self.world.store.records.keys().filter(|job| !job.starts_with('@')).count()
     }
 
-    /// Mends everything and sees all work come to its end.
+    /// Removes all faults and checks that every task ends.
     pub fn finish(&mut self) {
         let world = &mut self.world;
         world.store.down = false;
-        world.store.lose = 0;
+        world.store.lose_answers = 0;
         for index in 0..WORKERS as u8 {
             let fake = world.fake(&worker(index));
-            fake.cut = false;
-            fake.fails = false;
-            fake.lose = 0;
-            fake.void = 0;
+            fake.partitioned = false;
+            fake.fails_runs = false;
+            fake.lose_answers = 0;
+            fake.lose_exchanges = 0;
             if !fake.alive {
                 fake.restart();
             }
@@ -273,21 +273,21 @@
         self.release(0);
         self.release(1);
         self.own(0);
-        let rounds = LONGEST.as_secs() / SETTLE.as_secs();
+        let rounds = REMAINING_WORK_TIME.as_secs() / CHECK_INTERVAL.as_secs();
         for _ in 0..rounds {
-            self.world.run(SETTLE);
+            self.world.run(CHECK_INTERVAL);
             if self.is_settled() {
                 break;
             }
         }
-        let owner = &self.world.owners[self.seats[0]];
+        let owner = &self.world.owners[self.slots[0]];
         let counts = owner.cell.counts();
         let ended = counts.done + counts.cancelled;
         let expected: u32 = self.world.jobs.values().map(|spec| spec.tasks).sum();
         assert_eq!(owner.cell.phase(), status::Phase::Ready);
-        assert_eq!(ended, expected, "every task comes to its end: {counts:?}");
+        assert_eq!(ended, expected, "not every task has ended: {counts:?}");
         for fake in self.world.fakes.values() {
-            assert_eq!(fake.held().count(), 0, "{} keeps nothing that is settled", fake.name);
+            assert_eq!(fake.held().count(), 0, "{} retains results of ended tasks", fake.name);
         }
         assert_eq!(self.records(), self.world.jobs.len(), "a record for each declared job");
     }
@@ -297,9 +297,9 @@
     format!("w{index}")
 }
 
-/// Plays steps, and then all work down to its end.
-pub fn play(steps: &[Step]) {
-    let mut play = Play::open();
-    steps.iter().for_each(|step| play.take(step));
-    play.finish();
+/// Runs the steps, then removes all faults and checks that every task ends.
+pub fn run_steps(steps: &[Step]) {
+    let mut simulation = Simulation::open();
+    steps.iter().for_each(|step| simulation.take(step));
+    simulation.finish();
 }
