--- a/crates/planner/src/advice.rs
+++ b/crates/planner/src/advice.rs
@@ -1,8 +1,8 @@
-//! Queues whose policy lets a step run on some workers only, which an advisory service knows.
+//! Placement of steps in queues that need permission from an advisory service for each worker.
 //!
-//! Pattern answered: an answer takes a while for each worker that is asked about, and the service
-//! answers one question of a process at a time. So one question names the workers with the most
-//! room, enough for the step's tasks with those that will be refused, and steps ask in their rank.
+//! An answer takes time for each worker named in the query, and the service answers one query of a
+//! process at a time. So a query names the workers with the highest scores, enough for the step's
+//! tasks and for those that will be refused, and steps send queries in the order of their rank.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -21,37 +21,37 @@
 use crate::planner::Planner;
 use crate::worker::WorkerId;
 
-/// Most workers that one question names; the users reckon with so many.
+/// Maximum number of workers in one query, which users rely on.
 const MAX_WORKERS_PER_QUERY: usize = 30;
-/// Workers asked about for each task of the step.
+/// Workers named in a query for each task of the step.
 const WORKERS_PER_TASK: usize = 3;
-/// A ticket isn't used this shortly before it ends, since a start takes its time.
+/// A ticket isn't used this shortly before it expires, since a start takes time.
 const TICKET_MARGIN: Duration = Duration::from_millis(250);
-/// What a question may take beyond what the service says.
+/// Time allowed for an answer beyond what the service states.
 const REPLY_MARGIN: Duration = Duration::from_millis(1500);
-/// Pause after a question that brought nothing.
+/// Delay before the next query after one that returned no tickets.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// What the advisory service has said about a step.
+/// Tickets that the advisory service has issued for a step.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Permit {
     tickets: HashMap<WorkerId, Ticket>,
-    /// When the tickets end, or when to ask again where there are none.
+    /// When the tickets expire, or when to send the next query if there are none.
     expires: Time,
 }
 
-/// What the advisory service is being asked.
+/// A query that the advisory service hasn't answered yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Query {
     step: StepId,
-    /// How long its tickets last.
+    /// Validity of the tickets.
     validity: Duration,
-    /// Whom it is asked about. A ticket is of no use to the next incarnation of a worker.
+    /// Workers named in the query. A ticket is of no use to the next incarnation of a worker.
     workers: Vec<WorkerId>,
 }
 
 impl Permit {
-    /// Adds the tickets of an answer before that are still valid.
+    /// Adds the tickets of an earlier answer that are still valid.
     fn merge(mut self, earlier: Option<Permit>) -> Permit {
         if let Some(earlier) = earlier {
             self.expires = if self.tickets.is_empty() {
@@ -70,8 +70,8 @@
 }
 
 impl Planner {
-    /// Narrows the open workers down to those that a step has tickets for; asks for some if it
-    /// has none.
+    /// Narrows the open workers down to those that a step has tickets for. Sends a query if it has
+    /// no tickets.
     pub(crate) fn permitted_workers(
         &mut self,
         step: StepId,
@@ -80,9 +80,9 @@
         open: Vec<WorkerId>,
     ) -> Vec<WorkerId> {
         let now = self.now;
-        let leave = self.jobs[&step.job].step(step).and_then(|state| state.permit.as_ref());
-        if let Some(leave) = leave.filter(|leave| leave.expires > now) {
-            return open.into_iter().filter(|id| leave.tickets.contains_key(id)).collect();
+        let permit = self.jobs[&step.job].step(step).and_then(|state| state.permit.as_ref());
+        if let Some(permit) = permit.filter(|permit| permit.expires > now) {
+            return open.into_iter().filter(|id| permit.tickets.contains_key(id)).collect();
         }
         self.query_advice(step, spec, advice, &open);
         Vec::new()
@@ -90,8 +90,9 @@
 
     /// Returns `true` if a step holds a valid ticket for a worker.
     pub(crate) fn has_ticket(&self, step: StepId, worker: WorkerId) -> bool {
-        let leave = self.jobs[&step.job].step(step).and_then(|state| state.permit.as_ref());
-        leave.is_some_and(|leave| leave.expires > self.now && leave.tickets.contains_key(&worker))
+        let permit = self.jobs[&step.job].step(step).and_then(|state| state.permit.as_ref());
+        permit
+            .is_some_and(|permit| permit.expires > self.now && permit.tickets.contains_key(&worker))
     }
 
     pub(crate) fn query_advice(
@@ -105,60 +106,60 @@
             return;
         }
         let request = Request::new(&self.interference, step.task(0), spec);
-        let mut rated: Vec<(f64, WorkerId)> = open
+        let mut candidates: Vec<(f64, WorkerId)> = open
             .iter()
             .filter_map(|&id| Some((self.score(&self.workers[id], &request)?, id)))
             .collect();
-        if rated.is_empty() {
+        if candidates.is_empty() {
             return;
         }
-        rated.sort_by(|a, b| b.0.total_cmp(&a.0));
-        rated.truncate(
+        candidates.sort_by(|a, b| b.0.total_cmp(&a.0));
+        candidates.truncate(
             MAX_WORKERS_PER_QUERY
                 .min((spec.count as usize).saturating_mul(WORKERS_PER_TASK))
                 .max(1),
         );
         let workers: Vec<id::Instance> =
-            rated.iter().map(|&(_, id)| self.workers[id].name.clone()).collect();
+            candidates.iter().map(|&(_, id)| self.workers[id].name.clone()).collect();
         let timeout = advice.decision + advice.each * workers.len() as u32 + REPLY_MARGIN;
-        let asked = rated.iter().map(|&(_, id)| id).collect();
-        self.pending_query = Some(Query { step, validity: advice.validity, workers: asked });
+        let queried = candidates.iter().map(|&(_, id)| id).collect();
+        self.pending_query = Some(Query { step, validity: advice.validity, workers: queried });
         self.actions.push(Action::Advise { step, workers, timeout });
     }
 
-    /// The advisory service answered, or did not.
+    /// Handles the answer of the advisory service, or its failure.
     pub(crate) fn handle_advice(
         &mut self,
         step: StepId,
         outcome: Result<Vec<(id::Instance, Ticket)>, Failure>,
     ) {
-        let Some(question) = self.pending_query.take() else { return };
+        let Some(query) = self.pending_query.take() else { return };
         self.room_changed = true;
-        if question.step != step {
+        if query.step != step {
             return;
         }
         let rows = outcome.unwrap_or_default();
         let tickets: HashMap<WorkerId, Ticket> = rows
             .into_iter()
             .filter_map(|(name, ticket)| Some((*self.workers_by_name.get(&name)?, ticket)))
-            .filter(|(worker, _)| question.workers.contains(worker))
+            .filter(|(worker, _)| query.workers.contains(worker))
             .collect();
         let last = if tickets.is_empty() {
             RETRY_PAUSE
         } else {
-            question.validity.saturating_sub(TICKET_MARGIN)
+            query.validity.saturating_sub(TICKET_MARGIN)
         };
         let now = self.now;
         let expires = now + last;
         self.timers.insert((expires, Timer::Place));
         let job = self.jobs.get_mut(&step.job);
         if let Some(state) = job.and_then(|job| job.step_mut(step)) {
-            let valid = state.permit.take().filter(|leave| leave.expires > now);
+            let valid = state.permit.take().filter(|permit| permit.expires > now);
             state.permit = Some(Permit { tickets, expires }.merge(valid));
         }
     }
 
-    /// A worker refused a ticket: it is not used again.
+    /// Drops the tickets of a step after a worker has refused one, so that none is used again.
     pub(crate) fn drop_permit(&mut self, step: StepId) {
         let job = self.jobs.get_mut(&step.job);
         if let Some(state) = job.and_then(|job| job.step_mut(step)) {
--- a/crates/planner/src/bypass.rs
+++ b/crates/planner/src/bypass.rs
@@ -1,8 +1,8 @@
-//! Who was placed while a step waits.
+//! Log of the tasks that are placed while a step waits.
 //!
-//! Pattern answered: a step waits for seconds in a cell where thousands of tasks start. Whether the room it
-//! needs was taken by smaller tasks that came later, or for good by tasks that last, can't be told from what is
-//! free; so the owner says it of each step that waits, from time to time.
+//! A step may wait for seconds in a cell where thousands of tasks start. The free capacity doesn't
+//! show whether the capacity it needs went to smaller tasks of later jobs, or for good to service
+//! tasks. So the owner logs both counts for each waiting step at an interval.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,24 +14,25 @@
 
 use crate::planner::Planner;
 
-/// How often it is told of a step that waits: a few times as long as a short task takes, so that a step which
-/// waits for its turn isn't told of, and a hundred that wait cost some ten lines a second.
+/// Interval of the log for a waiting step: a few times the duration of a short task, so that a step
+/// that waits for its turn isn't logged, and a hundred waiting steps log about ten lines a second.
 pub(crate) const BYPASS_INTERVAL: Duration = Duration::from_secs(4);
-/// Placements that are remembered: four seconds of a cell of a thousand workers, in half a megabyte.
+/// Maximum number of placements kept: four seconds of a cell of a thousand workers, in half a
+/// megabyte.
 const MAX_PLACEMENTS: usize = 16_000;
 
-/// A place that was given to a task which reserves its processors.
+/// A placement of a task that reserves its CPU.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Placement {
     pub(crate) at: Time,
-    /// The order of its job.
-    pub(crate) order: u64,
-    /// What it reserves, in thousandths of a processor.
+    /// Arrival number of its job.
+    pub(crate) arrival: u64,
+    /// Its CPU reservation, in millicores.
     pub(crate) milli: u32,
     pub(crate) long_running: bool,
 }
 
-/// The places that were given lately, oldest first.
+/// Recent placements, the oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct Placements {
     recent: VecDeque<Placement>,
@@ -52,22 +53,22 @@
 }
 
 impl Planner {
-    /// Tells who was placed since it was last told that a step waits.
+    /// Logs what was placed in the last [`BYPASS_INTERVAL`] while a step was waiting.
     pub(crate) fn log_bypass(&mut self, step: StepId, spec: &Step) {
         let Some(job) = self.jobs.get(&step.job) else { return };
         let Some(state) = job.step(step) else { return };
         let since = self.now.saturating_sub(BYPASS_INTERVAL);
         let mut smaller = 0;
-        let mut lasting = 0;
+        let mut services = 0;
         for placement in self.placements.since(since) {
             if placement.long_running {
-                lasting += 1;
-            } else if placement.order > job.arrival && placement.milli <= spec.demand.cpu_milli {
+                services += 1;
+            } else if placement.arrival > job.arrival && placement.milli <= spec.demand.cpu_milli {
                 smaller += 1;
             }
         }
         let detail = format!(
-            "step {}: {} tasks, reserving {} each; in {} ms {smaller} tasks no larger of jobs that came later, {lasting} tasks that last",
+            "step {}: {} waiting tasks of {} millicores each; placed in the last {} ms: {smaller} tasks of later jobs that are no larger, {services} service tasks",
             step.step,
             state.waiting,
             spec.demand.cpu_milli,
--- a/crates/planner/src/candidate.rs
+++ b/crates/planner/src/candidate.rs
@@ -1,8 +1,8 @@
-//! Which worker takes the next task of a step.
+//! Choice of the worker for the next task of a step.
 //!
-//! Pattern answered: a step of dozens of tasks meets a thousand workers. Each is rated once for the step;
-//! after that a task costs a look at the best alone, since what a worker is given changes its own rating
-//! and no other's.
+//! A step of dozens of tasks may have a thousand workers to choose from. Each is scored once for
+//! the step. After that a task only scores the best candidate again, since placing a task on a
+//! worker changes the score of no other worker.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -11,8 +11,8 @@
 use crate::planner::Planner;
 use crate::worker::WorkerId;
 
-/// A worker that may take a task. Of equal ones the lower index comes first, so that the order in which
-/// they were asked is of no matter.
+/// A worker that may take a task. Of candidates with equal scores the one with the lower index is
+/// preferred, so that the result doesn't depend on the order of scoring.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     score: f64,
@@ -40,43 +40,44 @@
 impl Eq for Candidate {}
 
 impl Planner {
-    /// Rates the workers that may take a task of a step.
+    /// Returns the workers that may take a task of a step, with their scores.
     pub(crate) fn candidates(
         &self,
         request: &Request<'_>,
         open: &[WorkerId],
     ) -> BinaryHeap<Candidate> {
-        let rated = open.iter().filter_map(|&worker| {
+        let candidates = open.iter().filter_map(|&worker| {
             Some(Candidate { score: self.score(&self.workers[worker], request)?, worker })
         });
-        rated.collect()
+        candidates.collect()
     }
 
-    /// Chooses the best of rated workers for one more task of the step; one that it shuns only if there
-    /// is no other. What a worker is given changes its own rating alone, so only the best is rated anew.
+    /// Chooses the best candidate for one more task of the step, and the avoided worker only if
+    /// there is no other. Only the best candidate is scored again, since a placement changes the
+    /// score of its own worker alone.
     pub(crate) fn choose_candidate(
         &self,
         request: &Request<'_>,
-        shunned: Option<WorkerId>,
-        rated: &mut BinaryHeap<Candidate>,
+        avoided: Option<WorkerId>,
+        candidates: &mut BinaryHeap<Candidate>,
     ) -> Option<WorkerId> {
-        let mut last_choice = None;
+        let mut fallback = None;
         let mut chosen = None;
-        while let Some(best) = rated.pop() {
-            if shunned == Some(best.worker) && last_choice.is_none() {
-                last_choice = Some(best.worker);
+        while let Some(best) = candidates.pop() {
+            if avoided == Some(best.worker) && fallback.is_none() {
+                fallback = Some(best.worker);
                 continue;
             }
             let Some(score) = self.score(&self.workers[best.worker], request) else { continue };
-            rated.push(Candidate { score, worker: best.worker });
+            candidates.push(Candidate { score, worker: best.worker });
             if score >= best.score {
                 chosen = Some(best.worker);
                 break;
             }
         }
-        let Some(worker) = last_choice else { return chosen };
+        let Some(worker) = fallback else { return chosen };
         let Some(score) = self.score(&self.workers[worker], request) else { return chosen };
-        rated.push(Candidate { score, worker });
+        candidates.push(Candidate { score, worker });
         chosen.or(Some(worker))
     }
 }
--- a/crates/planner/src/census.rs
+++ b/crates/planner/src/census.rs
@@ -1,4 +1,4 @@
-//! Counts of what the owner knows of its cell, for its metrics.
+//! Counts of the owner's jobs, tasks and workers, for its metrics.
 
 use cowslipchute_base::id;
 
@@ -6,7 +6,7 @@
 use crate::planner::Planner;
 use crate::worker::Contact;
 
-/// Tasks of one kind.
+/// Number of tasks of one kind by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Tasks {
     waiting: i64,
@@ -29,12 +29,12 @@
 }
 
 impl Census {
-    /// Returns the jobs by state.
+    /// Returns the number of jobs by state.
     pub fn jobs(&self) -> impl Iterator<Item = (&'static str, i64)> + use<> {
         [("queued", self.queued), ("active", self.active)].into_iter()
     }
 
-    /// Returns the tasks by kind and state.
+    /// Returns the number of tasks by kind and state.
     pub fn tasks(&self) -> impl Iterator<Item = (&'static str, &'static str, i64)> + use<> {
         let kinds =
             [("lasting", self.service), ("filling", self.best_effort), ("short", self.short)];
@@ -43,7 +43,7 @@
         })
     }
 
-    /// Returns the workers by whether they answer.
+    /// Returns the number of workers by contact state.
     pub fn workers(&self) -> impl Iterator<Item = (&'static str, i64)> + use<> {
         let counts =
             [("answering", self.answering), ("silent", self.silent), ("unfenced", self.unfenced)];
@@ -55,14 +55,14 @@
         &self.evacuated
     }
 
-    /// Returns how often a worker was rated for a step that waits, since the ownership began.
+    /// Returns how many times a worker was scored for a waiting step since the ownership began.
     pub fn scores(&self) -> u64 {
         self.scores
     }
 }
 
 impl Planner {
-    /// Counts what is known of the cell.
+    /// Counts the jobs, tasks and workers of the cell.
     pub fn census(&self) -> Census {
         let evacuated = self.evacuated_runs();
         let mut census = Census { scores: self.ratings, evacuated, ..Census::default() };
--- a/crates/planner/src/estimates.rs
+++ b/crates/planner/src/estimates.rs
@@ -1,8 +1,8 @@
-//! What an owner has learnt about the cell and hands on to the next.
+//! Estimates that an owner has learnt about the cell and hands to the next owner.
 //!
-//! Learning which images press on which takes several seconds of a busy cell, and owners change at
-//! any time; so this goes to the store every few seconds. It holds no decision: without it a new
-//! owner only begins to learn anew.
+//! Learning which images interfere takes several seconds of a busy cell, and the owner may change
+//! at any time, so the estimates are stored every few seconds. They hold no decision: without them
+//! a new owner only starts learning from nothing.
 
 use std::sync::Arc;
 
@@ -14,33 +14,34 @@
 use crate::load::Periodicity;
 use crate::planner::Planner;
 
-/// What was learnt.
+/// What an owner has learnt about its cell.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Estimates {
     model: Model,
     mean_work: HashMap<Arc<str>, f64>,
-    speed: f64,
-    /// Fields are stored in this order and without names, so a new one comes last: what an owner of an
-    /// earlier version left then ends too soon and is refused, and not taken for something else.
+    log_speed: f64,
+    /// Fields are stored in this order and without names, so a new field must come last. The
+    /// shorter value that an owner of an earlier version stored then fails to decode instead of
+    /// being misread.
     periodicity: Periodicity,
 }
 
 impl Planner {
-    /// Returns what was learnt so far.
+    /// Returns what has been learnt so far.
     pub fn learnt(&self) -> Estimates {
         Estimates {
             model: self.interference.clone(),
             mean_work: self.mean_work.clone(),
-            speed: self.log_speed,
+            log_speed: self.log_speed,
             periodicity: self.rhythm.clone(),
         }
     }
 
-    pub(crate) fn restore_estimates(&mut self, learnt: Estimates) {
-        self.interference = learnt.model;
-        self.mean_work = learnt.mean_work;
-        self.log_speed = learnt.speed;
-        self.rhythm = learnt.periodicity;
+    pub(crate) fn restore_estimates(&mut self, estimates: Estimates) {
+        self.interference = estimates.model;
+        self.mean_work = estimates.mean_work;
+        self.log_speed = estimates.log_speed;
+        self.rhythm = estimates.periodicity;
     }
 }
--- a/crates/planner/src/fit.rs
+++ b/crates/planner/src/fit.rs
@@ -1,4 +1,4 @@
-//! Which workers may take a task, and which takes it best.
+//! Filtering and scoring of the workers for a task.
 
 use std::sync::Arc;
 
@@ -19,24 +19,26 @@
 use crate::planner::Planner;
 use crate::worker::Worker;
 
-/// Least and most of its processors that a task which serves is taken to use.
+/// Range of the CPU fraction that a latency-critical task is assumed to use.
 const LATENCY_CRITICAL_USE: std::ops::RangeInclusive<f64> = 0.2..=0.9;
-/// Tasks that fill are placed where at least this part of their processors is free, so that a
-/// little is shared rather than left unused.
+/// A best-effort task is placed where at least this fraction of its CPU is free, so that some CPU
+/// is shared rather than left unused.
 const MIN_FREE_FRACTION: f64 = 0.8;
 
-/// Weight from which an image is worth a worker on which nothing serves.
+/// An image with at least this weight is worth a worker without latency-critical tasks.
 const TYPICAL_WEIGHT: f64 = 1.2;
-/// What such a worker is worth at most, against a whole worker's free processors.
+/// Maximum score of such a worker, where the free CPU of a whole worker scores 1.
 const MAX_VACANT_SCORE: f64 = 0.4;
-/// What each further image that serves on a worker costs: more than any gap that is left. An image
-/// that fills finds a worker on which it presses on none the easier, the fewer serve there.
+/// Penalty for each other image of latency-critical tasks on a worker, larger than any difference
+/// in free CPU. The fewer such images a worker has, the easier a best-effort image finds a worker
+/// where it interferes with none.
 const OTHER_IMAGE_PENALTY: f64 = 2.0;
-/// What the cost to serving tasks counts against free processors: for certain against by chance.
+/// Weight of the cost to latency-critical tasks against free CPU: the cost is certain, while free
+/// CPU helps only by chance.
 const COST_WEIGHT: f64 = 3.0;
 
-/// Estimates the part of its processors that a serving task uses, from its headroom: none is left
-/// at full use, and its image's usual headroom goes with half of it.
+/// Estimates the fraction of its CPU that a latency-critical task uses from its headroom: at full
+/// use there is no headroom, and half use corresponds to the usual headroom of its image.
 fn latency_critical_use(model: &Model, hosted: &Hosted) -> f64 {
     let usual = model.usual_headroom(&image(hosted)).max(0.1);
     let own = Headroom::of(hosted, model).mean();
@@ -45,14 +47,14 @@
 }
 
 impl Worker {
-    /// Returns the thousandths of a processor that tasks which fill can still use.
+    /// Returns the millicores that best-effort tasks can still use.
     pub(crate) fn best_effort_room(&self, model: &Model) -> i64 {
         let mut taken = 0.0;
-        let mut filled = 0.0;
+        let mut best_effort = 0.0;
         for hosted in self.runs.values() {
             let cpu = f64::from(hosted.demand.cpu_milli);
             if hosted.best_effort {
-                filled += cpu;
+                best_effort += cpu;
             } else if hosted.is_latency_critical() {
                 taken += cpu * latency_critical_use(model, hosted);
             } else {
@@ -60,7 +62,7 @@
             }
         }
         let free = f64::from(self.capacity.cpu_milli) - taken;
-        (free - filled) as i64
+        (free - best_effort) as i64
     }
 
     pub(crate) fn count_tasks(&self, task: TaskId) -> u32 {
@@ -72,7 +74,7 @@
         self.runs.keys().filter(same).count() as u32
     }
 
-    /// Counts the images that serve there beside a step's own.
+    /// Counts the images of the worker's latency-critical tasks other than the step's own.
     fn other_images(&self, step: &Step) -> usize {
         let mut images: SmallVec<[&Option<Arc<str>>; 4]> = SmallVec::new();
         for hosted in self.runs.values().filter(|hosted| hosted.is_latency_critical()) {
@@ -84,12 +86,12 @@
     }
 }
 
-/// What is asked of workers for a task of a step, looked up once for all of them.
+/// A task of a step to be placed, with what is looked up once for all workers.
 pub(crate) struct Request<'a> {
     task: TaskId,
     step: &'a Step,
     reserved: Amount,
-    /// How hard it presses on tasks that serve, if it fills.
+    /// Interference with latency-critical images, if it is a best-effort task.
     profile: Option<Profile>,
 }
 
@@ -103,14 +105,14 @@
         Request { task, step, reserved, profile }
     }
 
-    /// Asks for another task of the same step.
+    /// Makes this a request for another task of the same step.
     pub(crate) fn set_task(&mut self, task: TaskId) {
         self.task = task;
     }
 }
 
 impl Planner {
-    /// Tells whether a worker takes new tasks at all.
+    /// Returns `true` if a worker accepts new tasks at all.
     pub(crate) fn is_open(&self, worker: &Worker) -> bool {
         worker.listed
             && !worker.draining
@@ -120,27 +122,29 @@
             && worker.closed_until <= self.now
     }
 
-    /// Tells whether a worker may take a task.
+    /// Returns `true` if a worker may take a task.
     pub(crate) fn may_take(&self, worker: &Worker, request: &Request<'_>) -> bool {
         self.score(worker, request).is_some()
     }
 
-    /// Tells whether a worker has room for a task, whatever that costs tasks that serve.
+    /// Returns `true` if a worker has free capacity for a task, whatever that costs
+    /// latency-critical tasks.
     pub(crate) fn has_room(&self, worker: &Worker, request: &Request<'_>) -> bool {
         let Request { task, step, reserved, .. } = request;
         let id = task.step_id();
-        // A step that has a worker to itself would wait for one that is kept for another, and that one for it.
-        let kept = worker.reserved_for.is_some_and(|kept| kept != id)
+        // Without the last condition, a step with an isolated worker and the step that the worker
+        // is reserved for could wait for each other.
+        let is_reserved = worker.reserved_for.is_some_and(|other| other != id)
             && !step.fills
             && !worker.is_isolated_for(id);
         reserved.fits(worker.room())
-            && !kept
+            && !is_reserved
             && !worker.is_isolated_for_other(id, self.now)
             && !worker.has_recent_probation_start(id, step.gang, self.now)
             && self.is_eligible(worker, request)
     }
 
-    /// Tells whether a worker could take a task if it had the room.
+    /// Returns `true` if a worker could take a task if it had the free capacity.
     pub(crate) fn is_eligible(&self, worker: &Worker, request: &Request<'_>) -> bool {
         let Request { task, step, .. } = request;
         step.required_label.as_deref().is_none_or(|label| worker.has_label(label))
@@ -153,56 +157,58 @@
             >= f64::from(step.demand.cpu_milli) * MIN_FREE_FRACTION
     }
 
-    /// Rates a worker for a task, or returns nothing if it may not take it; the highest is chosen.
+    /// Scores a worker for a task, or returns `None` if the worker may not take it. The highest
+    /// score is chosen.
     ///
-    /// Tasks that reserve processors go where the least is left over, which keeps large gaps for
-    /// large tasks. Tasks that serve go to others of their image. Tasks that fill go where the most
-    /// processors are free and where they press least on those that serve; workers on which nothing
-    /// serves are kept for those that press hard.
+    /// Tasks that reserve CPU go to the worker with the least CPU left over, which keeps large gaps
+    /// for large tasks. Latency-critical tasks go to workers with others of their image.
+    /// Best-effort tasks go where the most CPU is free and where they interfere least. Workers
+    /// without latency-critical tasks are kept for images that interfere strongly.
     pub(crate) fn score(&self, worker: &Worker, request: &Request<'_>) -> Option<f64> {
         if !self.has_room(worker, request) {
             return None;
         }
         let step = request.step;
-        let away = step.data_rack.is_some() && step.data_rack != worker.rack;
-        let near = if away { 0.0 } else { 10.0 };
+        let is_remote = step.data_rack.is_some() && step.data_rack != worker.rack;
+        let locality = if is_remote { 0.0 } else { 10.0 };
         match &request.profile {
-            Some(press) => Some(near + self.best_effort_score(worker, step, press)?),
-            None => Some(near + reserving_score(worker, step)),
+            Some(profile) => Some(locality + self.best_effort_score(worker, step, profile)?),
+            None => Some(locality + reserving_score(worker, step)),
         }
     }
 
-    /// Returns what a task would cost a worker's serving tasks, in the worker's processors; nothing for one
-    /// that doesn't fill.
+    /// Returns what a task would cost a worker's latency-critical tasks, in units of the worker's
+    /// CPU, or 0 for a task that isn't best-effort.
     pub(crate) fn interference_cost(&self, worker: &Worker, request: &Request<'_>) -> f64 {
-        let Some(press) = &request.profile else { return 0.0 };
-        let part = cpu_fraction(request.step.demand.cpu_milli, worker);
-        self.colocation(worker).added_cost(press, part)
+        let Some(profile) = &request.profile else { return 0.0 };
+        let fraction = cpu_fraction(request.step.demand.cpu_milli, worker);
+        self.colocation(worker).added_cost(profile, fraction)
     }
 
-    /// Rates a worker for a task that fills; nothing where its work doesn't pay.
-    fn best_effort_score(&self, worker: &Worker, step: &Step, press: &Profile) -> Option<f64> {
-        let beside = self.colocation(worker);
-        let part = cpu_fraction(step.demand.cpu_milli, worker);
-        let cost = beside.added_cost(press, part);
-        if !self.is_worthwhile(&beside, part, cost) {
+    /// Scores a worker for a best-effort task, or returns `None` where its work isn't worth the
+    /// cost.
+    fn best_effort_score(&self, worker: &Worker, step: &Step, profile: &Profile) -> Option<f64> {
+        let colocation = self.colocation(worker);
+        let fraction = cpu_fraction(step.demand.cpu_milli, worker);
+        let cost = colocation.added_cost(profile, fraction);
+        if !self.is_worthwhile(&colocation, fraction, cost) {
             return None;
         }
-        let free = beside.best_effort_room as f64 / f64::from(worker.capacity.cpu_milli.max(1));
-        let usual = if step.image.is_some() { press.mean() } else { 0.0 };
-        let quiet = if beside.margins.is_empty() {
+        let free = colocation.best_effort_room as f64 / f64::from(worker.capacity.cpu_milli.max(1));
+        let usual = if step.image.is_some() { profile.mean() } else { 0.0 };
+        let vacancy = if colocation.margins.is_empty() {
             (usual - TYPICAL_WEIGHT) * MAX_VACANT_SCORE
         } else {
             0.0
         };
-        Some(free + quiet.clamp(-MAX_VACANT_SCORE, MAX_VACANT_SCORE) - cost * COST_WEIGHT)
+        Some(free + vacancy.clamp(-MAX_VACANT_SCORE, MAX_VACANT_SCORE) - cost * COST_WEIGHT)
     }
 }
 
-/// Rates a worker for a task that reserves its processors.
+/// Scores a worker for a task that reserves its CPU.
 fn reserving_score(worker: &Worker, step: &Step) -> f64 {
-    let mixed = if step.target.is_some() { worker.other_images(step) } else { 0 };
+    let other_images = if step.target.is_some() { worker.other_images(step) } else { 0 };
     let left = f64::from(worker.room().cpu_milli.saturating_sub(step.demand.cpu_milli));
     let capacity = f64::from(worker.capacity.cpu_milli.max(1));
-    -left / capacity - OTHER_IMAGE_PENALTY * mixed as f64
+    -left / capacity - OTHER_IMAGE_PENALTY * other_images as f64
 }
--- a/crates/planner/src/idle.rs
+++ b/crates/planner/src/idle.rs
@@ -1,10 +1,10 @@
-//! Room that stays idle beside tasks that last.
+//! Free capacity that service tasks may take.
 //!
-//! Pattern answered: tasks that last would fill the cell, and what they take is gone for the day. Beside room that
-//! stays free they must not wait for long. But room that short tasks use by turns doesn't stay free: taking
-//! each gap between two of them leaves, in the end, no gap in which a large short task fits, and such jobs
-//! starve while a twentieth of the cell is free in pieces. So what is kept for short tasks is given up only as far
-//! as it has been free all the while, which nobody misses.
+//! Service tasks would fill the cell, and what they take is gone for the day, so a reserve is kept
+//! for short tasks. If service tasks took each gap between two short tasks, no gap would be left
+//! for a large short task, and such jobs would starve while a twentieth of the cell is free in
+//! pieces. So the reserve is given up only as far as it has been free all the time. Service tasks
+//! must not wait for long beside capacity that stays free.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -20,32 +20,35 @@
 use crate::planner::Planner;
 use crate::worker::WorkerId;
 
-/// How often a task that lasts and waits beside room which is kept for short ones is looked at again.
+/// Interval at which a service task that waits beside the reserve for short tasks is checked again.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A gap that is over sooner than two of these counts as free: between two short tasks lie the store and
-/// the worker's answer, some tens of milliseconds.
+/// A gap shorter than two windows counts as free: between two short tasks are the store's and the
+/// worker's answers, which take some tens of milliseconds.
 const WINDOW: Duration = Duration::from_millis(150);
-/// Spans that have to be free: two seconds. After three a task that waits beside room counts as lost.
+/// Number of windows that have to be free: two seconds. After three a task that waits beside free
+/// capacity counts as lost.
 const WINDOWS: usize = 13;
 
-/// Part of the time with room for two from which a task that has run before doesn't wait any longer: it counts as lost
-/// beside room for two after three seconds, and whoever looks only now and then sees room that is there half of the
-/// time as if it always were.
+/// Fraction of the time with free capacity for two tasks from which a returning task no longer
+/// waits. It counts as lost after three seconds beside free capacity for two, and an observer who
+/// samples rarely sees capacity that is free half of the time as if it were always there.
 const MIN_PAIR_FRACTION: f64 = 0.5;
-/// Over how long that part is taken.
+/// Time constant of that average.
 const PAIR_AVERAGE_TIME: Duration = Duration::from_millis(1500);
 
-/// A step that waits is looked at twice a second at least; one that isn't for so long has not waited meanwhile.
+/// A step that waits is checked at least twice a second. One that hasn't been checked for longer
+/// than this wasn't waiting.
 const MAX_UPDATE_GAP: Duration = Duration::from_millis(1500);
 
-/// What tasks of a step that lasts may take.
+/// Capacity that the tasks of a service step may take.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Spare {
-    /// Thousandths of a processor beside what is kept for short tasks.
+    /// Millicores beyond the reserve for short tasks.
     milli: f64,
-    /// Tasks for which there has been room all the while, so that nobody misses what they take.
+    /// Number of tasks for which there has been free capacity all the time.
     slots: u64,
-    /// Whether there has been room for two often, so that one that has run before may come back.
+    /// `true` if there has been free capacity for two for much of the time, so that a returning
+    /// task may be placed.
     has_frequent_pair: bool,
 }
 
@@ -54,12 +57,12 @@
         self.milli >= f64::from(spec.demand.cpu_milli) || self.slots > 0
     }
 
-    /// Tells whether a task may be placed that has run before.
+    /// Returns `true` if a returning task may be placed.
     pub(crate) fn allows_returning(&self, spec: &Step) -> bool {
         self.has_frequent_pair || self.allows(spec)
     }
 
-    /// Takes room for one task; tells whether it was kept for short ones.
+    /// Takes capacity for one task. Returns `true` if it belonged to the reserve for short tasks.
     pub(crate) fn take(&mut self, spec: &Step) -> bool {
         self.milli -= f64::from(spec.demand.cpu_milli);
         if self.milli >= 0.0 {
@@ -71,91 +74,99 @@
     }
 }
 
-/// What is free on each worker of a service in one placing pass, the most processors first.
+/// Free capacity of each worker of a service in one placement pass, the most CPU first.
 pub(crate) type Rooms = Vec<(id::Service, Vec<Amount>)>;
 
-/// For how many more tasks of a step there was room lately.
+/// Recent history of the number of further tasks of a step for which there was free capacity.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Idle {
-    /// The most in each span that is over, the last one at the end. What tasks that last have taken is counted
-    /// as free.
+    /// Maximum of each past window, the latest last. Capacity that service tasks have taken from
+    /// the reserve counts as free.
     windows: SmallVec<[u64; WINDOWS]>,
-    /// The most in this span.
+    /// Maximum of the current window.
     window_max: u64,
-    /// What was seen last.
+    /// Latest count.
     last_total: u64,
-    /// When this span began.
+    /// Start of the current window.
     window_start: Option<Time>,
-    /// The part of the time in which there was room for two.
+    /// Decaying average of the fraction of the time with free capacity for two.
     pair_fraction: f64,
-    /// Whether there was at the last look, and when that was.
+    /// Whether there was free capacity for two at the last update, and the time of that update.
     has_pair: bool,
     updated: Time,
 }
 
 impl Idle {
-    /// Takes in for how many tasks there is room now; `taken` were placed before by giving up room. Returns
-    /// for how many there has been all the while.
+    /// Records that there is free capacity for `slots` tasks now, after `taken` earlier placements
+    /// on the reserve. Returns the number of tasks for which there has been free capacity all the
+    /// time.
     pub(crate) fn update(&mut self, now: Time, slots: u32, taken: u64) -> u64 {
         let total = u64::from(slots) + taken;
-        if self.window_start.is_some_and(|began| now >= began + MAX_UPDATE_GAP) {
-            // Its tasks haven't waited all the while.
+        if self.window_start.is_some_and(|window_start| now >= window_start + MAX_UPDATE_GAP) {
+            // The step's tasks haven't been waiting all the time.
             *self = Idle::default();
         }
-        let mut began = *self.window_start.get_or_insert(now);
-        while now >= began + WINDOW {
+        let mut window_start = *self.window_start.get_or_insert(now);
+        while now >= window_start + WINDOW {
             if self.windows.len() == WINDOWS {
                 self.windows.remove(0);
             }
             self.windows.push(self.window_max);
             self.window_max = self.last_total;
-            began += WINDOW;
+            window_start += WINDOW;
         }
-        self.window_start = Some(began);
+        self.window_start = Some(window_start);
         self.update_pair_fraction(now, slots);
         self.window_max = self.window_max.max(total);
         self.last_total = total;
         if self.windows.len() < WINDOWS {
             return 0;
         }
-        let least = self.windows.iter().copied().min().unwrap_or(0);
-        least.min(total).saturating_sub(taken)
+        let min_slots = self.windows.iter().copied().min().unwrap_or(0);
+        min_slots.min(total).saturating_sub(taken)
     }
 
     fn update_pair_fraction(&mut self, now: Time, slots: u32) {
         if self.updated > Time::ZERO {
-            let passed = now.saturating_sub(self.updated).as_secs_f64();
-            let kept = (-passed / PAIR_AVERAGE_TIME.as_secs_f64()).exp();
+            let elapsed = now.saturating_sub(self.updated).as_secs_f64();
+            let decay = (-elapsed / PAIR_AVERAGE_TIME.as_secs_f64()).exp();
             self.pair_fraction =
-                self.pair_fraction * kept + if self.has_pair { 1.0 - kept } else { 0.0 };
+                self.pair_fraction * decay + if self.has_pair { 1.0 - decay } else { 0.0 };
         }
         self.has_pair = slots >= 2;
         self.updated = now;
     }
 
-    /// Tells whether there is room for two now and has been often; one place is given for that at a time.
+    /// Returns `true` if there is free capacity for two now and has been for much of the time. One
+    /// task at a time is placed on this ground.
     fn has_frequent_pair(&self) -> bool {
         self.has_pair && self.windows.len() == WINDOWS && self.pair_fraction >= MIN_PAIR_FRACTION
     }
 }
 
 impl Planner {
-    /// Tells whether a task of a step that lasts may be placed now; `back` if it has run before.
-    pub(crate) fn may_place_service_task(&self, spec: &Step, spare: &Spare, back: bool) -> bool {
-        match back {
+    /// Returns `true` if a task of a service step may be placed now. `returning` says that it has
+    /// run before.
+    pub(crate) fn may_place_service_task(
+        &self,
+        spec: &Step,
+        spare: &Spare,
+        returning: bool,
+    ) -> bool {
+        match returning {
             true => self.share.allows(spec) || spare.allows_returning(spec),
             false => spare.allows(spec),
         }
     }
 
-    /// Looks again soon whether tasks that last find room which short ones leave; until then it isn't said that
-    /// there is none.
+    /// Schedules another check for service tasks on capacity that short tasks leave. Returns
+    /// `true`, so that the step isn't reported as waiting until then.
     pub(crate) fn wait_for_spare(&mut self) -> bool {
         self.timers.insert((self.now + RECHECK_INTERVAL, Timer::Place));
         true
     }
 
-    /// Returns what a step that lasts may take.
+    /// Returns what a service step may take.
     pub(crate) fn spare(
         &mut self,
         step: StepId,
@@ -178,7 +189,8 @@
         Spare { milli: self.spare_milli(open), slots, has_frequent_pair }
     }
 
-    /// A task was given room that was kept: what there was often begins anew for its step.
+    /// Records that a service task was placed on the reserve for short tasks. For its step the
+    /// average of free capacity for two starts again.
     pub(crate) fn record_reserve_override(&mut self, step: StepId) {
         self.reserve_overrides += 1;
         let state = self.jobs.get_mut(&step.job).and_then(|job| job.step_mut(step));
@@ -187,7 +199,7 @@
         }
     }
 
-    /// Returns the thousandths of a processor that tasks which last may still take.
+    /// Returns the millicores that service tasks may still take.
     fn spare_milli(&self, open: &[WorkerId]) -> f64 {
         let mut capacity = 0.0;
         let mut taken = 0.0;
@@ -199,14 +211,15 @@
         capacity - taken - self.reserve.milli(self.now, capacity)
     }
 
-    /// Returns what is free on each open worker, the most processors first.
+    /// Returns the free capacity of each open worker, the most CPU first.
     fn rooms(&self, open: &[WorkerId]) -> Vec<Amount> {
         let mut rooms: Vec<Amount> = open.iter().map(|&id| self.workers[id].room()).collect();
         rooms.sort_unstable_by_key(|room| Reverse(room.cpu_milli));
         rooms
     }
 
-    /// Returns for how many tasks of a step that lasts there has been room all the while.
+    /// Returns the number of tasks of a service step for which there has been free capacity all the
+    /// time.
     fn idle_slots(&mut self, step: StepId, spec: &Step, rooms: &[Amount]) -> u64 {
         let demand = spec.demand;
         let wide = rooms.iter().take_while(|room| room.cpu_milli >= demand.cpu_milli);
@@ -216,7 +229,8 @@
         self.update_idle(step, slots)
     }
 
-    /// Takes in for how many tasks of a step that lasts there is room.
+    /// Records the number of tasks of a service step for which there is free capacity now, and
+    /// returns the number for which there has been free capacity all the time.
     pub(crate) fn update_idle(&mut self, step: StepId, slots: u32) -> u64 {
         let (now, taken) = (self.now, self.reserve_overrides);
         let state = self.jobs.get_mut(&step.job).and_then(|job| job.step_mut(step));
--- a/crates/planner/src/load.rs
+++ b/crates/planner/src/load.rs
@@ -1,21 +1,9 @@
-//! How near to their target a step's own load brings the tasks that serve, whatever fills beside
-//! them.
+//! Forecast of a step's own load, and so of its tasks' headroom without interference.
 //!
-//! Pattern answered: the tasks of a step serve the same users, so their load swings together around
-//! what is usual for them, with a period of some seconds up to a minute, while single tasks have
-//! bursts of a second or two of their own. A reading of one task is rough; those of all tasks of the
-//! step, taken together, tell where the swing is and so where it will be in a second or two. The
-//! unit is the headroom of [`crate::interference`].
-//!
-//! Filters of Kalman's kind follow a pendulum: the usual level, how far the load is from it, and how
-//! fast that changes. The period differs between deployments and isn't known, so several filters run
-//! beside each other, each for another period, and the one that has foretold the latest readings best
-//! is believed; by half as it did for this step, by half for the whole cell ([`Periodicity`]), which is
-//! known sooner. Against a level and its slope alone, this halves the variance of what is foretold
-//! for half a second ahead, and takes two thirds off for two seconds (docs/POLICY.md).
-//!
-//! Bursts are kept out by cutting errors off at a few deviations, and are followed for each task in
-//! [`Deviation`].
+//! The tasks of a step serve the same users, so their load oscillates together around its usual
+//! level, with a period of some seconds up to a minute. A sample of one task is noisy, but the
+//! samples of all tasks together show the phase of the oscillation, and so the load in a second or
+//! two. The unit is the headroom of [`crate::interference`].
 
 use std::f64::consts::TAU;
 use std::time::Duration;
@@ -24,54 +12,57 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Periods that are told apart, in seconds: from what readings twice a second can show up to swings
-/// as slow as the cell's work changes anyway. A denser row foretells better by 3 % at most. Until
-/// something is read the first is believed, so those in the middle come first.
+/// Periods in seconds, from the shortest that samples twice a second can show to oscillations as
+/// slow as the changes of the cell's work. More periods improve the forecast by 3 % at most. Until
+/// there are samples the first one is used, so those in the middle come first.
 const PERIODS: [f64; FILTER_COUNT] = [12.0, 16.0, 9.5, 21.0, 7.0, 28.0, 5.0, 40.0];
 const FILTER_COUNT: usize = 8;
 /// Variance of a step's usual level around that of its image.
 const USUAL_VARIANCE: f64 = 0.3;
-/// Variance of a load's swing: loads that swing by half were seen.
+/// Variance of the offset. Observed loads vary by half.
 const OFFSET_VARIANCE: f64 = 0.5;
-/// How fast the usual level wanders, per second.
+/// Variance that the usual level gains per second.
 const USUAL_DRIFT: f64 = 0.001;
-/// How fast a swing wanders off the pendulum's, per second. A quarter or four times as much foretold
-/// recorded readings worse, by up to 4 %; the variance of bursts below, by up to 2 %.
+/// Variance that the offset gains per second, as the oscillation isn't purely periodic. With a
+/// quarter of it or four times as much, forecasts of recorded samples are worse by up to 4 %; with
+/// a quarter of `BURST_VARIANCE` or four times as much, by up to 2 %.
 const OFFSET_DRIFT: f64 = 0.02;
-/// How fast a swing that isn't read fades, per second.
+/// Decay rate of an offset without samples, per second.
 const OFFSET_DECAY: f64 = 0.03;
-/// Variance of single tasks around their step's load, which bursts make.
+/// Variance of single tasks around their step's load, which bursts cause.
 const BURST_VARIANCE: f64 = 0.1;
-/// Weight of the newest reading in how well a filter fits a step: some tens of readings, a few
+/// Weight of the newest sample in the fit of a filter to a step: some tens of samples, a few
 /// seconds of a step with several tasks.
 const FIT_WEIGHT: f64 = 0.03;
-/// The same for the whole cell, which reads a few hundred tasks a second.
+/// Weight of the newest sample in the fit to the whole cell, which measures a few hundred tasks a
+/// second.
 const CELL_FIT_WEIGHT: f64 = 0.002;
-/// Part of the cell in how well a filter fits.
+/// Fraction of the cell in the fit of a filter.
 const CELL_FRACTION: f64 = 0.5;
-/// Errors count up to this many standard deviations; what is beyond is a task's own burst.
+/// Errors are clamped to this many standard deviations. What is beyond is a burst of a single task.
 const MAX_DEVIATIONS: f64 = 2.5;
-/// Weight of the newest reading in a task's own deviation: bursts begin and end at once and last
-/// for two readings or four.
+/// Weight of the newest sample in a task's own deviation: bursts start and end abruptly and last
+/// for two to four samples.
 const DEVIATION_WEIGHT: f64 = 0.7;
-/// Part of a task's deviation that is a burst, which may go on, and not a rough reading.
+/// Fraction of a task's deviation that is a burst, which may go on, and not noise of the sample.
 const BURST_FRACTION: f64 = 0.7;
-/// How fast bursts end, per second.
+/// Decay rate of bursts, per second.
 const BURST_DECAY: f64 = 1.2;
 
-/// Follows the swing of one period.
+/// A Kalman filter for an oscillation of one period. It follows a harmonic oscillator: the usual
+/// level, the offset of the load from it, and the rate of change of the offset.
 #[derive(Clone, Copy, Debug)]
 struct Filter {
-    /// Radians a second.
+    /// Radians per second.
     frequency: f64,
     usual: f64,
-    /// How far the load is from the usual.
+    /// Difference between the load and its usual level.
     offset: f64,
-    /// How fast that changes, per second.
+    /// Rate of change of the offset, per second.
     speed: f64,
     /// Covariances: of usual, usual and offset, usual and speed, offset, offset and speed, speed.
     variance: [f64; 6],
-    /// How badly it foretold the latest readings: minus twice their logarithmic likelihood.
+    /// Decaying average of minus twice the logarithmic likelihood of the samples, up to a constant.
     misfit: f64,
 }
 
@@ -83,21 +74,21 @@
         Filter { frequency, usual, offset: 0.0, speed: 0.0, variance, misfit: 0.0 }
     }
 
-    /// Lets so many seconds pass: offset and speed turn into each other as a pendulum's do, and are less
-    /// surely known afterwards.
-    fn advance(&mut self, passed: f64) {
-        let (sin, cos) = (self.frequency * passed).sin_cos();
-        let fade = (-OFFSET_DECAY * passed).exp();
-        let keep = fade * cos;
-        let from_speed = fade * sin / self.frequency;
-        let from_offset = -fade * sin * self.frequency;
+    /// Advances the filter by a time in seconds: offset and speed turn into each other as in a
+    /// harmonic oscillator, and their uncertainty grows.
+    fn advance(&mut self, elapsed: f64) {
+        let (sin, cos) = (self.frequency * elapsed).sin_cos();
+        let decay = (-OFFSET_DECAY * elapsed).exp();
+        let keep = decay * cos;
+        let from_speed = decay * sin / self.frequency;
+        let from_offset = -decay * sin * self.frequency;
         let (offset, speed) = (self.offset, self.speed);
         self.offset = keep * offset + from_speed * speed;
         self.speed = from_offset * offset + keep * speed;
         let [uu, uo, us, oo, os, ss] = self.variance;
-        let drift = OFFSET_DRIFT * passed;
+        let drift = OFFSET_DRIFT * elapsed;
         self.variance = [
-            uu + USUAL_DRIFT * passed,
+            uu + USUAL_DRIFT * elapsed,
             keep * uo + from_speed * us,
             from_offset * uo + keep * us,
             keep * keep * oo + 2.0 * keep * from_speed * os + from_speed * from_speed * ss + drift,
@@ -120,7 +111,8 @@
         uu + 2.0 * uo + oo
     }
 
-    /// Takes in a reading; returns how unlikely it was, in the unit of the misfit.
+    /// Corrects the filter for a sample. Returns how unlikely the sample was, in the unit of
+    /// `misfit`.
     fn correct(&mut self, own: f64, noise: f64) -> f64 {
         let [uu, uo, us, oo, os, ss] = self.variance;
         let total = self.level_variance() + noise;
@@ -143,23 +135,30 @@
     }
 }
 
-/// Which period fits the loads of the whole cell.
+/// Fit of each period to the loads of the whole cell.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Periodicity {
     misfits: [f64; FILTER_COUNT],
 }
 
-/// The load of a step that serves.
+/// Load of a step of latency-critical tasks.
+///
+/// The period of the oscillation differs between deployments and isn't known, so several filters
+/// run in parallel, one for each period, and the one that has predicted the latest samples best is
+/// used. Half of that measure comes from the step, half from the whole cell ([`Periodicity`]),
+/// which is known sooner. Compared with a level and its slope alone, this halves the variance of
+/// the forecast for half a second ahead, and removes two thirds of it for two seconds
+/// (docs/POLICY.md).
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Load {
     at: Time,
     filters: [Filter; FILTER_COUNT],
-    /// The filter that is believed.
+    /// Index of the filter that fits best.
     best: usize,
 }
 
-/// What is expected of a load.
+/// Forecast of a load.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Forecast {
     pub(crate) level: f64,
@@ -167,25 +166,26 @@
 }
 
 impl Load {
-    /// Begins with the level that is usual for what the step runs.
+    /// Begins with the usual level of the step's image.
     pub(crate) fn open(now: Time, usual: f64) -> Load {
         Load { at: now, filters: PERIODS.map(|period| Filter::open(period, usual)), best: 0 }
     }
 
-    /// Moves on to a later time.
+    /// Advances to a later time.
     pub(crate) fn advance(&mut self, now: Time) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
+        let elapsed = now.saturating_sub(self.at).as_secs_f64();
         self.at = now;
         for filter in &mut self.filters {
-            filter.advance(passed);
+            filter.advance(elapsed);
         }
     }
 
-    /// Takes in the headroom that a task has without what fills beside it, read with this variance.
+    /// Corrects the load for a sample of a task's headroom without best-effort tasks; `noise` is
+    /// the variance of the sample.
     pub(crate) fn correct(&mut self, own: f64, noise: f64, rhythm: &mut Periodicity) {
-        for (filter, cell) in self.filters.iter_mut().zip(&mut rhythm.misfits) {
+        for (filter, cell_misfit) in self.filters.iter_mut().zip(&mut rhythm.misfits) {
             let surprise = filter.correct(own, noise + BURST_VARIANCE);
-            *cell += CELL_FIT_WEIGHT * (surprise - *cell);
+            *cell_misfit += CELL_FIT_WEIGHT * (surprise - *cell_misfit);
         }
         let misfit = |index: usize| {
             self.filters[index].misfit * (1.0 - CELL_FRACTION)
@@ -195,17 +195,17 @@
         self.best = best.expect("there are several filters");
     }
 
-    /// Returns the level now.
+    /// Returns the current level.
     pub(crate) fn level(&self) -> f64 {
         self.filters[self.best].level()
     }
 
-    /// Returns the level's variance.
+    /// Returns the variance of the current level.
     pub(crate) fn variance(&self) -> f64 {
         self.filters[self.best].level_variance()
     }
 
-    /// Returns what is expected of the level so much later.
+    /// Returns a forecast of the level at a time `ahead` from now.
     pub(crate) fn forecast(&self, ahead: Duration) -> Forecast {
         let mut filter = self.filters[self.best];
         filter.advance(ahead.as_secs_f64());
@@ -213,24 +213,25 @@
     }
 }
 
-/// By how much a task's headroom differs from its step's level just now.
+/// Difference between a task's headroom and its step's level. Single tasks have bursts of a second
+/// or two of their own, which the filters exclude by clamping errors.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Deviation(f64);
 
 impl Deviation {
-    /// Takes in a reading.
+    /// Updates the deviation from a sample.
     pub(crate) fn update(&mut self, difference: f64) {
         self.0 += DEVIATION_WEIGHT * (difference - self.0);
     }
 
-    /// Returns what is expected of it so much later.
+    /// Returns a forecast of the deviation at a time `ahead` from now.
     pub(crate) fn forecast(self, ahead: Duration) -> f64 {
         self.0 * BURST_FRACTION * (-BURST_DECAY * ahead.as_secs_f64()).exp()
     }
 }
 
-/// Cuts an error off at a few of its standard deviations.
+/// Clamps an error to a few standard deviations.
 pub(crate) fn clamp_error(error: f64, variance: f64) -> f64 {
-    let most = MAX_DEVIATIONS * variance.sqrt();
-    error.clamp(-most, most)
+    let limit = MAX_DEVIATIONS * variance.sqrt();
+    error.clamp(-limit, limit)
 }
--- a/crates/planner/src/locality.rs
+++ b/crates/planner/src/locality.rs
@@ -1,8 +1,8 @@
-//! Tasks that are slower away from their data or from each other.
+//! Placement of tasks that are slower away from their data or from each other.
 //!
-//! Pattern answered: many jobs want the same rack. Working elsewhere takes a known factor longer,
-//! waiting takes as long as it takes; so a task waits for the near workers for half of what it
-//! would lose elsewhere, and then goes where there is room.
+//! Many jobs may want the same rack. Running elsewhere takes longer by a known factor, while the
+//! wait for the rack is unknown. So a task waits for workers of its rack for half of the time that
+//! it would lose elsewhere, and then takes any free capacity.
 
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
@@ -14,13 +14,13 @@
 use crate::planner::Planner;
 use crate::worker::WorkerId;
 
-/// Part of what is lost elsewhere for which a task waits for a near worker: on average the wait is
-/// then as long again, were it continued.
+/// Fraction of the time lost elsewhere for which a task waits for a worker of its rack: if the wait
+/// went on, it would on average take as long again.
 const WAIT_FRACTION: f64 = 0.5;
 
 impl Planner {
-    /// Narrows the open workers down to those near a step's data or near its other tasks, unless
-    /// its tasks have waited for that long enough.
+    /// Narrows the open workers down to those in the rack of a step's data or of its other tasks,
+    /// unless its tasks have waited for those long enough.
     pub(crate) fn prefer_rack(
         &mut self,
         step: StepId,
@@ -48,7 +48,7 @@
         near
     }
 
-    /// Tells until when it pays that a step's tasks wait for near workers.
+    /// Returns the time until which it pays for a step's tasks to wait for their rack.
     fn rack_deadline(&self, step: StepId, spec: &Step) -> Time {
         let lost =
             spec.estimate.mul_f64((self.settings.remote_slowdown - 1.0).max(0.0) * WAIT_FRACTION);
@@ -59,16 +59,16 @@
         since.map_or(self.now, |since| since + lost)
     }
 
-    /// Returns the rack of a step's tasks that have a place, or else the one with the most room
-    /// for them.
+    /// Returns the rack of a step's placed tasks, or else the one with the most free capacity for
+    /// its tasks.
     fn common_rack(&self, step: StepId, spec: &Step, open: &[WorkerId]) -> Option<id::Rack> {
         let state = self.jobs[&step.job].step(step)?;
-        let taken = state.tasks.iter().find_map(|task| match task.place {
+        let placed_rack = state.tasks.iter().find_map(|task| match task.place {
             Place::At(worker) => self.workers.get(worker)?.rack.clone(),
             Place::Waiting | Place::Done => None,
         });
-        if taken.is_some() {
-            return taken;
+        if placed_rack.is_some() {
+            return placed_rack;
         }
         let mut racks: Vec<(id::Rack, Vec<WorkerId>)> = Vec::new();
         for &worker in open {
--- a/crates/planner/src/measurement.rs
+++ b/crates/planner/src/measurement.rs
@@ -1,8 +1,9 @@
-//! What a worker's figures tell: tails of tasks that serve, processors in use by those that fill.
+//! Measurements in a worker's report: tail latencies of latency-critical tasks, and CPU use of
+//! best-effort tasks.
 //!
-//! A figure is of the last half second or so. What filled beside a task meanwhile is taken as the
-//! mean of this account and the one before, and an account that comes sooner than that is not taken
-//! for another reading.
+//! A measurement covers about the last half second. The best-effort CPU use beside a task in that
+//! time is taken as the mean of this report and the previous one. A report that arrives sooner than
+//! that isn't counted as another sample.
 
 use std::time::Duration;
 
@@ -21,33 +22,34 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// Accounts closer than this show the same figures.
+/// Reports closer together than this show the same measurements.
 const MIN_SAMPLE_INTERVAL: Duration = Duration::from_millis(300);
-/// How far ahead paces are chosen: the next figures come half a second later, and a pace takes some
-/// time to be in force.
+/// Horizon of the forecast for speed limits: the next measurements arrive half a second later, and
+/// a speed limit takes some time to be applied.
 const NEXT_SAMPLE: Duration = Duration::from_millis(600);
-/// How far ahead a placed task is looked after: one that would press too hard afterwards is slowed
-/// down or moved by then, and what is foretold for two seconds ahead is too rough to gain by.
+/// Horizon of the forecast for placements. A task that interferes too much after that is throttled
+/// or moved, and a forecast for two seconds ahead is too uncertain to be of use.
 const PLACEMENT_HORIZON: Duration = Duration::from_millis(1000);
-/// Standard deviation of a task that was not read yet, from the swing of loads.
+/// Standard deviation for a task that hasn't been measured yet, from the variation of loads.
 const INITIAL_DEVIATION: f64 = 0.8;
-/// A tail this near to its target may be over it in truth: figures are rough.
+/// With less headroom than this a task may violate its target in truth, since measurements are
+/// noisy.
 const SAFE_HEADROOM: f64 = 1.05;
 
-/// Headroom that a serving task is expected to have without what fills beside it.
+/// Forecast of a latency-critical task's headroom without the best-effort tasks beside it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Headroom {
-    /// When the next figures come.
+    /// Headroom at the next measurement.
     pub(crate) next: f64,
-    /// A second from now.
+    /// Headroom one second from now.
     pub(crate) ahead: f64,
-    /// Standard deviation of the first.
+    /// Standard deviation of `next`.
     pub(crate) deviation: f64,
 }
 
 impl Headroom {
-    /// Returns what is expected of a task; for one that was not read yet, what its image shows
-    /// usually.
+    /// Returns the forecast for a task, or the usual headroom of its image if the task hasn't been
+    /// measured yet.
     pub(crate) fn of(hosted: &Hosted, model: &Model) -> Headroom {
         hosted.headroom.unwrap_or_else(|| {
             let usual = model.usual_headroom(&image(hosted));
@@ -55,24 +57,24 @@
         })
     }
 
-    /// Returns the mean of the next second.
+    /// Returns the mean over the next second.
     pub(crate) fn mean(self) -> f64 {
         (self.next + self.ahead) / 2.0
     }
 
-    /// Returns the least of the next second.
+    /// Returns the minimum over the next second.
     pub(crate) fn min(self) -> f64 {
         self.next.min(self.ahead)
     }
 }
 
-/// Returns the part of a worker's processors that a filling run uses now.
+/// Returns the fraction of a worker's CPU that a best-effort run uses now.
 fn cpu_use(hosted: &Hosted, worker: &Worker) -> f64 {
-    let pace = hosted.confirmed_speed_limit.unwrap_or(FULL_SPEED);
-    if hosted.measurement > 0 && pace == hosted.speed_limit {
+    let speed = hosted.confirmed_speed_limit.unwrap_or(FULL_SPEED);
+    if hosted.measurement > 0 && speed == hosted.speed_limit {
         return cpu_fraction(hosted.measurement, worker);
     }
-    cpu_fraction(hosted.demand.cpu_milli, worker) * f64::from(pace) / f64::from(FULL_SPEED)
+    cpu_fraction(hosted.demand.cpu_milli, worker) * f64::from(speed) / f64::from(FULL_SPEED)
 }
 
 fn measured_shares(worker: &Worker) -> Shares {
@@ -84,13 +86,14 @@
 }
 
 impl Planner {
-    /// Learns from the figures of a worker's account what presses on what, and how the load goes.
+    /// Updates the interference model and the load forecasts from the measurements in a worker's
+    /// report.
     pub(crate) fn record_measurements(&mut self, worker: WorkerId) {
         let now = self.now;
         let state = &mut self.workers[worker];
-        let fresh = now >= state.measured_at + MIN_SAMPLE_INTERVAL;
-        let beside = if fresh { Some(update_shares(state)) } else { None };
-        if fresh {
+        let is_new_sample = now >= state.measured_at + MIN_SAMPLE_INTERVAL;
+        let shares = if is_new_sample { Some(update_shares(state)) } else { None };
+        if is_new_sample {
             state.measured_at = now;
         }
         for (run, hosted) in &mut state.runs {
@@ -109,38 +112,40 @@
             }
             let step = self.jobs.get_mut(&run.task.job);
             let step = step.and_then(|job| job.step_mut(run.task.step_id()));
-            let (Some(beside), Some(step)) = (&beside, step) else { continue };
+            let (Some(shares), Some(step)) = (&shares, step) else { continue };
             let image = image(hosted);
             let usual = self.interference.usual_headroom(&image);
             let load = step.load.get_or_insert_with(|| Load::open(now, usual));
             load.advance(now);
-            let reading = Sample { headroom, shares: beside.clone() };
-            let pressure = self.interference.headroom_loss(&image, beside);
-            let noise = SAMPLE_VARIANCE + self.interference.headroom_loss_variance(&image, beside);
-            self.interference.learn(&image, &reading, load);
-            if !reading.is_saturated() {
-                let own = headroom + pressure;
+            let sample = Sample { headroom, shares: shares.clone() };
+            let loss = self.interference.headroom_loss(&image, shares);
+            let noise = SAMPLE_VARIANCE + self.interference.headroom_loss_variance(&image, shares);
+            self.interference.learn(&image, &sample, load);
+            if !sample.is_saturated() {
+                let own = headroom + loss;
                 hosted.deviation.update(own - load.level());
                 load.correct(own, noise, &mut self.rhythm);
                 self.interference.learn_usual_headroom(&image, own);
             }
-            let (soon, later) = (load.forecast(NEXT_SAMPLE), load.forecast(PLACEMENT_HORIZON));
+            let (next_forecast, ahead_forecast) =
+                (load.forecast(NEXT_SAMPLE), load.forecast(PLACEMENT_HORIZON));
             hosted.headroom = Some(Headroom {
-                next: soon.level + hosted.deviation.forecast(NEXT_SAMPLE),
-                ahead: later.level + hosted.deviation.forecast(PLACEMENT_HORIZON),
-                deviation: (SAMPLE_VARIANCE + soon.variance).sqrt(),
+                next: next_forecast.level + hosted.deviation.forecast(NEXT_SAMPLE),
+                ahead: ahead_forecast.level + hosted.deviation.forecast(PLACEMENT_HORIZON),
+                deviation: (SAMPLE_VARIANCE + next_forecast.variance).sqrt(),
             });
         }
     }
 }
 
-/// Returns what filled beside a worker's tasks since the figures before, and keeps what does now.
+/// Returns the CPU fractions of the best-effort images beside a worker's tasks since the previous
+/// report, and stores the current ones.
 fn update_shares(worker: &mut Worker) -> Shares {
     let now = measured_shares(worker);
     let before = std::mem::replace(&mut worker.shares, now.clone());
     let mut mean = Shares::new();
-    for (image, part) in before.iter().chain(&now) {
-        interference::add_share(&mut mean, image, part / 2.0);
+    for (image, fraction) in before.iter().chain(&now) {
+        interference::add_share(&mut mean, image, fraction / 2.0);
     }
     mean
 }
--- a/crates/planner/src/place.rs
+++ b/crates/planner/src/place.rs
@@ -1,4 +1,5 @@
-//! The placing pass: what waits, in order, onto the workers that have room.
+//! The placement pass, which assigns waiting tasks to workers with free capacity in the order of
+//! rank.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,40 +31,42 @@
 use crate::reservation::Unplaced;
 use crate::worker::WorkerId;
 
-/// How long a job of tasks that fill has nothing at work, though most of the cell is free, until one
-/// of its tasks goes where it costs the least: after three seconds the job counts as lost.
+/// Time for which a best-effort job runs nothing, though most of the cell is free, before one of
+/// its tasks goes where it costs the least. After three seconds the job counts as lost.
 const STARVATION_DELAY: Duration = Duration::from_millis(1200);
-/// Part of the processors that may be reserved then. The users speak of half.
+/// A cell counts as mostly free if less than this fraction of its CPU is reserved. Users expect one
+/// half.
 const MAX_RESERVED_FRACTION: f64 = 0.6;
 
-/// Time for each open worker between two placing passes that look at tasks which fill: their cost to the owner
-/// doesn't grow with the cell, and a fill, which works for seconds, waits a little longer for its place.
+/// Time for each open worker between two passes that place best-effort tasks, so that their cost to
+/// the owner doesn't grow with the cell. A best-effort task runs for seconds and can wait a little
+/// longer.
 const BEST_EFFORT_INTERVAL: Duration = Duration::from_micros(100);
 
-/// A demand for which no room was found in this pass; a larger one of the same kind needs no second
-/// look.
+/// A demand for which this pass found no worker; a larger one of the same kind needs no second
+/// search.
 struct Refused {
-    /// The image of a step that fills: where it finds room depends on whom it presses.
+    /// The image of a best-effort step: which workers accept it depends on its interference.
     best_effort_image: Option<Option<Arc<str>>>,
-    /// Whether the step lasts.
+    /// Whether it is a service step.
     long_running: bool,
     demand: Amount,
 }
 
-/// What one placing pass knows.
+/// State of one placement pass.
 struct Pass {
     refused: Vec<Refused>,
-    /// The workers that take new tasks, by service.
+    /// Workers that accept new tasks, by service.
     open: Vec<(id::Service, Vec<WorkerId>)>,
-    /// Whether more of their processors is free than is reserved.
+    /// Whether less than [`MAX_RESERVED_FRACTION`] of their CPU is reserved.
     mostly_free: bool,
-    /// Whether tasks that fill are placed in this pass.
+    /// Whether best-effort tasks are placed in this pass.
     places_best_effort: bool,
-    /// What was free on each worker of a service, once a step that lasts has asked.
+    /// Free capacity of each worker of a service, filled in when a service step first needs it.
     rooms: Rooms,
-    /// Steps for which a worker may be kept.
+    /// Steps for which a worker may be reserved.
     unplaced: Vec<Unplaced>,
-    /// Services whose jobs make way for service tasks ([`crate::reclaim`]).
+    /// Services whose jobs yield to service tasks ([`crate::reclaim`]).
     reclaiming: Vec<Reclaim>,
 }
 
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Prepares a pass that places tasks which fill, and says when the next one may.
+    /// Prepares a pass that places best-effort tasks, and sets the time of the next one.
     fn begin_best_effort(&mut self, open: &[(id::Service, Vec<WorkerId>)]) {
         let mut count = 0;
         for &worker in open.iter().flat_map(|(_, workers)| workers) {
@@ -151,14 +154,14 @@
             return;
         }
         let advice = self.queue(step.job).and_then(|queue| queue.advice);
-        let starves = pass.mostly_free && spec.fills && self.is_starving(step);
-        let narrow = spec.max_per_worker > 0
+        let is_starving = pass.mostly_free && spec.fills && self.is_starving(step);
+        let is_constrained = spec.max_per_worker > 0
             || spec.required_label.is_some()
             || spec.data_rack.is_some()
             || spec.same_rack
             || spec.gang
             || advice.is_some();
-        if !narrow && !starves && pass.refused.iter().any(|seen| seen.covers(spec)) {
+        if !is_constrained && !is_starving && pass.refused.iter().any(|seen| seen.covers(spec)) {
             self.log_wait(step, spec, &pass.open);
             pass.unplaced.extend(Unplaced::of(self, step, spec));
             if spec.long_running {
@@ -174,7 +177,7 @@
         }
         let open = self.prefer_rack(step, spec, open);
         if spec.gang {
-            if !self.place_gang(step, spec, &open, starves) {
+            if !self.place_gang(step, spec, &open, is_starving) {
                 self.log_wait(step, spec, &pass.open);
                 pass.unplaced.extend(Unplaced::of(self, step, spec));
             }
@@ -188,14 +191,14 @@
             }
         } else {
             self.log_wait(step, spec, &pass.open);
-            if !narrow {
+            if !is_constrained {
                 pass.refused.push(Refused::new(spec));
             }
             if advice.is_none() {
                 pass.unplaced.extend(Unplaced::of(self, step, spec));
             }
         }
-        if starves {
+        if is_starving {
             self.place_starving(step, spec, &open);
         }
     }
@@ -214,13 +217,13 @@
         services
     }
 
-    /// Tells that a step's tasks wait and what is free meanwhile, and from time to time that they still do.
+    /// Logs that a step's tasks wait and what is free, and at an interval that they still wait.
     fn log_wait(&mut self, step: StepId, spec: &Step, open: &[(id::Service, Vec<WorkerId>)]) {
         let now = self.now;
         let state = self.jobs.get_mut(&step.job).and_then(|job| job.step_mut(step));
         let Some(state) = state else { return };
-        if let Some(told) = state.waiting_logged_at {
-            if now >= told + BYPASS_INTERVAL && !spec.fills {
+        if let Some(logged_at) = state.waiting_logged_at {
+            if now >= logged_at + BYPASS_INTERVAL && !spec.fills {
                 state.waiting_logged_at = Some(now);
                 self.log_bypass(step, spec);
             }
@@ -235,10 +238,10 @@
         };
         let workers = || open.iter().flat_map(|(_, ids)| ids).map(|&id| &self.workers[id]);
         let free: u64 = workers().map(|worker| u64::from(worker.room().cpu_milli)).sum();
-        let most = workers().map(|worker| worker.room().cpu_milli).max().unwrap_or(0);
-        let kind = if spec.fills { "filling" } else { "reserving" };
+        let max_free = workers().map(|worker| worker.room().cpu_milli).max().unwrap_or(0);
+        let kind = if spec.fills { "best-effort" } else { "reserving" };
         let detail = format!(
-            "step {}: {waiting} tasks, {kind} {} each; free {free} in all, {most} on one of {} workers{probation}",
+            "step {}: {waiting} waiting {kind} tasks of {} millicores each; {free} millicores free in total, at most {max_free} on one of {} workers{probation}",
             step.step,
             spec.demand.cpu_milli,
             workers().count()
@@ -253,7 +256,7 @@
         (reserved as f64) < capacity as f64 * MAX_RESERVED_FRACTION
     }
 
-    /// Tells whether a step's job has had nothing at work for a while.
+    /// Returns `true` if a step's job has had nothing running for a while.
     fn is_starving(&self, step: StepId) -> bool {
         let job = &self.jobs[&step.job];
         let mut tasks = job.steps(step.job).flat_map(|(_, state)| &state.tasks);
@@ -268,7 +271,8 @@
             .is_some_and(|since| self.now >= since + STARVATION_DELAY)
     }
 
-    /// Places one task of a step that found no worker on which it pays, where it costs the least.
+    /// Places one task of a step that found no worker where its work is worth the cost, on the
+    /// worker where it costs the least.
     fn place_starving(&mut self, step: StepId, spec: &Step, open: &[WorkerId]) {
         if !self.is_starving(step) {
             return;
@@ -279,9 +283,9 @@
         let tasks = || (0..).zip(&state.tasks).filter(ready);
         let trusted = tasks().find(|(_, task)| !task.is_on_probation());
         let Some((index, task)) = trusted.or_else(|| tasks().next()) else { return };
-        let quiet =
+        let probation_workers =
             task.is_on_probation().then(|| self.probation_workers(task.waiting_since, open));
-        let open = quiet.as_deref().unwrap_or(open);
+        let open = probation_workers.as_deref().unwrap_or(open);
         let id = step.task(index);
         if let Some(worker) =
             self.least_cost_worker(&Request::new(&self.interference, id, spec), open)
@@ -291,18 +295,19 @@
         }
     }
 
-    /// Returns the worker with room for a task that fills on which it costs the least, whether or not it pays there.
+    /// Returns the worker with free capacity for a best-effort task on which the task costs the
+    /// least, even if it isn't worth that cost.
     pub(crate) fn least_cost_worker(
         &self,
         request: &Request<'_>,
         open: &[WorkerId],
     ) -> Option<WorkerId> {
-        let roomy = open.iter().filter(|&&id| self.has_room(&self.workers[id], request));
+        let with_room = open.iter().filter(|&&id| self.has_room(&self.workers[id], request));
         let cost = |id: WorkerId| self.interference_cost(&self.workers[id], request);
-        roomy.min_by(|&&a, &&b| cost(a).total_cmp(&cost(b))).copied()
+        with_room.min_by(|&&a, &&b| cost(a).total_cmp(&cost(b))).copied()
     }
 
-    /// Places a step's tasks one by one; tells whether each found room.
+    /// Places a step's tasks one by one. Returns `true` if each found a worker.
     fn place_tasks(
         &mut self,
         step: StepId,
@@ -311,7 +316,7 @@
         spare: &mut Spare,
     ) -> bool {
         let Some(state) = self.jobs[&step.job].step(step) else { return true };
-        // A task that lasts and has run before is given its room back, so those come first.
+        // A service task that has run before may get its capacity back, so those come first.
         let mut tasks: Vec<(u32, bool)> = state
             .tasks
             .iter()
@@ -320,28 +325,29 @@
             .filter(|(index, task)| task.is_ready(self.now) && !self.is_pinned(step.task(*index)))
             .map(|(index, task)| (index, task.attempt > 0))
             .collect();
-        tasks.sort_by_key(|&(_, ran)| !ran);
-        let back = tasks.first().is_some_and(|&(_, ran)| ran);
-        if spec.long_running && !self.may_place_service_task(spec, spare, back) {
+        tasks.sort_by_key(|&(_, has_run)| !has_run);
+        let returning = tasks.first().is_some_and(|&(_, has_run)| has_run);
+        if spec.long_running && !self.may_place_service_task(spec, spare, returning) {
             return self.wait_for_spare();
         }
         let mut request = Request::new(&self.interference, step.task(0), spec);
         self.ratings += open.len() as u64;
-        let mut rated = self.candidates(&request, open);
-        for (index, ran) in tasks {
-            let waits = !self.sending.allows(self.now);
-            if waits && !(self.is_starving(step) && self.sending.allows_starved(self.now)) {
+        let mut candidates = self.candidates(&request, open);
+        for (index, has_run) in tasks {
+            let is_rate_limited = !self.sending.allows(self.now);
+            if is_rate_limited && !(self.is_starving(step) && self.sending.allows_starved(self.now))
+            {
                 self.timers.insert((self.now + START_RETRY, Timer::Place));
                 return true;
             }
-            if spec.long_running && !self.may_place_service_task(spec, spare, ran) {
+            if spec.long_running && !self.may_place_service_task(spec, spare, has_run) {
                 return self.wait_for_spare();
             }
-            let bound = spec.long_running && !(ran && self.share.allows(spec));
+            let is_limited_to_spare = spec.long_running && !(has_run && self.share.allows(spec));
             let task = step.task(index);
             request.set_task(task);
             let state = self.jobs[&task.job].task(task);
-            let shunned = state.and_then(|task| task.avoided_worker);
+            let avoided = state.and_then(|task| task.avoided_worker);
             let suspected = state.is_some_and(|task| !task.crashed.is_empty());
             let probation =
                 state.filter(|task| task.is_on_probation()).map(|task| task.waiting_since);
@@ -351,16 +357,16 @@
                     chosen => chosen,
                 },
                 None => suspected
-                    .then(|| self.choose_without_suspect(&request, &rated))
+                    .then(|| self.choose_without_suspect(&request, &candidates))
                     .flatten()
-                    .or_else(|| self.choose_candidate(&request, shunned, &mut rated)),
+                    .or_else(|| self.choose_candidate(&request, avoided, &mut candidates)),
             };
             let Some(worker) = chosen else { return false };
             self.assign(task, worker);
-            if waits {
+            if is_rate_limited {
                 self.sending.shift_to_starved(self.jobs[&task.job].accepted.spec.payload.len());
             }
-            if bound && spare.take(spec) {
+            if is_limited_to_spare && spare.take(spec) {
                 self.record_reserve_override(step);
             }
             if spec.fills {
@@ -375,30 +381,31 @@
         config.queue(&self.jobs[&job].accepted.queue)
     }
 
-    /// Returns the service whose workers run a job: what the operator says now, or said last.
+    /// Returns the service whose workers run a job, from the current configuration or else from the
+    /// time when the job was accepted.
     pub(crate) fn service(&self, job: JobId) -> id::Service {
         let queue = self.queue(job).map(|queue| queue.service.clone());
         queue.unwrap_or_else(|| self.jobs[&job].accepted.service.clone())
     }
 
     pub(crate) fn choose(&self, task: TaskId, spec: &Step, open: &[WorkerId]) -> Option<WorkerId> {
-        let shunned = self.jobs[&task.job].task(task).and_then(|task| task.avoided_worker);
+        let avoided = self.jobs[&task.job].task(task).and_then(|task| task.avoided_worker);
         let request = Request::new(&self.interference, task, spec);
         let mut best: Option<(bool, f64, WorkerId)> = None;
         for &id in open {
-            let Some(rate) = self.score(&self.workers[id], &request) else { continue };
-            let welcome = shunned != Some(id);
-            let better = best.is_none_or(|(was_welcome, was, _)| {
-                (welcome && !was_welcome) || (welcome == was_welcome && rate > was)
+            let Some(score) = self.score(&self.workers[id], &request) else { continue };
+            let preferred = avoided != Some(id);
+            let better = best.is_none_or(|(was_preferred, best_score, _)| {
+                (preferred && !was_preferred) || (preferred == was_preferred && score > best_score)
             });
             if better {
-                best = Some((welcome, rate, id));
+                best = Some((preferred, score, id));
             }
         }
         best.map(|(_, _, id)| id)
     }
 
-    /// Gives a task its place; the start is ordered once the store holds it.
+    /// Assigns a task to a worker. The start command is sent once the store holds the assignment.
     pub(crate) fn assign(&mut self, task: TaskId, worker: WorkerId) {
         let now = self.now;
         self.mark_dirty(task.job);
@@ -417,7 +424,7 @@
         if !spec.fills {
             self.placements.push(Placement {
                 at: now,
-                order: job.arrival,
+                arrival: job.arrival,
                 milli: spec.demand.cpu_milli,
                 long_running: spec.long_running,
             });
@@ -427,20 +434,20 @@
         hosted.crashes = crashes;
         job.move_task(task, Place::At(worker));
         self.workers[worker].add_run(run, hosted);
-        self.workers[worker].isolated_for.take_if(|quiet| quiet.step == task.step_id());
+        self.workers[worker].isolated_for.take_if(|isolation| isolation.step == task.step_id());
         self.writes.add_intent(worker, run);
     }
 
-    /// Returns the mean work of a queue's jobs as far as they are known, in core-seconds.
+    /// Returns the mean work of a queue's jobs in core-seconds, if any is known.
     pub(crate) fn mean_work(&self, queue: &str) -> Option<f64> {
         self.mean_work.get(queue).copied()
     }
 
-    /// Learns the size of one more job of a queue.
-    pub(crate) fn learn_work(works: &mut HashMap<Arc<str>, f64>, queue: &Arc<str>, work: f64) {
+    /// Updates a queue's mean work with the work of one more job.
+    pub(crate) fn learn_work(mean_work: &mut HashMap<Arc<str>, f64>, queue: &Arc<str>, work: f64) {
         /// Weight of one job: a few dozen jobs make up the mean.
         const WEIGHT: f64 = 0.03;
-        let mean = works.entry(queue.clone()).or_insert(work);
+        let mean = mean_work.entry(queue.clone()).or_insert(work);
         *mean += WEIGHT * (work - *mean);
     }
 }
--- a/crates/planner/src/rank.rs
+++ b/crates/planner/src/rank.rs
@@ -1,11 +1,10 @@
-//! Who comes first.
+//! Order in which waiting jobs are placed.
 //!
-//! Pattern answered: more work than room. Then it matters which jobs are finished in time: a job is worth most while
-//! it can still meet its objective, little until three times that, and almost nothing afterwards. Within a
-//! priority, jobs that last come first and are held to the room that is theirs ([`crate::idle`]); then short jobs:
-//! those that are late and have begun, those that can be in time, other late ones, and among equals whoever came
-//! first. Their size doesn't count: small ones first would finish a few more, and starve the large ones of a full
-//! queue. Jobs of tasks that fill are ordered by what is still gained for each core-second that is left.
+//! With more work than capacity the order decides which jobs finish in time. A job has its full
+//! value while it can still meet its objective, little until three times the objective, and almost
+//! none afterwards. Within a priority, jobs of service tasks come first and are limited to their
+//! capacity ([`crate::idle`]). Jobs with best-effort tasks are ordered by the value that is still
+//! to be gained per remaining core-second.
 
 use cowslipchute_base::size::LATE_LIMIT;
 use cowslipchute_ports::job::JobId;
@@ -13,32 +12,33 @@
 use crate::job::Job;
 use crate::planner::Planner;
 
-/// Part of a job's worth that doesn't depend on its size (the users' page on payoff).
+/// Fraction of a job's value that doesn't depend on its size (the users' page on payoff).
 const FIXED_VALUE: f64 = 0.3;
-/// What a job is still worth between one and three times its objective (the users' sheets: 0.15 of
-/// the worth in time).
+/// Value of a job between one and three times its objective (the users' sheets: 0.15 of the value
+/// in time).
 const LATE_VALUE: f64 = 0.15;
-/// What a late short job counts whose work has begun: it comes before those that can be in time, since what is done of it
-/// would be lost. A job of many tasks gathers its room piece by piece, and is often late before it has all.
+/// Value of a late short job that has started. It comes before jobs that can be in time, since its
+/// finished work would be lost. A job of many tasks gets its capacity piece by piece and is often
+/// late before it has all.
 const STARTED_LATE_VALUE: f64 = 1.5;
-/// What a job that is later still is worth here: not nothing, so that it is done in idle time.
+/// Value of a later job. It isn't 0, so that such jobs run in idle time.
 const LOST_VALUE: f64 = 0.02;
-/// Core-seconds below which a job counts no smaller.
+/// Minimum work of a job in core-seconds; smaller jobs count as this.
 const MIN_WORK: f64 = 0.5;
 
-/// How soon a job is done if all goes well from now on.
+/// Earliest possible finish of a job, against its objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Prospect {
     /// In time.
     InTime,
-    /// After its objective, and before it counts as lost.
+    /// After its objective, but before it counts as lost.
     Late,
-    /// Later than that.
+    /// After it counts as lost.
     Lost,
 }
 
 impl Prospect {
-    /// Returns the part of its worth that the job still earns.
+    /// Returns the fraction of its value that the job still earns.
     fn weight(self) -> f64 {
         match self {
             Prospect::InTime => 1.0,
@@ -48,12 +48,12 @@
     }
 }
 
-/// Place of a job in the order; lower comes first.
+/// Position of a job in the order; lower ranks come first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Rank {
     priority: u8,
     value: f64,
-    order: u64,
+    arrival: u64,
 }
 
 impl Rank {
@@ -61,12 +61,12 @@
         self.priority
             .cmp(&other.priority)
             .then(other.value.total_cmp(&self.value))
-            .then(self.order.cmp(&other.order))
+            .then(self.arrival.cmp(&other.arrival))
     }
 }
 
 impl Planner {
-    /// Orders the jobs that wait for a place.
+    /// Returns the jobs that wait for placement, in order.
     pub(crate) fn ranked(&self) -> Vec<JobId> {
         let mut ranked: Vec<(Rank, JobId)> = self
             .waiting
@@ -89,16 +89,21 @@
         }
     }
 
-    /// Tells whether a job can't be done in time any more.
+    /// Returns `true` if a job can no longer finish in time.
     pub(crate) fn is_late(&self, job: &Job) -> bool {
         self.prospect(job) != Prospect::InTime
     }
 
-    /// Tells whether a job can't be done any more before it counts as lost.
+    /// Returns `true` if a job can no longer finish before it counts as lost.
     pub(crate) fn is_lost(&self, job: &Job) -> bool {
         self.prospect(job) == Prospect::Lost
     }
 
+    /// Returns a job's rank.
+    ///
+    /// Of the short jobs, late ones that have started come first, then those that can be in time,
+    /// then other late ones, and among equals the earliest arrival. Their size doesn't count:
+    /// smaller jobs first would finish a few more but starve the large ones of a full queue.
     fn rank(&self, job: &Job) -> Rank {
         let steps = &job.accepted.spec.steps;
         let value = if steps.iter().all(|step| step.long_running) {
@@ -111,10 +116,10 @@
                 prospect => prospect.weight(),
             }
         };
-        Rank { priority: job.policy.priority, value, order: job.arrival }
+        Rank { priority: job.policy.priority, value, arrival: job.arrival }
     }
 
-    /// Returns a job's worth against its queue's mean, for each core-second that is left of it.
+    /// Returns a job's value relative to its queue's mean, per remaining core-second.
     fn value_density(&self, job: &Job) -> f64 {
         let work = job.work.max(MIN_WORK);
         let mean = self.mean_work(&job.accepted.queue).unwrap_or(work);
--- a/crates/planner/src/reclaim.rs
+++ b/crates/planner/src/reclaim.rs
@@ -1,12 +1,10 @@
-//! Room that service tasks get back from short jobs which aren't done in time any more.
+//! Capacity that service tasks get back from short jobs that can no longer finish in time.
 //!
-//! Load pattern: workers are gone for good in a full cell, and what they ran comes back into a backlog. Short jobs of the
-//! backlog take the room by turns, each turn as soon as the one before has ended; a service task, which takes only what
-//! stays free ([`crate::idle`]), then waits until the backlog is done, long after the load has ended. So once a service task
-//! that has run before has waited for a moment, short jobs which are lost are passed over, and once it has waited for longer,
-//! those that are late: while the load lasts only if they haven't begun, since the largest are late before they have
-//! gathered their room. Not while most of the cell is free, and not for ever: a task that fits nowhere must not hold them
-//! up. Jobs that can be in time never make way.
+//! When workers are gone for good in a full cell, the short jobs of the backlog take the free
+//! capacity in turn, and a service task, which takes only what stays free ([`crate::idle`]), would
+//! wait until the backlog is done, long after the load has ended. So a returning service task
+//! bypasses lost short jobs after a moment, and late ones later. Nothing is bypassed while most of
+//! the cell is free, nor for ever, and jobs that can be in time never yield.
 
 use std::time::Duration;
 
@@ -23,38 +21,42 @@
 use crate::reservation::Unplaced;
 use crate::worker::WorkerId;
 
-/// How long a service task waits to come back before lost jobs are passed over: most find room within less.
+/// Time for which a returning service task waits before lost jobs are bypassed. Most are placed
+/// sooner.
 const RECLAIM_DELAY: Duration = Duration::from_millis(1000);
-/// How long it waits before late jobs are passed over too: they are still worth something.
+/// Time for which it waits before late jobs, which still have some value, are bypassed too.
 const RECLAIM_LATE_DELAY: Duration = Duration::from_secs(4);
-/// How long no job has come once the load counts as over: far longer than the pause between two jobs of a load that fills a
-/// cell. What is left of it can wait, so late jobs make way then even if they have begun.
+/// Time without a new job after which the load counts as over: far longer than the interval between
+/// two jobs of a load that fills a cell. The rest of the load can wait, so late jobs then yield
+/// even if they have started.
 const LOAD_PAUSE: Duration = Duration::from_millis(500);
-/// How long jobs are passed over for a task that still waits. One that fits nowhere holds them up no longer.
+/// Time for which jobs are bypassed for a task that still waits. A task that fits nowhere blocks
+/// them for no longer.
 const RECLAIM_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Which short jobs of a service make way for its service tasks.
+/// Short jobs of a service that yield to its service tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Extent {
     /// Those that count as lost.
     Lost,
-    /// Late ones as well that haven't begun.
+    /// Also late ones that haven't started. While the load lasts, started ones don't yield, since
+    /// the largest jobs are late before they have gathered their capacity.
     LateUnstarted,
     /// All late ones.
     Late,
 }
 
-/// A service whose short jobs make way in a placing pass.
+/// A service whose short jobs yield in a placement pass.
 #[derive(Clone, Debug)]
 pub(crate) struct Reclaim {
     service: id::Service,
     extent: Extent,
-    /// Thousandths of a processor that the jobs which made way have asked for.
+    /// Millicores that the waiting tasks of the yielding jobs need.
     yielded: u64,
 }
 
 impl Planner {
-    /// Notes which jobs of a service are to make way for a service step.
+    /// Adds the jobs that yield to a service step to those of the pass.
     pub(crate) fn add_reclaim(&self, step: StepId, reclaiming: &mut Vec<Reclaim>) {
         let Some(extent) = self.extent(step) else { return };
         let service = self.service(step.job);
@@ -64,17 +66,17 @@
         }
     }
 
-    /// Returns which jobs are to make way for a service step of which a task waits to come back.
+    /// Returns the jobs that yield to a service step with a returning task.
     fn extent(&self, step: StepId) -> Option<Extent> {
         let state = self.jobs.get(&step.job).and_then(|job| job.step(step))?;
         state.tasks.iter().filter_map(|task| self.extent_for(task)).max()
     }
 
-    /// Returns which jobs are to make way for a task; none for one that runs or has never run.
+    /// Returns the jobs that yield to a task, or `None` if it is running or has never run.
     fn extent_for(&self, task: &Task) -> Option<Extent> {
         let waited = self.now.saturating_sub(task.waiting_since);
-        let returns = task.place == Place::Waiting && task.attempt > 0;
-        if !returns || waited < RECLAIM_DELAY || waited >= RECLAIM_DELAY + RECLAIM_TIMEOUT {
+        let is_returning = task.place == Place::Waiting && task.attempt > 0;
+        if !is_returning || waited < RECLAIM_DELAY || waited >= RECLAIM_DELAY + RECLAIM_TIMEOUT {
             None
         } else if waited < RECLAIM_LATE_DELAY {
             Some(Extent::Lost)
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Returns `true` if a job makes way for service tasks of the same service, and counts what it yields.
+    /// Returns `true` if a job yields to service tasks of the same service, and counts what it
+    /// yields.
     pub(crate) fn yields(&self, id: JobId, reclaiming: &mut [Reclaim]) -> bool {
         if reclaiming.is_empty() {
             return false;
@@ -97,20 +100,20 @@
         let job = &self.jobs[&id];
         let mut steps = job.accepted.spec.steps.iter();
         let is_short = steps.all(|step| !step.long_running && !step.fills);
-        let makes_way = is_short
+        let yields = is_short
             && match reclaim.extent {
                 Extent::Lost => self.is_lost(job),
                 Extent::LateUnstarted => self.is_lost(job) || (self.is_late(job) && !job.started),
                 Extent::Late => self.is_late(job),
             };
-        if makes_way {
+        if yields {
             reclaim.yielded += waiting_milli(id, job);
         }
-        makes_way
+        yields
     }
 
-    /// Gives service tasks that have waited for long the room which the jobs that made way would have taken, unless a job
-    /// that can be in time waits for it.
+    /// Places service tasks that have waited for long on the capacity that the yielding jobs would
+    /// have taken, unless a job that can be in time waits for it.
     pub(crate) fn place_returning(
         &mut self,
         reclaiming: &[Reclaim],
@@ -120,8 +123,10 @@
         for reclaim in reclaiming.iter().filter(|reclaim| reclaim.yielded > 0) {
             let waits_in_time = |unplaced: &Unplaced| {
                 let job = &self.jobs[&unplaced.step.job];
-                let lasts = job.spec(unplaced.step.step).long_running;
-                self.service(unplaced.step.job) == reclaim.service && !lasts && !self.is_late(job)
+                let is_service = job.spec(unplaced.step.step).long_running;
+                self.service(unplaced.step.job) == reclaim.service
+                    && !is_service
+                    && !self.is_late(job)
             };
             if unplaced.iter().any(waits_in_time) {
                 continue;
@@ -132,7 +137,7 @@
         }
     }
 
-    /// Places service tasks on as much room as jobs of their service have yielded.
+    /// Places service tasks on as much capacity as jobs of their service have yielded.
     fn place_for_yielded(&mut self, reclaim: &Reclaim, workers: &[WorkerId]) {
         let mut left = reclaim.yielded;
         for task in self.returning(&reclaim.service) {
@@ -148,7 +153,7 @@
         }
     }
 
-    /// Returns the service tasks of a service that late jobs make way for, those first that have waited for longest.
+    /// Returns the tasks of a service that late jobs yield to, the longest waiting first.
     fn returning(&self, service: &id::Service) -> Vec<TaskId> {
         let mut returning: Vec<(Time, TaskId)> = Vec::new();
         for &id in &self.waiting {
@@ -162,8 +167,8 @@
         returning.into_iter().map(|(_, task)| task).collect()
     }
 
-    /// Returns those of a job, and since when each waits. Gangs and tasks near their data choose their workers by other
-    /// means.
+    /// Returns such tasks of a job, and since when each has waited. Gangs and tasks with a rack
+    /// preference are placed in other ways.
     fn returning_of(&self, id: JobId, job: &Job) -> Vec<(Time, TaskId)> {
         let mut returning = Vec::new();
         for (step, state) in job.steps(id) {
@@ -184,7 +189,7 @@
     }
 }
 
-/// Returns what the tasks of a job that wait ask for, in thousandths of a processor.
+/// Returns the millicores that a job's waiting tasks need.
 fn waiting_milli(id: JobId, job: &Job) -> u64 {
     let steps = job.waiting_steps(id).into_iter();
     let milli = steps.map(|step| {
--- a/crates/planner/src/reservation.rs
+++ b/crates/planner/src/reservation.rs
@@ -1,10 +1,11 @@
-//! Workers that are kept for a task which waits.
+//! Workers that are reserved for a waiting task.
 //!
-//! Pattern answered: room comes back in small pieces. Each piece is taken at once by a smaller task that came
-//! later, so that no worker is ever free enough for a large one, however much becomes free in all. So a task that
-//! has found no room for a moment has a worker kept for it: nothing else that reserves processors is placed there
-//! until the task is, or is past help. Room that is kept stands idle until it is enough, so only a part is kept at a
-//! time, and for jobs that can still be in time first.
+//! Capacity becomes free in small pieces, and each would go to a smaller task of a later job, so
+//! that no worker ever had enough free capacity for a large one, however much becomes free in
+//! total. So a task that has waited for a moment gets a worker reserved: nothing else that reserves
+//! CPU is placed there until the task is, or can no longer be served. Reserved capacity is idle
+//! until it suffices, so only a fraction of the cell is reserved at a time, and first for jobs that
+//! can still be in time.
 
 use std::time::Duration;
 
@@ -22,22 +23,25 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// How long a task waits before a worker is kept for it: longer than an end takes to become known and used, so
-/// that nothing is kept where room would have come anyway.
+/// Time for which a task waits before a worker is reserved for it: longer than it takes until the
+/// end of a run is known and its capacity used, so that nothing is reserved where a task would fit
+/// anyway.
 const RESERVATION_DELAY: Duration = Duration::from_millis(150);
-/// Fraction of the CPU beside tasks that last which reservations may hold at a time: enough for large tasks to have
-/// their share, little enough to stand idle.
+/// Fraction of the CPU not held by service tasks that may be reserved at a time: enough for large
+/// tasks to get their share, little enough to be idle.
 const RESERVED_FRACTION: f64 = 0.08;
-/// Part of them that a step may keep where even one step is more than the part above, as a large task is in a small
-/// cell, or a gang, which needs all its workers at once. Half goes on for all others.
+/// Fraction of that CPU that one step may reserve where even a single step exceeds the limit above,
+/// such as a large task in a small cell, or a gang, which needs all its workers at once. The other
+/// half stays available to all others.
 const MAX_STEP_FRACTION: f64 = 0.5;
-/// Workers kept for one step at a time, so that a wide step leaves some for others.
+/// Maximum number of workers reserved for one step at a time, so that a wide step leaves some for
+/// others.
 const MAX_WORKERS_PER_STEP: usize = 2;
-/// How long a worker is kept: a few times as long as short tasks take. What runs there longer isn't ending as it
-/// should, and another worker may be free sooner.
+/// Time for which a worker is reserved: a few times the duration of a short task. A run that takes
+/// longer isn't ending as it should, and another worker may be free sooner.
 const MAX_RESERVATION_TIME: Duration = Duration::from_secs(3);
 
-/// A worker that is kept for a step's next task.
+/// A worker that is reserved for a step's next task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Reservation {
     step: StepId,
@@ -45,17 +49,17 @@
     until: Time,
 }
 
-/// A step of which a task found no room in a placing pass.
+/// A step with a task that found no worker in a placement pass.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Unplaced {
     pub(crate) step: StepId,
-    /// Since when the task that has waited for the longest has been.
+    /// Since when the task that has waited longest has been waiting.
     pub(crate) since: Time,
 }
 
 impl Unplaced {
-    /// Returns a step that found no room, if a worker may be kept for it. Tasks near their data know better how long
-    /// to wait ([`crate::locality`]).
+    /// Returns a step that found no worker, if one may be reserved for it. Tasks with a rack
+    /// preference limit their wait themselves ([`crate::locality`]).
     pub(crate) fn of(planner: &Planner, step: StepId, spec: &Step) -> Option<Unplaced> {
         if spec.fills || spec.data_rack.is_some() || spec.same_rack {
             return None;
@@ -67,14 +71,14 @@
 }
 
 impl Planner {
-    /// Gives up what is kept for steps that don't need it any more, for too long, or on workers that take
-    /// nothing.
+    /// Drops reservations of steps that no longer need them, that have expired, or whose workers
+    /// don't accept new tasks.
     pub(crate) fn drop_reservations(&mut self) {
-        let kept = std::mem::take(&mut self.reservations);
-        for reservation in kept {
+        let reservations = std::mem::take(&mut self.reservations);
+        for reservation in reservations {
             let Some(worker) = self.workers.get(reservation.worker) else { continue };
-            let lasts = self.is_open(worker) && self.now < reservation.until;
-            if lasts && self.needs_reservation(reservation.step) {
+            let is_valid = self.is_open(worker) && self.now < reservation.until;
+            if is_valid && self.needs_reservation(reservation.step) {
                 self.reservations.push(reservation);
             } else {
                 self.workers[reservation.worker].reserved_for = None;
@@ -82,10 +86,10 @@
         }
     }
 
-    /// Places the tasks for which a worker was kept that has the room now.
+    /// Places tasks on workers that are reserved for them and now have the free capacity.
     pub(crate) fn use_reservations(&mut self) {
-        let kept = std::mem::take(&mut self.reservations);
-        for reservation in kept {
+        let reservations = std::mem::take(&mut self.reservations);
+        for reservation in reservations {
             if self.use_reservation(reservation) {
                 self.workers[reservation.worker].reserved_for = None;
             } else {
@@ -94,7 +98,8 @@
         }
     }
 
-    /// Places the next task of a step on the worker that was kept for it, if it has the room now.
+    /// Places the next task of a step on the worker that is reserved for it, if it now has the free
+    /// capacity.
     fn use_reservation(&mut self, reservation: Reservation) -> bool {
         let Reservation { step, worker, .. } = reservation;
         let Some(job) = self.jobs.get(&step.job) else { return true };
@@ -102,7 +107,7 @@
         let spec = &accepted.spec.steps[usize::from(step.step)];
         let Some(state) = job.step(step) else { return true };
         if spec.gang {
-            // It takes its workers all at once, when each has the room.
+            // A gang is placed at once, when each of its workers has the free capacity.
             return false;
         }
         let now = self.now;
@@ -119,14 +124,16 @@
         true
     }
 
-    /// Tells whether a worker may be kept for a task. For one that lasts only to give its room back ([`crate::quota`]): a new
-    /// one takes only what short tasks leave.
+    /// Returns `true` if a worker may be reserved for a task. For a service task that is only so if
+    /// it gets its capacity back ([`crate::quota`]): a new one takes only what short tasks leave.
     fn may_reserve(&self, spec: &Step, task: &Task) -> bool {
-        let returns = task.attempt > 0 && self.share.allows(spec);
-        task.place == Place::Waiting && !task.is_on_probation() && (!spec.long_running || returns)
+        let is_returning = task.attempt > 0 && self.share.allows(spec);
+        task.place == Place::Waiting
+            && !task.is_on_probation()
+            && (!spec.long_running || is_returning)
     }
 
-    /// Returns the tasks of a step for which a worker may be kept.
+    /// Returns the tasks of a step for which a worker may be reserved.
     fn reservable_tasks<'a>(
         &'a self,
         step: StepId,
@@ -137,7 +144,7 @@
         tasks.filter(|task| self.may_reserve(spec, task))
     }
 
-    /// Tells whether a step waits and can still be served.
+    /// Returns `true` if a step waits and can still be served.
     fn needs_reservation(&self, step: StepId) -> bool {
         let Some(job) = self.jobs.get(&step.job).filter(|job| job.end.is_none()) else {
             return false;
@@ -147,35 +154,35 @@
         !hopeless && self.reservable_tasks(step, spec).next().is_some()
     }
 
-    /// Keeps workers for steps that found no room: for those that can be in time first, and for those that have
-    /// waited for longer.
+    /// Reserves workers for steps that found none: first for those that can be in time, then for
+    /// those that have waited longest.
     pub(crate) fn reserve_workers(&mut self, mut unplaced: Vec<Unplaced>, open: &[WorkerId]) {
         unplaced.retain(|unplaced| {
             self.now >= unplaced.since + RESERVATION_DELAY && self.needs_reservation(unplaced.step)
         });
         unplaced
             .sort_by_key(|unplaced| (self.is_late(&self.jobs[&unplaced.step.job]), unplaced.since));
-        let shared = self.short_task_milli(open);
-        let mut left = shared * RESERVED_FRACTION - self.reserved_milli();
-        // A demand for which no worker could be kept; a larger one finds none either.
-        let mut refused = u32::MAX;
+        let available = self.short_task_milli(open);
+        let mut left = available * RESERVED_FRACTION - self.reserved_milli();
+        // A demand for which no worker could be reserved; there is none for a larger one either.
+        let mut refused_milli = u32::MAX;
         for Unplaced { step, .. } in unplaced {
             let accepted = self.jobs[&step.job].accepted.clone();
             let spec = &accepted.spec.steps[usize::from(step.step)];
             let cpu = spec.demand.cpu_milli;
-            let own = self.reservations.iter().filter(|kept| kept.step == step).count();
-            for _ in own..self.max_reservations(step, spec, shared) {
-                // One step is served even where a part of the cell is less than it needs.
-                let only = self.reservations.iter().all(|kept| kept.step == step);
-                if left < f64::from(cpu) && !only {
+            let existing = self.reservations.iter().filter(|other| other.step == step).count();
+            for _ in existing..self.max_reservations(step, spec, available) {
+                // One step is served even if it needs more than the fraction of the cell.
+                let is_only_step = self.reservations.iter().all(|other| other.step == step);
+                if left < f64::from(cpu) && !is_only_step {
                     return;
                 }
-                if cpu >= refused {
+                if cpu >= refused_milli {
                     break;
                 }
                 let Some(worker) = self.first_free_worker(spec, step, open) else {
                     if spec.required_label.is_none() && spec.max_per_worker == 0 {
-                        refused = cpu;
+                        refused_milli = cpu;
                     }
                     break;
                 };
@@ -187,45 +194,46 @@
         }
     }
 
-    /// Returns how many workers may be kept for a step at a time: for a gang as many as it has members, or none.
-    fn max_reservations(&self, step: StepId, spec: &Step, shared: f64) -> usize {
+    /// Returns how many workers may be reserved for a step at a time: for a gang one for each
+    /// member, or none.
+    fn max_reservations(&self, step: StepId, spec: &Step, available: f64) -> usize {
         let waiting = self.reservable_tasks(step, spec).count();
-        let bearable = shared * MAX_STEP_FRACTION / f64::from(spec.demand.cpu_milli.max(1));
-        let bearable = bearable as usize;
+        let affordable = available * MAX_STEP_FRACTION / f64::from(spec.demand.cpu_milli.max(1));
+        let affordable = affordable as usize;
         match spec.gang {
-            true if waiting <= bearable => waiting,
+            true if waiting <= affordable => waiting,
             true => 0,
-            false => waiting.min(MAX_WORKERS_PER_STEP).min(bearable),
+            false => waiting.min(MAX_WORKERS_PER_STEP).min(affordable),
         }
     }
 
-    /// Returns the thousandths of a processor that tasks which last leave.
+    /// Returns the millicores that aren't held by service tasks.
     fn short_task_milli(&self, open: &[WorkerId]) -> f64 {
-        let shared = open.iter().map(|&id| {
+        let available = open.iter().map(|&id| {
             let worker = &self.workers[id];
             f64::from(worker.capacity.minus(worker.reserved_by_services).cpu_milli)
         });
-        shared.sum()
+        available.sum()
     }
 
-    /// Returns the thousandths of a processor that are kept.
+    /// Returns the millicores that are reserved.
     fn reserved_milli(&self) -> f64 {
-        let reserved = self.reservations.iter().map(|kept| {
-            let job = self.jobs.get(&kept.step.job);
-            job.map_or(0.0, |job| f64::from(job.spec(kept.step.step).demand.cpu_milli))
+        let reserved = self.reservations.iter().map(|reservation| {
+            let job = self.jobs.get(&reservation.step.job);
+            job.map_or(0.0, |job| f64::from(job.spec(reservation.step.step).demand.cpu_milli))
         });
         reserved.sum()
     }
 
-    /// Returns the worker that is expected to have room for a step's task first.
+    /// Returns the worker that is expected to have free capacity for a step's task first.
     fn first_free_worker(&self, spec: &Step, step: StepId, open: &[WorkerId]) -> Option<WorkerId> {
         let request = Request::new(&self.interference, step.task(0), spec);
         let mut best: Option<(Duration, WorkerId)> = None;
         for &id in open {
             let worker = &self.workers[id];
-            let shared = worker.capacity.minus(worker.reserved_by_services);
+            let available = worker.capacity.minus(worker.reserved_by_services);
             if worker.reserved_for.is_some()
-                || !spec.demand.fits(shared)
+                || !spec.demand.fits(available)
                 || !self.is_eligible(worker, &request)
             {
                 continue;
@@ -238,7 +246,8 @@
         best.map(|(_, id)| id)
     }
 
-    /// Estimates how long it takes until a worker has so much room, if nothing else is placed there.
+    /// Estimates the time until a worker has the free capacity for a demand, if nothing else is
+    /// placed there.
     fn estimate_wait(&self, worker: &Worker, demand: Amount) -> Duration {
         let mut ends: SmallVec<[(Duration, Amount); 16]> = SmallVec::new();
         for hosted in
--- a/crates/planner/src/risk.rs
+++ b/crates/planner/src/risk.rs
@@ -1,25 +1,25 @@
-//! What it costs that a task which serves may come over its target, against the work of those that
-//! fill.
+//! Cost of the risk that a latency-critical task violates its target, against the value of
+//! best-effort work.
 //!
-//! Both are counted in the processors of a whole worker. Slowing fills down for a task whose tail is
-//! rough costs work for certain and saves a part of a chance; so how much of its headroom a task is
-//! to keep can't be a fixed figure. Where a fill presses hardly on it, keeping some costs more than
-//! the seconds over its target that are saved; where one presses hard, a lot is kept for almost
-//! nothing.
+//! The unit of both is the CPU of a whole worker. Throttling for a task with a noisy tail latency
+//! costs work for certain and saves a fraction of a risk, so the headroom that a task keeps can't
+//! be a fixed figure. Where a best-effort task hardly interferes, keeping headroom costs more than
+//! the seconds of violation that it saves; where one interferes strongly, much headroom costs
+//! almost nothing.
 
-/// What a second over its target costs, as a part of what the worker's processors do in a second
-/// for tasks that fill.
+/// Cost of a second of violation, as a fraction of the best-effort work that the worker's CPU does
+/// in a second.
 const VIOLATION_COST: f64 = 0.3;
-/// What is left of the worth of a fill's work while none waits: it is done a little later and still
-/// in time.
+/// Value of best-effort work while none waits: it finishes a little later and still in time.
 const IDLE_VALUE: f64 = 0.4;
-/// How much more a fill's work is worth for each second of the whole cell's work that waits: what
-/// is done later then makes all that waits later.
+/// Increase of the value of best-effort work for each second of the whole cell's work that waits:
+/// work done later delays everything that waits.
 const BACKLOG_VALUE: f64 = 1.0;
-/// Most that a fill's work is worth.
+/// Maximum value of best-effort work.
 const MAX_VALUE: f64 = 3.0;
 
-/// Returns what a fill's work is worth while so many seconds of the cell's work wait.
+/// Returns the value of best-effort work while a backlog waits, in seconds of the whole cell's
+/// work.
 pub(crate) fn best_effort_value(backlog: f64) -> f64 {
     if backlog <= 0.0 {
         return IDLE_VALUE;
@@ -27,21 +27,21 @@
     (1.0 + BACKLOG_VALUE * backlog).min(MAX_VALUE)
 }
 
-/// What each part of a headroom below the target costs beyond the chance: more than any work is
-/// worth, since paying tasks are to be slowed by none that fills.
+/// Cost of each unit of headroom below the target, beyond the cost of the probability. It is more
+/// than any work is worth, since best-effort tasks must not slow paying tasks.
 const EXCESS_COST: f64 = 0.5;
-/// Slope of the logistic curve that lies nearest to the normal distribution.
+/// Slope of the logistic curve that is closest to the normal distribution.
 const LOGISTIC_SLOPE: f64 = 1.702;
-/// Beyond so many deviations nothing is at stake.
+/// The risk is taken as 0 beyond this many standard deviations.
 const MAX_DEVIATIONS: f64 = 3.5;
 
-/// Returns what it costs that a serving task's headroom is expected to be this far above its target,
-/// with this standard deviation.
+/// Returns the cost of a latency-critical task's headroom that is expected to exceed its target by
+/// a margin, with this standard deviation.
 pub(crate) fn cost(margin: f64, deviation: f64) -> f64 {
     VIOLATION_COST * violation_probability(margin, deviation) + EXCESS_COST * (-margin).max(0.0)
 }
 
-/// Returns the chance that it is below the target in truth.
+/// Returns the probability that the true headroom is below the target.
 fn violation_probability(margin: f64, deviation: f64) -> f64 {
     if margin > MAX_DEVIATIONS * deviation {
         return 0.0;
--- a/crates/planner/src/throttle.rs
+++ b/crates/planner/src/throttle.rs
@@ -1,10 +1,10 @@
-//! Paces of tasks that fill: who is slowed down, by how much, and who is moved.
+//! Throttling of best-effort tasks: which are throttled, by how much, and which are moved.
 //!
-//! Pattern answered: the load of tasks that serve swings, and what fills beside them presses on them
-//! by very different amounts. Where one is expected to come over its target, whatever presses most
-//! for each processor that it uses is slowed down first, which costs the least work; what is held
-//! back for long goes elsewhere. A tail that stays over its target all the same is taken care of in
-//! two steps that trust the model less and less.
+//! The load of latency-critical tasks varies, and the best-effort tasks beside them interfere by
+//! very different amounts. Where a task is expected to violate its target, the best-effort tasks
+//! that interfere most for the CPU they use are throttled first, which costs the least work. Those
+//! that stay throttled for long move elsewhere. A violation that persists all the same is handled
+//! in two stages that rely on the model less and less.
 
 use std::time::Duration;
 
@@ -26,38 +26,39 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// Paces are whole multiples of this, so that small changes need no order.
+/// Speed limits are multiples of this, in percent, so that small changes need no command.
 const SPEED_STEP: u8 = 20;
-/// A tail that stays over its target for this part of the time allowed has all tasks beside it stand
-/// still that may be the cause.
+/// A tail latency that violates its target for this fraction of `max_interference_time` stops all
+/// best-effort tasks beside it that may be the cause.
 const SUSPECT_STOP_FRACTION: f64 = 0.35;
-/// A tail that stays over its target for this part of the time allowed has all tasks beside it stand
-/// still, whatever the model says: it may be wrong on a worker that differs from the others.
+/// A tail latency that violates its target for this fraction of `max_interference_time` stops all
+/// best-effort tasks beside it, whatever the model predicts: it may be wrong for a worker that
+/// differs from the others.
 const STOP_ALL_FRACTION: f64 = 0.5;
-/// A task that was slowed below this, in percent, for a while is moved.
+/// A task that stays throttled below this speed, in percent, is moved.
 const MIN_USEFUL_SPEED: u8 = 60;
-/// How long a task may be held back before it is moved, where checkpoints are frequent: about as long
-/// as moving it takes.
+/// Minimum time for which a task is throttled before it is moved, where checkpoints are frequent:
+/// about the time that a move takes.
 const MIN_MOVE_DELAY: Duration = Duration::from_millis(400);
-/// The same as a part of the time between two checkpoints, since work since the last one is lost: half
-/// of it on average.
+/// Minimum time before a move as a fraction of the checkpoint interval: a move loses the work since
+/// the last checkpoint, which is half an interval on average.
 const MOVE_DELAY_FRACTION: f64 = 0.4;
 
-/// A filling run while its pace is worked out.
+/// A best-effort run while its speed limit is computed.
 struct BestEffort {
     run: Run,
-    /// Part of the worker's processors that it uses at full pace.
+    /// Fraction of the worker's CPU that it uses at full speed.
     cpu_fraction: f64,
-    /// The pace that it may have, in percent.
+    /// Its speed limit, in percent.
     speed_limit: u8,
-    /// By how much each serving task is pressed on for all of the worker's processors.
+    /// Weight on each latency-critical task: the headroom loss if it used all of the worker's CPU.
     weights: SmallVec<[f64; 8]>,
 }
 
 impl BestEffort {
-    /// Returns how hard it presses on a serving task at a pace.
-    fn headroom_loss(&self, served: usize, pace: u8) -> f64 {
-        self.weights[served] * self.cpu_fraction * speed_fraction(pace)
+    /// Returns the headroom loss that it causes for a latency-critical task at a speed limit.
+    fn headroom_loss(&self, index: usize, limit: u8) -> f64 {
+        self.weights[index] * self.cpu_fraction * speed_fraction(limit)
     }
 
     fn max_weight(&self) -> f64 {
@@ -66,66 +67,68 @@
 }
 
 impl Planner {
-    /// Works out the paces on a worker and orders those that have changed.
+    /// Computes the speed limits on a worker and schedules commands for those that have changed.
     pub(crate) fn set_speed_limits(&mut self, worker: WorkerId) {
-        for (run, pace) in self.compute_speed_limits(worker) {
-            self.set_speed_limit(worker, run, pace);
+        for (run, limit) in self.compute_speed_limits(worker) {
+            self.set_speed_limit(worker, run, limit);
         }
     }
 
     fn compute_speed_limits(&self, worker: WorkerId) -> Vec<(Run, u8)> {
         let state = &self.workers[worker];
-        let served: SmallVec<[&Hosted; 8]> =
+        let latency_critical: SmallVec<[&Hosted; 8]> =
             state.runs.values().filter(|hosted| hosted.is_latency_critical()).collect();
-        let mut fillings = self.best_effort_runs(state, &served);
-        let outlooks: Vec<Headroom> =
-            served.iter().map(|hosted| Headroom::of(hosted, &self.interference)).collect();
-        choose_speed_limits(&mut fillings, &outlooks, best_effort_value(self.best_effort_backlog));
-        self.stop_beside_violations(&mut fillings, &served);
-        fillings.iter().map(|filling| (filling.run, filling.speed_limit)).collect()
+        let mut runs = self.best_effort_runs(state, &latency_critical);
+        let headrooms: Vec<Headroom> = latency_critical
+            .iter()
+            .map(|hosted| Headroom::of(hosted, &self.interference))
+            .collect();
+        choose_speed_limits(&mut runs, &headrooms, best_effort_value(self.best_effort_backlog));
+        self.stop_beside_violations(&mut runs, &latency_critical);
+        runs.iter().map(|run| (run.run, run.speed_limit)).collect()
     }
 
-    fn best_effort_runs(&self, worker: &Worker, served: &[&Hosted]) -> Vec<BestEffort> {
+    fn best_effort_runs(&self, worker: &Worker, latency_critical: &[&Hosted]) -> Vec<BestEffort> {
         let running = worker.runs.iter().filter(|(_, hosted)| {
             hosted.best_effort && matches!(hosted.stage, Stage::Running { .. })
         });
         running
             .map(|(run, hosted)| {
                 let own = image(hosted);
-                let weight = |served: &&Hosted| self.interference.weight(&image(served), &own).0;
+                let weight = |other: &&Hosted| self.interference.weight(&image(other), &own).0;
                 BestEffort {
                     run: *run,
                     cpu_fraction: cpu_fraction(hosted.demand.cpu_milli, worker),
                     speed_limit: FULL_SPEED,
-                    weights: served.iter().map(weight).collect(),
+                    weights: latency_critical.iter().map(weight).collect(),
                 }
             })
             .collect()
     }
 
-    /// Lets fills stand still beside tasks that have been over their targets for long.
-    fn stop_beside_violations(&self, fillings: &mut [BestEffort], served: &[&Hosted]) {
-        let alarm = self.settings.max_interference_time.mul_f64(SUSPECT_STOP_FRACTION);
+    /// Stops best-effort tasks beside tasks that have violated their targets for long.
+    fn stop_beside_violations(&self, runs: &mut [BestEffort], latency_critical: &[&Hosted]) {
+        let suspect_time = self.settings.max_interference_time.mul_f64(SUSPECT_STOP_FRACTION);
         let last = self.settings.max_interference_time.mul_f64(STOP_ALL_FRACTION);
-        for (index, hosted) in served.iter().enumerate() {
-            let over =
+        for (index, hosted) in latency_critical.iter().enumerate() {
+            let violates_for =
                 |limit| hosted.over_target_since.is_some_and(|since| self.now >= since + limit);
-            for filling in fillings.iter_mut() {
-                if over(last)
-                    || (over(alarm)
-                        && filling.headroom_loss(index, FULL_SPEED) >= MIN_HEADROOM_LOSS)
+            for run in runs.iter_mut() {
+                if violates_for(last)
+                    || (violates_for(suspect_time)
+                        && run.headroom_loss(index, FULL_SPEED) >= MIN_HEADROOM_LOSS)
                 {
-                    filling.speed_limit = 0;
+                    run.speed_limit = 0;
                 }
             }
         }
     }
 
-    fn set_speed_limit(&mut self, worker: WorkerId, run: Run, pace: u8) {
+    fn set_speed_limit(&mut self, worker: WorkerId, run: Run, limit: u8) {
         let now = self.now;
         let Some(hosted) = self.workers[worker].runs.get_mut(&run) else { return };
-        hosted.speed_limit = pace;
-        if pace >= MIN_USEFUL_SPEED {
+        hosted.speed_limit = limit;
+        if limit >= MIN_USEFUL_SPEED {
             hosted.throttled_since = None;
         } else {
             hosted.throttled_since.get_or_insert(now);
@@ -135,17 +138,17 @@
         }
     }
 
-    /// Moves tasks that have been held back for long, if they would work on elsewhere.
+    /// Moves tasks that have been throttled for long if another worker may take them.
     pub(crate) fn move_throttled(&mut self, worker: WorkerId) {
         let now = self.now;
-        let part = self.settings.checkpoint_interval.mul_f64(MOVE_DELAY_FRACTION);
-        let move_after = part.max(MIN_MOVE_DELAY);
-        let held = |hosted: &Hosted| {
+        let fraction = self.settings.checkpoint_interval.mul_f64(MOVE_DELAY_FRACTION);
+        let move_delay = fraction.max(MIN_MOVE_DELAY);
+        let is_throttled = |hosted: &Hosted| {
             hosted.checkpointing
                 && matches!(hosted.stage, Stage::Running { .. })
-                && hosted.throttled_since.is_some_and(|since| now >= since + move_after)
+                && hosted.throttled_since.is_some_and(|since| now >= since + move_delay)
         };
-        for run in self.workers[worker].runs_where(held) {
+        for run in self.workers[worker].runs_where(is_throttled) {
             if self.fits_elsewhere(worker, run) {
                 self.stop_run(worker, run, Reason::Interference);
             }
@@ -166,91 +169,89 @@
     }
 }
 
-/// Chooses the paces at which the work of the fills is worth the most beyond what it costs the
-/// serving tasks.
+/// Chooses the speed limits at which the work of the best-effort runs is worth the most beyond what
+/// it costs the latency-critical tasks.
 ///
-/// One fill is looked at after the other, once from full pace on, where the ones that press hardest
-/// come first, and once from standing still, where the lightest do; slowing down one of many that
-/// press together helps nobody, and the second way finds what the first can't.
-fn choose_speed_limits(fillings: &mut [BestEffort], outlooks: &[Headroom], value: f64) {
-    if is_full_speed_best(fillings, outlooks, value) {
+/// Runs are adjusted one after the other: once starting from full speed, where those that interfere
+/// most come first, and once starting from a standstill, where those that interfere least come
+/// first. Throttling one of many runs that interfere together helps no task, and the second way
+/// finds solutions that the first can't.
+fn choose_speed_limits(runs: &mut [BestEffort], headrooms: &[Headroom], value: f64) {
+    if is_full_speed_best(runs, headrooms, value) {
         return;
     }
-    let mut order: Vec<usize> = (0..fillings.len()).collect();
-    order.sort_by(|&a, &b| fillings[b].max_weight().total_cmp(&fillings[a].max_weight()));
-    let slowed = improve_speed_limits(fillings, &order, FULL_SPEED, outlooks, value);
-    let paces: SmallVec<[u8; 16]> = fillings.iter().map(|filling| filling.speed_limit).collect();
+    let mut order: Vec<usize> = (0..runs.len()).collect();
+    order.sort_by(|&a, &b| runs[b].max_weight().total_cmp(&runs[a].max_weight()));
+    let from_full_speed = improve_speed_limits(runs, &order, FULL_SPEED, headrooms, value);
+    let limits: SmallVec<[u8; 16]> = runs.iter().map(|run| run.speed_limit).collect();
     order.reverse();
-    let quickened = improve_speed_limits(fillings, &order, 0, outlooks, value);
-    if slowed >= quickened {
-        for (filling, pace) in fillings.iter_mut().zip(paces) {
-            filling.speed_limit = pace;
+    let from_standstill = improve_speed_limits(runs, &order, 0, headrooms, value);
+    if from_full_speed >= from_standstill {
+        for (run, limit) in runs.iter_mut().zip(limits) {
+            run.speed_limit = limit;
         }
     }
 }
 
-/// Tells whether the least that slowing down costs is more than all that it could save, so that full
-/// pace is best without a further look. On most workers nothing comes near a target at any time.
-fn is_full_speed_best(fillings: &[BestEffort], outlooks: &[Headroom], value: f64) -> bool {
-    let costs = outlooks.iter().enumerate().map(|(served, outlook)| {
-        let pressing = fillings.iter().map(|filling| filling.headroom_loss(served, FULL_SPEED));
-        cost(outlook.next - 1.0 - pressing.sum::<f64>(), outlook.deviation)
+/// Returns `true` if the smallest cost of throttling is more than all that it could save, so that
+/// full speed is best without a search. On most workers no task is ever near its target.
+fn is_full_speed_best(runs: &[BestEffort], headrooms: &[Headroom], value: f64) -> bool {
+    let costs = headrooms.iter().enumerate().map(|(index, headroom)| {
+        let losses = runs.iter().map(|run| run.headroom_loss(index, FULL_SPEED));
+        cost(headroom.next - 1.0 - losses.sum::<f64>(), headroom.deviation)
     });
-    let least = fillings.iter().map(|filling| filling.cpu_fraction).fold(f64::INFINITY, f64::min);
-    costs.sum::<f64>() <= value * least * speed_fraction(SPEED_STEP)
+    let min_fraction = runs.iter().map(|run| run.cpu_fraction).fold(f64::INFINITY, f64::min);
+    costs.sum::<f64>() <= value * min_fraction * speed_fraction(SPEED_STEP)
 }
 
-/// Sets one pace after the other to what gains the most, beginning with all of them at `first`;
-/// returns what is gained in all.
+/// Starts with all runs at the speed limit `first`, and sets one after the other to the limit with
+/// the highest net value. Returns the total net value.
 fn improve_speed_limits(
-    fillings: &mut [BestEffort],
+    runs: &mut [BestEffort],
     order: &[usize],
     first: u8,
-    outlooks: &[Headroom],
+    headrooms: &[Headroom],
     value: f64,
 ) -> f64 {
-    for filling in fillings.iter_mut() {
-        filling.speed_limit = first;
+    for run in runs.iter_mut() {
+        run.speed_limit = first;
     }
-    let mut margins: SmallVec<[f64; 8]> = outlooks
+    let mut margins: SmallVec<[f64; 8]> = headrooms
         .iter()
         .enumerate()
-        .map(|(served, outlook)| {
-            let pressing =
-                fillings.iter().map(|filling| filling.headroom_loss(served, filling.speed_limit));
-            outlook.next - 1.0 - pressing.sum::<f64>()
+        .map(|(index, headroom)| {
+            let losses = runs.iter().map(|run| run.headroom_loss(index, run.speed_limit));
+            headroom.next - 1.0 - losses.sum::<f64>()
         })
         .collect();
     let mut work = 0.0;
     for &index in order {
-        let filling = &mut fillings[index];
-        let gain = |pace: u8| {
-            let eased = |served: usize| {
-                filling.headroom_loss(served, filling.speed_limit)
-                    - filling.headroom_loss(served, pace)
+        let run = &mut runs[index];
+        let net_value = |limit: u8| {
+            let relief = |index: usize| {
+                run.headroom_loss(index, run.speed_limit) - run.headroom_loss(index, limit)
             };
             let costs =
-                margins.iter().zip(outlooks).enumerate().map(|(served, (margin, outlook))| {
-                    cost(margin + eased(served), outlook.deviation)
+                margins.iter().zip(headrooms).enumerate().map(|(index, (margin, headroom))| {
+                    cost(margin + relief(index), headroom.deviation)
                 });
-            value * filling.cpu_fraction * speed_fraction(pace) - costs.sum::<f64>()
+            value * run.cpu_fraction * speed_fraction(limit) - costs.sum::<f64>()
         };
-        let paces = (0..=FULL_SPEED / SPEED_STEP).map(|steps| steps * SPEED_STEP);
-        let best = paces.map(|pace| (gain(pace), pace)).max_by(|a, b| a.0.total_cmp(&b.0));
-        let pace = best.map_or(FULL_SPEED, |(_, pace)| pace);
-        for (served, margin) in margins.iter_mut().enumerate() {
-            *margin += filling.headroom_loss(served, filling.speed_limit)
-                - filling.headroom_loss(served, pace);
+        let limits = (0..=FULL_SPEED / SPEED_STEP).map(|steps| steps * SPEED_STEP);
+        let best = limits.map(|limit| (net_value(limit), limit)).max_by(|a, b| a.0.total_cmp(&b.0));
+        let limit = best.map_or(FULL_SPEED, |(_, limit)| limit);
+        for (index, margin) in margins.iter_mut().enumerate() {
+            *margin += run.headroom_loss(index, run.speed_limit) - run.headroom_loss(index, limit);
         }
-        filling.speed_limit = pace;
-        work += value * filling.cpu_fraction * speed_fraction(pace);
+        run.speed_limit = limit;
+        work += value * run.cpu_fraction * speed_fraction(limit);
     }
     let costs =
-        margins.iter().zip(outlooks).map(|(&margin, outlook)| cost(margin, outlook.deviation));
+        margins.iter().zip(headrooms).map(|(&margin, headroom)| cost(margin, headroom.deviation));
     work - costs.sum::<f64>()
 }
 
-/// Returns the part of its speed that a pace leaves a run.
-fn speed_fraction(pace: u8) -> f64 {
-    f64::from(pace) / f64::from(FULL_SPEED)
+/// Returns a speed limit as a fraction of full speed.
+fn speed_fraction(limit: u8) -> f64 {
+    f64::from(limit) / f64::from(FULL_SPEED)
 }
