--- a/crates/planner/tests/learnt.rs
+++ b/crates/planner/tests/learnt.rs
@@ -1,9 +1,9 @@
-//! What an owner has learnt, as the next one reads it.
+//! Compatibility of the stored estimates that an owner hands to the next one.
 
 use cowslipchute_planner::estimates::Estimates;
 use cowslipchute_planner::record;
 
-/// How many bytes the last field takes: one number for each of eight periods.
+/// Size of the last field in bytes: one number for each of eight periods.
 const LAST_FIELD: usize = 8 * size_of::<f64>();
 
 #[test]
--- a/crates/planner/tests/listing.rs
+++ b/crates/planner/tests/listing.rs
@@ -1,4 +1,4 @@
-//! What the directory's entries set going, which workers refresh each second or two.
+//! Effect of the directory's entries, which workers refresh every second or two.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,8 +17,8 @@
 use cowslipchute_ports::executor::Registration;
 use cowslipchute_ports::executor::Report;
 
-/// When the worker started.
-const BORN: Option<id::Incarnation> = Some(1_780_000_000_000);
+/// Start time of the worker's incarnation.
+const STARTED_AT: Option<id::Incarnation> = Some(1_780_000_000_000);
 const NOW: Time = Duration::from_secs(1000);
 
 fn config() -> Arc<Config> {
@@ -35,7 +35,7 @@
 fn registration() -> Registration {
     Registration {
         name: "worker".into(),
-        born: BORN,
+        born: STARTED_AT,
         address: SocketAddr::from(([10, 0, 0, 1], 80)),
         service: "desk".into(),
         domain: "domain".into(),
@@ -47,7 +47,7 @@
     }
 }
 
-/// An owner whose only worker has been listed and has answered.
+/// Returns an owner whose only worker has been listed and has answered.
 fn owner() -> Planner {
     let mut planner = Planner::open(Settings::default());
     let (jobs, records) = (Vec::new(), Vec::new());
@@ -62,12 +62,12 @@
     }
     let mut actions = Vec::new();
     planner.advance(NOW, &mut actions);
-    let hold = actions.into_iter().find_map(|action| match action {
+    let heartbeat = actions.into_iter().find_map(|action| match action {
         Action::Heartbeat { target, .. } => Some(target),
         _ => None,
     });
-    let target = hold.expect("a worker that becomes known is asked what it runs");
-    let outcome = Ok(Report { born: BORN, clock: 5000, ..Report::default() });
+    let target = heartbeat.expect("a new worker is sent a heartbeat");
+    let outcome = Ok(Report { born: STARTED_AT, clock: 5000, ..Report::default() });
     planner.step(NOW, Event::HeartbeatResult { target, outcome }, &mut Vec::new());
     let later = NOW + Duration::from_secs(1);
     planner.advance(later, &mut Vec::new());
