--- a/crates/planner/src/admission.rs
+++ b/crates/planner/src/admission.rs
@@ -1,9 +1,9 @@
-//! Starts that are checked once more before they are sent.
+//! The last check of a start before it is sent.
 //!
-//! Load pattern: a start waits for the store, for the link, for an answer or for processor time while its worker
-//! changes. Its place was right when it was chosen; a worker that has shrunk, is leaving or has its failure domain
-//! evacuated by then must not be started on. Every start passes here, whichever way its place was chosen: when it falls
-//! due, when it is repeated, and right before it is sent.
+//! A start waits for the store, the link, a response or CPU time while its worker changes. The
+//! placement was right when it was chosen, but a worker that has shrunk, is draining or has had its
+//! failure domain evacuated by then must not be started on. Every start passes this check, however
+//! its worker was chosen: when it falls due, when it is retried, and right before it is sent.
 
 use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_ports::executor::How;
@@ -18,21 +18,21 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// Why nothing more may be started on a worker, whatever was decided before.
+/// Reason why nothing more may be started on a worker, whatever was decided before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Obstacle {
-    /// It takes whatever it is told and has less room than is reserved.
+    /// The worker doesn't refuse excess runs and has less capacity than is reserved.
     Overcommitted,
-    /// It is about to leave.
+    /// The worker is draining.
     Draining,
-    /// Its failure domain is evacuated.
+    /// The worker's failure domain is evacuated.
     Evacuated,
 }
 
 impl Obstacle {
     fn text(self) -> &'static str {
         match self {
-            Obstacle::Overcommitted => "its worker has less room than when it was placed",
+            Obstacle::Overcommitted => "its worker has less capacity than when the run was placed",
             Obstacle::Draining => "its worker is leaving",
             Obstacle::Evacuated => "its worker's failure domain is evacuated",
         }
@@ -40,7 +40,7 @@
 }
 
 impl Planner {
-    /// Returns what keeps starts from a worker, if anything does.
+    /// Returns the reason why nothing may be started on a worker, if there is one.
     pub(crate) fn obstacle(&self, worker: &Worker) -> Option<Obstacle> {
         if self.is_evacuated(worker) {
             Some(Obstacle::Evacuated)
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Withdraws a start that is due and may not be sent; returns `true` if it did. One of which nobody knows whether it
-    /// was carried out is stopped instead, so that it keeps its room until that is known.
+    /// Withdraws a due start that may not be sent; returns `true` if it did. A start whose outcome
+    /// is unknown is stopped instead, so that it keeps its reservation until the outcome is known.
     pub(crate) fn withdraw_start(&mut self, worker: WorkerId, run: Run) -> bool {
         let state = &self.workers[worker];
         let stage = state.runs.get(&run).map(|hosted| hosted.stage);
@@ -75,21 +75,22 @@
         true
     }
 
-    /// Withdraws the starts for a worker that were decided on and not sent.
+    /// Withdraws the starts for a worker that were decided on but not sent.
     pub(crate) fn withdraw_starts(&mut self, worker: WorkerId) {
         for run in self.workers[worker].runs_where(Hosted::is_starting) {
             self.withdraw_start(worker, run);
         }
     }
 
-    /// Returns `true` if a start that was decided on is still to be sent. An owner short of processor time sends its
-    /// orders late: the task may have ended since, or its worker may take nothing more.
+    /// Returns `true` if a start that was decided on is still to be sent. An owner short of CPU
+    /// time sends its commands late: the task may have ended since, or its worker may take nothing
+    /// more.
     pub fn is_start_wanted(&self, target: &Target, run: Run) -> bool {
         let worker = self.find_worker(target).and_then(|worker| self.workers.get(worker));
         let Some(worker) = worker else { return false };
         let Some(hosted) = worker.runs.get(&run) else { return false };
         let wanted = match hosted.stage {
-            // Repeated to see whether the worker lives; the next incarnation may carry it out.
+            // Resent to see whether the worker is alive; the next incarnation may carry it out.
             Stage::Running { .. } => hosted.probed,
             Stage::Starting { .. } => true,
             _ => false,
--- a/crates/planner/src/crash.rs
+++ b/crates/planner/src/crash.rs
@@ -1,15 +1,17 @@
-//! Tasks that crash the workers which start them.
+//! Detection of tasks that crash the workers which start them.
 //!
-//! Pattern answered: a worker dies of what it was given. Nobody lists an end for the run, so its task looks like
-//! a victim, is started elsewhere at once and takes the next worker down, with all that runs there. So a crash is
-//! counted against whatever had begun just before it. Most of that are victims, which are cleared once they have
-//! worked for a while elsewhere; they aren't started side by side if that can be helped. A task that is one crash
-//! short of [`CRASH_LIMIT`] in a row is on *probation* ([`crate::probation`]): it is started on a worker where nothing else
-//! has begun just now, and nothing else begins there until it is cleared. A crash then speaks against it alone, and its
-//! job is given up.
+//! A run that is lost with its worker has no listed end, so its task looks like a victim, is
+//! started elsewhere at once and takes down the next worker with everything that runs there. So a
+//! crash is counted against the runs that began just before it. Most of these are victims, which
+//! are cleared once they have run for a while elsewhere; they aren't started on the same worker if
+//! that can be avoided. A task that is one crash short of [`CRASH_LIMIT`] in a row is on
+//! *probation* ([`crate::probation`]): it is started on a worker where nothing else has begun
+//! recently, and nothing else begins there for a while. A crash then counts against this task
+//! alone, and its job is ended as crashed.
 //!
-//! Not counted are incarnations that end with notice (a drain, an upkeep), and workers that can't be reached: those may
-//! be cut off. The counts are part of the job's record, so they outlive the owner.
+//! Incarnations that end with notice (a drain, maintenance) aren't counted, nor are workers that
+//! can't be reached, since they may be partitioned. The counts are part of the job's record, so
+//! they outlive the owner.
 
 use std::collections::BinaryHeap;
 use std::time::Duration;
@@ -33,43 +35,44 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// Crashes in a row after which a job is given up, if the last one is conclusive.
+/// Crashes in a row after which a job is ended as crashed, if the last one is conclusive.
 const CRASH_LIMIT: usize = 3;
-/// Starts of a task that crashes its workers that are allowed after [`CRASH_LIMIT`].
+/// Starts beyond [`CRASH_LIMIT`] that are allowed for a task that crashes its workers.
 const EXTRA_STARTS: usize = 2;
-/// Crashes of several machines within this span may have one cause.
+/// Time within which crashes of several machines may have one cause.
 const CORRELATION_WINDOW: Duration = Duration::from_millis(200);
-/// A worker that is known to have outlived a start for this long may well have crashed by itself.
+/// A worker that is known to have survived a start for this long may well have crashed by itself.
 pub(crate) const SURVIVAL_THRESHOLD: Duration = Duration::from_millis(100);
-/// How long a worker that has a task on probation may let a hold wait.
+/// Maximum delay of the response to a heartbeat by a worker with a task on probation.
 pub(crate) const PROBATION_HEARTBEAT_WAIT: Duration = Duration::from_millis(75);
-/// A worker that outlives a start by this long did not die of the start itself.
+/// A worker that survives a start for this long did not crash because of the start itself.
 pub(crate) const START_CRASH_WINDOW: Duration = Duration::from_millis(500);
-/// How long nothing else begins beside a task on probation. Jobs of a small cell wait for that long wherever they
-/// would go, so it stays well below the seconds within which every task starts.
+/// Time during which nothing else begins beside a task on probation. Jobs of a small cell wait that
+/// long wherever they could go, so it stays well below the seconds within which every task starts.
 const PROBATION_ISOLATION: Duration = Duration::from_millis(1000);
-/// A task that has worked for this long without a crash is no suspect any more.
+/// Running time without a crash after which a task is no longer a suspect.
 const CLEARED_AFTER: Duration = Duration::from_millis(1500);
-/// How long a crash speaks against the machine.
+/// Time for which a crash counts against the machine.
 pub(crate) const MACHINE_CRASH_WINDOW: Duration = Duration::from_secs(20);
-/// A worker that answered this long before a start which it didn't answer was alive when the start was sent.
+/// A worker that answered this shortly before a start which it left unanswered was alive when the
+/// start was sent.
 const LIVENESS_WINDOW: Duration = Duration::from_millis(100);
 
-/// How far a crash of its worker speaks against a run that may have caused it.
+/// Strength of the evidence that a run caused the crash of its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Evidence {
-    /// Nobody knows when the run began, if it did: its worker has never listed it to this owner, and an earlier owner placed
-    /// it or its start went unanswered.
+    /// It is unknown when the run began, if it did: its worker has never listed it to this owner,
+    /// and a previous owner placed it or its start is unanswered.
     Unconfirmed,
-    /// The run isn't the only one that may have caused it, its worker may have outlived its start, or another machine crashed
-    /// at the same moment.
+    /// Another run may have caused the crash, the worker may have survived the start, or another
+    /// machine crashed at the same moment.
     Circumstantial,
-    /// Nothing but the run explains it.
+    /// Only the run explains the crash.
     Conclusive,
 }
 
 impl Evidence {
-    /// Returns how many crashes in a row are enough to give a job up, the last of which speaks so far against it.
+    /// Returns how many crashes in a row end a job, given the evidence of the last one.
     fn crash_limit(self) -> usize {
         match self {
             Evidence::Conclusive => CRASH_LIMIT,
@@ -83,12 +86,12 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Crash {
     pub(crate) at: Time,
-    /// Whether a run was shown to have caused it.
+    /// Whether the crash is attributed to a run.
     attributed: bool,
 }
 
 impl Hosted {
-    /// Tells whether its worker may have begun it.
+    /// Returns `true` if the worker may have begun the run.
     fn may_have_begun(&self) -> bool {
         if self.carried_over {
             return false;
@@ -103,26 +106,26 @@
         }
     }
 
-    /// Tells whether it is about to be started.
+    /// Returns `true` if the run is about to be started.
     pub(crate) fn is_starting(&self) -> bool {
         matches!(self.stage, Stage::Intended { .. } | Stage::Starting { .. })
     }
 
-    /// Tells whether its start is to be repeated, which is harmless, to see that its worker has outlived it: the answer
-    /// to a hold may wait for longer.
+    /// Returns `true` if the start is to be resent as a liveness probe, which is harmless: the
+    /// response to a heartbeat may take longer.
     pub(crate) fn needs_probe(&self) -> bool {
         is_on_probation(self.crashes) && !self.probed && matches!(self.stage, Stage::Running { .. })
     }
 
-    /// Tells whether it has run for so long.
+    /// Returns `true` if the run has been running for at least `span`.
     fn has_run_for(&self, span: Duration, now: Time) -> bool {
         matches!(self.stage, Stage::Running { since } if now >= since + span)
     }
 }
 
 impl Task {
-    /// Counts a run that ended failed; returns `true` if the task may not be started once more. After [`CRASH_LIMIT`] such a run
-    /// counts like one that crashed its worker.
+    /// Counts a failed run; returns `true` if the task may not be started again. After
+    /// [`CRASH_LIMIT`] crashes, a failed run counts like a crash of its worker.
     pub(crate) fn count_failed_run(&mut self, attempt: id::Attempt) -> bool {
         if self.crashed.len() >= CRASH_LIMIT && !self.crashed.contains(&attempt) {
             self.crashed.push(attempt);
@@ -130,14 +133,15 @@
         self.crashed.len() >= CRASH_LIMIT + EXTRA_STARTS
     }
 
-    /// Tells whether the next crash under it may be the last.
+    /// Returns `true` if the next crash of its worker may end the job.
     pub(crate) fn is_on_probation(&self) -> bool {
         is_on_probation(self.crashed.len())
     }
 }
 
-/// Returns when a run was begun at the latest, if that is known: neither of one whose start went unanswered, which may be
-/// carried out at any time, nor of one that an earlier owner placed, until their worker has listed them.
+/// Returns the latest time at which a run can have begun, if it is known. Until their worker has
+/// listed them, it is unknown for a run whose start is unanswered, which may be carried out at any
+/// time, and for a run that a previous owner placed.
 fn known_start(hosted: &Hosted) -> Option<Time> {
     match hosted.stage {
         Stage::Starting { unsettled: true, .. } => None,
@@ -151,32 +155,33 @@
 }
 
 impl Worker {
-    /// Returns for how long it is known to have outlived the start of a run; none at all for one that an earlier
-    /// owner placed and that was never listed to this one.
+    /// Returns how long the worker is known to have survived the start of a run: zero for a run
+    /// that a previous owner placed and that was never listed to this one.
     fn survival_time(&self, hosted: &Hosted) -> Duration {
-        let (Some(answer), Some(begun)) = (self.last_answer, known_start(hosted)) else {
+        let (Some(answer), Some(started)) = (self.last_answer, known_start(hosted)) else {
             return Duration::ZERO;
         };
-        answer.saturating_sub(begun)
+        answer.saturating_sub(started)
     }
 
-    /// Tells whether any task is on probation there.
+    /// Returns `true` if any task on the worker is on probation.
     pub(crate) fn has_task_on_probation(&self) -> bool {
         self.suspects > 0 && self.runs.values().any(|hosted| is_on_probation(hosted.crashes))
     }
 
-    /// Returns `true` if a task on probation has begun there too lately for anything else to begin, unless it is another
-    /// member of a gang.
+    /// Returns `true` if a task on probation has begun on the worker too recently for anything else
+    /// to begin, except for other members of its gang.
     pub(crate) fn has_recent_probation_start(&self, step: StepId, gang: bool, now: Time) -> bool {
-        let member = |run: &Run| gang && run.task.step_id() == step;
-        let keeps = |hosted: &Hosted| {
+        let is_member = |run: &Run| gang && run.task.step_id() == step;
+        let is_recent = |hosted: &Hosted| {
             is_on_probation(hosted.crashes) && !hosted.has_run_for(PROBATION_ISOLATION, now)
         };
-        self.suspects > 0 && self.runs.iter().any(|(run, hosted)| keeps(hosted) && !member(run))
+        self.suspects > 0
+            && self.runs.iter().any(|(run, hosted)| is_recent(hosted) && !is_member(run))
     }
 
-    /// Returns the runs that may have crashed it: suspects that aren't cleared, and beside them what had begun just
-    /// before; where nothing had, what hadn't worked for long.
+    /// Returns the runs that may have crashed the worker: suspects that aren't cleared and runs
+    /// that had begun just before, or, if none had, runs that hadn't run for long.
     fn crash_candidates(&self) -> Vec<Run> {
         let within = |span: Duration| {
             self.runs.iter().filter(move |(_, hosted)| {
@@ -184,50 +189,53 @@
             })
         };
         let is_suspect = |(_, hosted): &(&Run, &Hosted)| hosted.crashes > 0;
-        // What has begun just before explains a crash better than a suspect that had worked for a while. A run of which
-        // nobody knows when it began explains nothing.
-        let is_dated = |(_, hosted): &(&Run, &Hosted)| known_start(hosted).is_some();
-        let (young, suspected) = match within(START_CRASH_WINDOW).find(is_dated) {
+        // A run that began just before explains a crash better than a suspect that had run for a
+        // while. A run whose begin is unknown explains nothing.
+        let has_known_start = |(_, hosted): &(&Run, &Hosted)| known_start(hosted).is_some();
+        let (recent_span, suspect_span) = match within(START_CRASH_WINDOW).find(has_known_start) {
             Some(_) => (START_CRASH_WINDOW, PROBATION_ISOLATION),
             None => (CLEARED_AFTER, CLEARED_AFTER),
         };
-        let suspects = within(suspected).filter(is_suspect);
-        let fresh = within(young).filter(|row| !is_suspect(row));
-        suspects.chain(fresh).map(|(run, _)| *run).collect()
+        let suspects = within(suspect_span).filter(is_suspect);
+        let others = within(recent_span).filter(|hosted_run| !is_suspect(hosted_run));
+        suspects.chain(others).map(|(run, _)| *run).collect()
     }
 
-    /// Returns how far its crash speaks against a run, one of those that may have caused it.
-    fn evidence(&self, run: Run, candidates: &[Run], is_coincident: bool) -> Evidence {
+    /// Returns the evidence of a crash against a run, one of the `candidates` that may have caused
+    /// it.
+    fn evidence(&self, run: Run, candidates: &[Run], is_correlated: bool) -> Evidence {
         if known_start(&self.runs[&run]).is_none() {
             Evidence::Unconfirmed
-        } else if self.blames_single_job(candidates) && !is_coincident {
+        } else if self.blames_single_job(candidates) && !is_correlated {
             Evidence::Conclusive
         } else {
             Evidence::Circumstantial
         }
     }
 
-    /// Tells whether its crash speaks against one job alone: nothing else may have caused it, nor was a suspect of
-    /// another job there that isn't cleared; and it was alive when this owner started the run.
+    /// Returns `true` if the crash counts against a single job: no run of another job may have
+    /// caused it, no uncleared suspect of another job was there, and the worker was alive when this
+    /// owner started the run.
     fn blames_single_job(&self, candidates: &[Run]) -> bool {
         let Some(first) = candidates.first() else { return false };
-        let died_of_it = |run: &Run| {
+        let crashed_at_start = |run: &Run| {
             let start = self.runs[run].start_first_sent.zip(self.last_answer);
-            start.is_some_and(|(ordered, answer)| {
-                ordered <= answer + LIVENESS_WINDOW && answer < ordered + SURVIVAL_THRESHOLD
+            start.is_some_and(|(sent, answer)| {
+                sent <= answer + LIVENESS_WINDOW && answer < sent + SURVIVAL_THRESHOLD
             })
         };
-        let other = |run: &Run| run.task.job != first.task.job;
+        let is_other_job = |run: &Run| run.task.job != first.task.job;
         let mut suspects = self.runs.iter().filter(|(_, hosted)| hosted.crashes > 0);
-        candidates.iter().all(died_of_it)
-            && !candidates.iter().any(other)
-            && !suspects.any(|(run, _)| other(run))
+        candidates.iter().all(crashed_at_start)
+            && !candidates.iter().any(is_other_job)
+            && !suspects.any(|(run, _)| is_other_job(run))
     }
 }
 
 impl Planner {
-    /// A worker's incarnation is over. Counts the crash against what may have caused it, if it was one; returns the jobs
-    /// that are to be given up for it once their runs there have ended.
+    /// Handles the end of a worker's incarnation. If it was a crash, counts it against the runs
+    /// that may have caused it; returns the jobs that are to be ended for it once their runs there
+    /// have ended.
     pub(crate) fn count_crash(&mut self, worker: WorkerId) -> Vec<JobId> {
         let state = &self.workers[worker];
         if state.draining || state.maintenance_ordered || state.runs.is_empty() {
@@ -236,21 +244,21 @@
         self.log_crash(worker);
         let state = &self.workers[worker];
         let candidates = state.crash_candidates();
-        let is_coincident = self.is_correlated(state);
+        let is_correlated = self.is_correlated(state);
         let evidence: Vec<Evidence> =
-            candidates.iter().map(|&run| state.evidence(run, &candidates, is_coincident)).collect();
+            candidates.iter().map(|&run| state.evidence(run, &candidates, is_correlated)).collect();
         self.record_crash(worker, evidence.contains(&Evidence::Conclusive));
-        let mut over = Vec::new();
+        let mut to_end = Vec::new();
         for (run, evidence) in candidates.into_iter().zip(evidence) {
-            if self.count_crash_against(worker, run, evidence) && !over.contains(&run.task.job) {
-                over.push(run.task.job);
+            if self.count_crash_against(worker, run, evidence) && !to_end.contains(&run.task.job) {
+                to_end.push(run.task.job);
             }
         }
-        over
+        to_end
     }
 
-    /// Returns `true` if a worker's crash may share its cause with that of another machine just before, which no run was
-    /// shown to have caused.
+    /// Returns `true` if a worker's crash may have the same cause as that of another machine just
+    /// before, which isn't attributed to a run.
     fn is_correlated(&self, worker: &Worker) -> bool {
         self.crashed_at.iter().any(|(address, crash)| {
             let is_other = worker.address != Some(*address);
@@ -265,7 +273,7 @@
         self.crashed_at.insert(address, Crash { at: now, attributed });
     }
 
-    /// Counts a crash against a task; returns `true` if its job is to be given up.
+    /// Counts a crash against a task; returns `true` if its job is to be ended as crashed.
     fn count_crash_against(&mut self, worker: WorkerId, run: Run, evidence: Evidence) -> bool {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return false };
         let current = |task: &Task| task.place == Place::At(worker) && task.attempt == run.attempt;
@@ -274,7 +282,7 @@
         }
         let task = job.task_mut(run.task);
         if task.crashed.contains(&run.attempt) {
-            // Counted by an earlier owner, which didn't live to place the task again.
+            // Counted by a previous owner that died before it placed the task again.
             return false;
         }
         task.crashed.push(run.attempt);
@@ -287,7 +295,7 @@
         is_enough
     }
 
-    /// Gives jobs up whose tasks crash workers.
+    /// Ends jobs whose tasks crash workers.
     pub(crate) fn end_crashed_jobs(&mut self, jobs: Vec<JobId>) {
         for job in jobs {
             if self.jobs.get(&job).is_some_and(|job| job.end.is_none()) {
@@ -296,7 +304,7 @@
         }
     }
 
-    /// Clears the suspects on a worker that have worked there for long enough.
+    /// Clears the suspects on a worker that have run there for long enough.
     pub(crate) fn clear_suspects(&mut self, worker: WorkerId) {
         let now = self.now;
         if self.workers[worker].suspects == 0 {
@@ -315,33 +323,35 @@
         }
     }
 
-    /// Chooses a worker without another suspect for one that isn't on probation, if there is any among the rated ones
-    /// that still has room. A crashed rack leaves hundreds of suspects, so no worker is rated anew but the chosen.
+    /// Chooses a worker without a suspect for a suspect that isn't on probation, if one of the
+    /// candidates has none and still has room. A crashed rack leaves hundreds of suspects, so only
+    /// the chosen worker is scored again.
     pub(crate) fn choose_without_suspect(
         &self,
         request: &Request<'_>,
-        rated: &BinaryHeap<Candidate>,
+        candidates: &BinaryHeap<Candidate>,
     ) -> Option<WorkerId> {
-        let unshared = rated.iter().filter(|rated| self.workers[rated.worker].suspects == 0);
-        let best = unshared.max()?.worker;
+        let without_suspect =
+            candidates.iter().filter(|candidate| self.workers[candidate.worker].suspects == 0);
+        let best = without_suspect.max()?.worker;
         self.may_take(&self.workers[best], request).then_some(best)
     }
 
-    /// Tells which run had been started last on a worker whose incarnation is over without notice.
+    /// Logs which run was started last on a worker whose incarnation has ended without notice.
     fn log_crash(&mut self, worker: WorkerId) {
         let state = &self.workers[worker];
-        let begun = || state.runs.iter().filter(|(_, hosted)| hosted.may_have_begun());
-        let youngest = begun().max_by_key(|(_, hosted)| hosted.start_first_sent);
-        let count = begun().count();
-        let detail = match youngest {
+        let started = || state.runs.iter().filter(|(_, hosted)| hosted.may_have_begun());
+        let newest = started().max_by_key(|(_, hosted)| hosted.start_first_sent);
+        let count = started().count();
+        let detail = match newest {
             Some((_, hosted)) if hosted.start_first_sent.is_some() => format!(
-                "{count} runs; the youngest was ordered {} ms before the last answer",
+                "{count} runs; the newest start was sent {} ms before the last answer",
                 state.survival_time(hosted).as_millis()
             ),
-            Some(_) => format!("{count} runs that an earlier owner placed"),
+            Some(_) => format!("{count} runs that a previous owner placed"),
             None => String::from("no runs"),
         };
-        let run = youngest.map(|(run, _)| *run);
+        let run = newest.map(|(run, _)| *run);
         let name = state.name.clone();
         self.note(LogEvent::WorkerCrashed, run.map(|run| run.task.job), run, Some(name), detail);
     }
--- a/crates/planner/src/disruption.rs
+++ b/crates/planner/src/disruption.rs
@@ -1,8 +1,9 @@
-//! Which tasks that last a step can spare.
+//! Disruption budgets of service tasks.
 //!
-//! Pattern answered: tasks that last serve users of their own, who are served as long as only a few of
-//! a step's tasks are away. Its client says how many; whatever the system does on its own keeps to
-//! that, and a task counts as away from when its worker is to go down until it is at work again.
+//! Service tasks have users of their own, who are served as long as only a few of a step's tasks
+//! are unavailable. The client sets that limit, and whatever the system does on its own respects
+//! it. A task counts as unavailable from the time when its worker is to shut down until it is
+//! available again.
 
 use std::collections::BTreeMap;
 
@@ -17,12 +18,12 @@
 use crate::planner::Planner;
 use crate::worker::WorkerId;
 
-/// Tasks of a step that may be away at once where its client doesn't say: the least that lets
+/// Tasks of a step that may be unavailable at once if its client doesn't say: the minimum that lets
 /// anything be moved.
 const DEFAULT_MAX_UNAVAILABLE: u32 = 1;
 
 impl Planner {
-    /// Counts a worker's tasks that last by their steps.
+    /// Groups a worker's service tasks by step.
     fn service_runs_by_step(&self, worker: WorkerId) -> BTreeMap<StepId, Vec<Run>> {
         let mut steps: BTreeMap<StepId, Vec<Run>> = BTreeMap::new();
         for run in self.workers[worker].runs_where(|hosted| hosted.long_running) {
@@ -31,7 +32,7 @@
         steps
     }
 
-    /// Tells whether every step that lasts can spare its tasks on a worker, all at once.
+    /// Returns `true` if every service step can spare all its tasks on a worker at once.
     pub(crate) fn is_within_disruption_budget(&self, worker: WorkerId) -> bool {
         let steps = self.service_runs_by_step(worker);
         steps.iter().all(|(step, runs)| {
@@ -39,39 +40,39 @@
         })
     }
 
-    /// Moves a task off a worker that runs more of one step than may be away at once.
+    /// Moves a task off a worker that runs more tasks of one step than may be unavailable at once.
     pub(crate) fn move_excess_service_task(&mut self, worker: Option<WorkerId>) {
         let Some(worker) = worker else { return };
         for (step, runs) in self.service_runs_by_step(worker) {
-            let most = self.max_unavailable(step);
-            let Some(&run) = runs.last().filter(|_| runs.len() > most) else { continue };
+            let max_tasks = self.max_unavailable(step);
+            let Some(&run) = runs.last().filter(|_| runs.len() > max_tasks) else { continue };
             let moving = runs.iter().any(|run| {
                 self.workers[worker].runs.get(run).is_some_and(|hosted| hosted.is_stopping())
             });
-            if !moving && self.unavailable_elsewhere(step, worker) < most {
+            if !moving && self.unavailable_elsewhere(step, worker) < max_tasks {
                 self.avoid_worker(worker, run);
                 self.stop_run(worker, run, Reason::WorkerDraining);
             }
         }
     }
 
-    /// Returns how many tasks of a step its client allows to be away at once.
+    /// Returns how many tasks of a step its client allows to be unavailable at once.
     fn max_unavailable(&self, step: StepId) -> usize {
         let job = self.jobs.get(&step.job);
-        let most = job.and_then(|job| job.spec(step.step).max_unavailable);
-        most.unwrap_or(DEFAULT_MAX_UNAVAILABLE) as usize
+        let max_tasks = job.and_then(|job| job.spec(step.step).max_unavailable);
+        max_tasks.unwrap_or(DEFAULT_MAX_UNAVAILABLE) as usize
     }
 
-    /// Counts a step's tasks that aren't at work, or soon won't be, beside those on one worker.
-    fn unavailable_elsewhere(&self, step: StepId, beside: WorkerId) -> usize {
+    /// Counts a step's tasks that are unavailable, or soon will be, except for those on one worker.
+    fn unavailable_elsewhere(&self, step: StepId, except: WorkerId) -> usize {
         let state = self.jobs.get(&step.job).and_then(|job| job.step(step));
         let tasks = state.into_iter().flat_map(|state| state.tasks.iter().enumerate());
-        let elsewhere = tasks.filter(|(_, task)| task.place != Place::At(beside));
-        let away = elsewhere.filter(|(index, task)| {
+        let elsewhere = tasks.filter(|(_, task)| task.place != Place::At(except));
+        let unavailable = elsewhere.filter(|(index, task)| {
             let id = step.task(*index as id::TaskIndex);
             !self.is_available(id, task.place, task.attempt)
         });
-        away.count()
+        unavailable.count()
     }
 
     fn is_available(&self, task: TaskId, place: Place, attempt: id::Attempt) -> bool {
--- a/crates/planner/src/evacuation.rs
+++ b/crates/planner/src/evacuation.rs
@@ -1,12 +1,14 @@
 //! Evacuated failure domains.
 //!
-//! Load pattern: an operator empties a failure domain while the cell is busy, so a third of the room is gone for new
-//! work at once, and comes back later all at once. Nothing more is started there from then on; starts that were
-//! decided on and not sent are withdrawn and placed elsewhere. What runs there goes on to its end: stopping it throws
-//! work away just when the rest of the cell has the least room.
+//! An operator evacuates a failure domain while the cell is busy: a third of the capacity is
+//! unavailable for new work at once, and comes back all at once later. Nothing more is started in
+//! the domain; starts that were decided on but not sent are withdrawn and placed elsewhere. Runs
+//! there continue to their end, since stopping them would waste work just when the rest of the cell
+//! has the least free capacity.
 //!
-//! The set of evacuated domains outlives an ownership, as the configuration does: an owner is told the whole set before
-//! it owns the cell, and again whenever it changes. Nothing is restored on silence.
+//! The set of evacuated domains outlives an ownership, as the configuration does: an owner receives
+//! the whole set before it owns the cell, and again whenever it changes. Missing information never
+//! restores a domain.
 
 use std::collections::BTreeSet;
 
@@ -18,7 +20,7 @@
 use crate::worker::WorkerId;
 
 impl Planner {
-    /// Takes over which failure domains are evacuated, in place of what was known.
+    /// Replaces the set of evacuated failure domains.
     pub(crate) fn set_evacuated(&mut self, domains: BTreeSet<id::Domain>) {
         let before = std::mem::replace(&mut self.evacuated, domains);
         if before == self.evacuated {
@@ -52,7 +54,7 @@
         !self.evacuated.is_empty() && self.evacuated.contains(&worker.domain)
     }
 
-    /// Returns how many runs are still in each evacuated failure domain.
+    /// Returns the number of remaining runs in each evacuated failure domain.
     pub(crate) fn evacuated_runs(&self) -> Vec<(id::Domain, i64)> {
         let count = |domain: &id::Domain| (domain.clone(), self.runs_in(domain) as i64);
         self.evacuated.iter().map(count).collect()
@@ -63,7 +65,7 @@
     }
 
     fn workers_in(&self, domain: &id::Domain) -> Vec<WorkerId> {
-        let there = self.workers.iter().filter(|(_, worker)| worker.domain == *domain);
-        there.map(|(id, _)| id).collect()
+        let in_domain = self.workers.iter().filter(|(_, worker)| worker.domain == *domain);
+        in_domain.map(|(id, _)| id).collect()
     }
 }
--- a/crates/planner/src/gang.rs
+++ b/crates/planner/src/gang.rs
@@ -1,8 +1,8 @@
 //! Steps whose tasks work only together.
 //!
-//! Pattern answered: half a gang holds room and does nothing. So a gang gets room for the whole or
-//! none at all, all its runs share one attempt, and when one of them ends otherwise than done the
-//! rest is stopped at once. One end that is done stands for all.
+//! Half a gang reserves capacity and does nothing. So a gang is placed as a whole or not at all,
+//! all its runs share one attempt, and when one of them ends without being done, the rest is
+//! stopped at once. One run that ends done completes the whole gang.
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::id;
@@ -18,23 +18,23 @@
 use crate::worker::WorkerId;
 
 impl Planner {
-    /// Places a whole gang, or nothing of it; tells whether it did. One that fills and starves goes where it costs the
-    /// least, though it pays nowhere.
+    /// Places a whole gang or none of it; returns `true` if it did. A starving best-effort gang is
+    /// placed where it costs the least, even if it isn't worthwhile there.
     pub(crate) fn place_gang(
         &mut self,
         step: StepId,
         spec: &Step,
         open: &[WorkerId],
-        starves: bool,
+        is_starving: bool,
     ) -> bool {
         let Some(state) = self.jobs[&step.job].step(step) else { return false };
         if !state.tasks.iter().all(|task| task.is_ready(self.now)) {
             return false;
         }
         let since = self.probation_since(step);
-        let quiet = since.map(|since| self.probation_workers(since, open));
-        let usable = quiet.as_deref().unwrap_or(open);
-        if self.count_slots(step, spec, usable, starves) < u64::from(spec.count) {
+        let suitable = since.map(|since| self.probation_workers(since, open));
+        let usable = suitable.as_deref().unwrap_or(open);
+        if self.count_slots(step, spec, usable, is_starving) < u64::from(spec.count) {
             if let Some(since) = since {
                 self.isolate_workers(step, spec, since, open);
             }
@@ -45,14 +45,15 @@
         let checkpoint = state.tasks.iter().find_map(|task| task.checkpoint.clone());
         let mut placed = Vec::with_capacity(spec.count as usize);
         for task in self.pinned_first(step, spec.count) {
-            let only = self.is_pinned(task).then(|| self.pinned_open(task, open));
-            let open = only.as_deref().unwrap_or(open);
-            let chosen = match starves {
+            let pinned = self.is_pinned(task).then(|| self.pinned_open(task, open));
+            let open = pinned.as_deref().unwrap_or(open);
+            let chosen = match is_starving {
                 true => self.least_cost_worker(&Request::new(&self.interference, task, spec), open),
                 false => self.choose(task, spec, open),
             };
             let Some(worker) = chosen else {
-                // What presses on serving tasks is only known one by one.
+                // Interference with latency-critical tasks only becomes known as tasks are placed
+                // one by one.
                 self.roll_back_placements(&placed);
                 return false;
             };
@@ -70,20 +71,21 @@
         true
     }
 
-    /// Returns the tasks of a step, those first that have only one worker to go to.
+    /// Returns the tasks of a step, pinned ones first: they have only one worker to go to.
     fn pinned_first(&self, step: StepId, count: u32) -> Vec<TaskId> {
         let mut tasks: Vec<TaskId> = (0..count).map(|index| step.task(index)).collect();
         tasks.sort_by_key(|&task| !self.is_pinned(task));
         tasks
     }
 
-    /// Returns the worker that a task is pinned to if it is among those that are open and holds no run of the task.
+    /// Returns the worker that a task is pinned to, if it is one of `open` and holds no run of the
+    /// task.
     fn pinned_open(&self, task: TaskId, open: &[WorkerId]) -> Vec<WorkerId> {
         let takes = |id: &WorkerId| open.contains(id) && !self.has_run_of(*id, task);
         self.pinned_worker(task).filter(takes).into_iter().collect()
     }
 
-    /// Takes back places that were given in this pass.
+    /// Reverts placements of the current pass.
     fn roll_back_placements(&mut self, placed: &[(WorkerId, Run)]) {
         for &(worker, run) in placed {
             self.workers[worker].remove_run(run);
@@ -96,18 +98,19 @@
         }
     }
 
-    /// Counts the tasks of a step for which there is room, for one that starves also where they don't pay.
+    /// Counts the tasks of a step for which there is room; for a starving step also where they
+    /// aren't worthwhile.
     pub(crate) fn count_slots(
         &self,
         step: StepId,
         spec: &Step,
         open: &[WorkerId],
-        starves: bool,
+        is_starving: bool,
     ) -> u64 {
         let request = Request::new(&self.interference, step.task(0), spec);
         let slots = open.iter().map(|&id| {
             let worker = &self.workers[id];
-            let takes = match starves {
+            let takes = match is_starving {
                 true => self.has_room(worker, &request),
                 false => self.may_take(worker, &request),
             };
@@ -117,20 +120,22 @@
             let room = fit_count(spec, worker.room());
             match spec.max_per_worker {
                 0 => room,
-                most => room.min(u64::from(most.saturating_sub(worker.count_tasks(step.task(0))))),
+                per_worker => {
+                    room.min(u64::from(per_worker.saturating_sub(worker.count_tasks(step.task(0)))))
+                }
             }
         });
         slots.sum()
     }
 
-    /// Stops what is left of a gang after a member has ended.
+    /// Stops the remaining runs of a gang after a member has ended.
     pub(crate) fn stop_gang(&mut self, ended: Run) {
         for (worker, run) in self.placed_members(ended) {
             self.stop_run(worker, run, Reason::Gang);
         }
     }
 
-    /// A member has ended done, and with it the whole.
+    /// Completes a gang after one of its members has ended done.
     pub(crate) fn complete_gang(&mut self, worker: WorkerId, ended: Run) {
         let Some(job) = self.jobs.get_mut(&ended.task.job) else { return };
         let step = ended.task.step_id();
@@ -150,7 +155,7 @@
         }
     }
 
-    /// Returns the other members of a gang that have a place.
+    /// Returns the runs of the same gang that still have a place.
     fn placed_members(&self, ended: Run) -> Vec<(WorkerId, Run)> {
         let step = ended.task.step_id();
         let state = self.jobs.get(&step.job).and_then(|job| job.step(step));
@@ -167,11 +172,11 @@
     }
 }
 
-/// Counts how often a step's demand fits into some room.
+/// Returns how many tasks of a step fit into `room`, at most as many as the step has.
 pub(crate) fn fit_count(spec: &Step, room: Amount) -> u64 {
-    let part = |room: u32, each: u32| room.checked_div(each).map_or(u64::MAX, u64::from);
-    let cpu = if spec.fills { u64::MAX } else { part(room.cpu_milli, spec.demand.cpu_milli) };
-    let memory = part(room.memory_mib, spec.demand.memory_mib);
-    let accelerators = part(room.accelerators.into(), spec.demand.accelerators.into());
+    let times = |room: u32, each: u32| room.checked_div(each).map_or(u64::MAX, u64::from);
+    let cpu = if spec.fills { u64::MAX } else { times(room.cpu_milli, spec.demand.cpu_milli) };
+    let memory = times(room.memory_mib, spec.demand.memory_mib);
+    let accelerators = times(room.accelerators.into(), spec.demand.accelerators.into());
     cpu.min(memory).min(accelerators).min(u64::from(spec.count))
 }
--- a/crates/planner/src/health.rs
+++ b/crates/planner/src/health.rs
@@ -1,23 +1,23 @@
-//! Whether a worker spoils what it is given.
+//! Quarantine of faulty workers.
 //!
-//! Pattern answered: a worker that fails, refuses or stalls all it starts while it looks well, and
-//! draws work because it is always free. A task that fails everywhere must not make good workers
-//! look bad, so a failure counts only against a worker if the task has not failed elsewhere, and a
-//! finished task wipes strikes out.
+//! A worker that fails, refuses or stalls every run while it looks healthy attracts work because it
+//! is always free. A task that fails everywhere must not make healthy workers look faulty, so a
+//! failure counts against a worker only if the task hasn't failed elsewhere, and a finished task
+//! resets the count.
 
 use std::time::Duration;
 
 use cowslipchute_base::id::Time;
 
-/// Strikes after which a worker is left alone: three in a row without a success are rare by chance
-/// where one run in twenty fails.
+/// Failures after which a worker is quarantined: three in a row without a success are rare by
+/// chance where one run in twenty fails.
 const FAILURE_LIMIT: u32 = 3;
-/// First pause of a worker that is left alone.
+/// First quarantine of a worker.
 const MIN_QUARANTINE: Duration = Duration::from_secs(2);
-/// Longest pause; a worker that is well again is back in use soon after.
+/// Longest quarantine; a worker that has recovered is in use again soon after.
 const MAX_QUARANTINE: Duration = Duration::from_secs(8);
 
-/// What is known of a worker's recent runs.
+/// Recent results of a worker's runs.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
     consecutive_failures: u32,
@@ -25,20 +25,20 @@
 }
 
 impl Health {
-    /// A run finished.
+    /// Records a finished run.
     pub(crate) fn record_success(&mut self) {
         self.consecutive_failures = 0;
         self.quarantine = Duration::ZERO;
     }
 
-    /// A run failed, stalled or was refused; returns until when the worker is left alone, if it
-    /// should be.
+    /// Records a run that failed, stalled or was refused; returns the end of the quarantine if the
+    /// worker is to be quarantined.
     pub(crate) fn record_failure(&mut self, now: Time) -> Option<Time> {
         self.consecutive_failures += 1;
         if self.consecutive_failures < FAILURE_LIMIT {
             return None;
         }
-        // One more strike after the pause is enough to renew it.
+        // After the quarantine, one more failure renews it.
         self.consecutive_failures = FAILURE_LIMIT - 1;
         self.quarantine = (self.quarantine * 2).clamp(MIN_QUARANTINE, MAX_QUARANTINE);
         Some(now + self.quarantine)
--- a/crates/planner/src/incarnations.rs
+++ b/crates/planner/src/incarnations.rs
@@ -1,22 +1,22 @@
-//! Incarnations of workers: when one is over, and what its successor may hold.
+//! The end of a worker's incarnation, and what its successor may hold.
 //!
-//! Pattern answered: a machine dies, or a rack of them, and its tasks wait until the deadline that its
-//! worker may have been given has surely passed, ten seconds and more; an owner after the other begins
-//! that wait anew, and tasks that last were seen to wait for twenty. Three words tell sooner that an
-//! incarnation is over:
+//! When a machine or a rack fails, its tasks would wait until the lease that their worker may have
+//! been granted has expired, which takes ten seconds and more. Each new owner begins that wait
+//! anew, so that service tasks waited for twenty seconds. Three sources show earlier that an
+//! incarnation has ended:
 //!
-//! - an account of another start of the worker, or one whose clock has gone back;
-//! - a later start's entry in the directory;
-//! - the list of machines, which names the worker on each: a silent one that it doesn't name is over.
-//!   One that is only cut off is named there and waited for. While the list can't be had the deadlines
-//!   are waited for as ever.
+//! - a report of another start of the worker, or one whose clock has gone back;
+//! - a directory entry of a later start;
+//! - the machine list, which names the worker on each machine: a silent worker that it doesn't name
+//!   has ended. A worker that is only partitioned is named there and waited for. While the list is
+//!   unavailable, leases are waited for as usual.
 //!
-//! Nothing that was read of one incarnation holds for the next: not its numbers of ends, its clock, its
-//! deadline, its tickets, nor what runs there. A call carries the worker's name alone, so one that was
-//! meant for the incarnation before is carried out by the next, at once or seconds later. Orders to the
-//! next therefore rank above all orders to the one before ([`Worker::command_epoch`]), and from its first
-//! answer to one of them it refuses the others. Until then a run whose start may still be on its way
-//! keeps its place.
+//! Nothing that was read of one incarnation holds for the next: not its end numbers, clock, lease,
+//! tickets or runs. A request carries the worker's name alone, so one that was meant for the
+//! previous incarnation is carried out by the next, at once or seconds later. Commands to the next
+//! incarnation therefore have a higher epoch than all commands to the previous one
+//! ([`Worker::command_epoch`]), and from its first response to one of them it refuses the others.
+//! Until then, a run whose start may still be in flight keeps its place.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -42,43 +42,45 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// How much later than the directory the list may name a new worker: it tells nothing of one that
-/// became known less than this before it was asked for. Workers write to the directory each second or two.
+/// Delay of the machine list against the directory: the list says nothing of a worker that became
+/// known less than this before it was requested. Workers write to the directory every one or two
+/// seconds.
 const MACHINE_LIST_LAG: Duration = Duration::from_secs(2);
 
 impl Worker {
-    /// Tells whether a list that was asked for then would name this worker, were it not over.
-    fn should_be_listed(&self, asked: Time) -> bool {
+    /// Returns `true` if a list that was requested at `requested_at` would name this worker unless it has
+    /// ended.
+    fn should_be_listed(&self, requested_at: Time) -> bool {
         let silent = match self.contact {
-            Contact::Unfenced { since } | Contact::Silent { at: since } => since < asked,
+            Contact::Unfenced { since } | Contact::Silent { at: since } => since < requested_at,
             Contact::Answering { .. } => false,
         };
-        silent && self.first_seen + MACHINE_LIST_LAG <= asked
+        silent && self.first_seen + MACHINE_LIST_LAG <= requested_at
     }
 
-    /// Tells whether an entry of the directory is of an earlier incarnation.
+    /// Returns `true` if this incarnation is later than that of a directory entry.
     pub(crate) fn is_newer_than(&self, registration: &Registration) -> bool {
         self.started_at.zip(registration.born).is_some_and(|(known, listed)| listed < known)
     }
 
-    /// Tells whether an account is of a later incarnation. Each account was asked for after the one before had come,
-    /// so a clock that has gone back is another one.
+    /// Returns `true` if a report is from a later incarnation. Each report was requested after the
+    /// previous one had arrived, so a clock that has gone back belongs to another incarnation.
     pub(crate) fn is_older_than(&self, report: &Report) -> bool {
         match (self.started_at, report.born) {
-            (Some(known), Some(born)) => known != born,
+            (Some(known), Some(reported)) => known != reported,
             _ => self.clock_reading.is_some_and(|reading| report.clock < reading.stamp),
         }
     }
 
-    /// Tells whether a start of a run may yet reach the next incarnation: one that went without an answer, or one of an
-    /// earlier owner, which this incarnation hasn't been told to refuse.
+    /// Returns `true` if a start of a run may still reach the next incarnation: one that is
+    /// unanswered, or one of a previous owner that this incarnation hasn't been told to refuse.
     fn may_start_late(&self, hosted: &Hosted, now: Time) -> bool {
         let unfenced = matches!(self.contact, Contact::Unfenced { .. });
         hosted.has_outstanding_start(now) || (unfenced && matches!(hosted.stage, Stage::Inherited))
     }
 
-    /// The next incarnation at the same place; the directory has yet to tell what it has.
-    fn successor(&self, rank: u32, now: Time) -> Worker {
+    /// Returns the next incarnation at the same address, whose directory entry has yet to arrive.
+    fn successor(&self, generation: u32, now: Time) -> Worker {
         Worker {
             address: self.address,
             service: self.service.clone(),
@@ -87,72 +89,76 @@
             rack: self.rack.clone(),
             capacity: self.capacity,
             first_seen: now,
-            ..Worker::unlisted(self.name.clone(), rank, now)
+            ..Worker::unlisted(self.name.clone(), generation, now)
         }
     }
 }
 
 impl Planner {
-    /// Tells whether the machines have to be listed, now and then: for a wave, or since tasks wait
-    /// for a silent worker.
+    /// Returns `true` if the machines have to be listed from time to time: for a rollout, or since
+    /// tasks wait for a silent worker.
     pub fn needs_machine_list(&self) -> bool {
         let waited_for = |worker: &Worker| !worker.answers() && !worker.runs.is_empty();
-        self.has_waves() || self.workers.iter().any(|(_, worker)| waited_for(worker))
+        self.has_rollouts() || self.workers.iter().any(|(_, worker)| waited_for(worker))
     }
 
     /// Ends the incarnations of silent workers that no machine runs any more.
-    pub(crate) fn end_absent_workers(&mut self, machines: &[Machine], asked: Time) {
+    pub(crate) fn end_absent_workers(&mut self, machines: &[Machine], requested_at: Time) {
         let names: HashSet<&id::Instance> =
             machines.iter().filter_map(|machine| machine.worker.as_ref()).collect();
-        // A list that doesn't hold the workers which answer tells nothing about the others.
+        // A list without the workers that answer says nothing about the others.
         let listed = |worker: &Worker| names.contains(&worker.name);
         if self.workers.iter().any(|(_, worker)| worker.answers() && !listed(worker)) {
             return;
         }
-        let over: Vec<WorkerId> = self
+        let absent: Vec<WorkerId> = self
             .workers
             .iter()
-            .filter(|(_, worker)| worker.should_be_listed(asked) && !listed(worker))
+            .filter(|(_, worker)| worker.should_be_listed(requested_at) && !listed(worker))
             .map(|(id, _)| id)
             .collect();
-        for worker in over {
+        for worker in absent {
             self.end_absent_worker(worker);
         }
     }
 
-    /// A machine runs a worker no more. It may start again under its name, and carry out what is on its way there.
+    /// Ends a worker that no machine runs any more. It may restart under its name and carry out
+    /// starts that are in flight.
     fn end_absent_worker(&mut self, worker: WorkerId) {
         let now = self.now;
-        let is_out =
+        let is_in_flight =
             |hosted: &Hosted| hosted.starts_in_flight > 0 && hosted.has_outstanding_start(now);
-        if self.workers[worker].runs.values().any(is_out) {
-            self.replace_incarnation(worker, None, |_, _, hosted| is_out(hosted));
+        if self.workers[worker].runs.values().any(is_in_flight) {
+            self.replace_incarnation(worker, None, |_, _, hosted| is_in_flight(hosted));
         } else {
             self.end_incarnation(worker);
         }
     }
 
-    /// Takes in which incarnation wrote an entry; returns that one.
+    /// Returns the incarnation that wrote a directory entry, after replacing an older one that is
+    /// known.
     pub(crate) fn match_incarnation(
         &mut self,
         worker: WorkerId,
         registration: &Registration,
     ) -> WorkerId {
-        let Some(born) = registration.born else { return worker };
-        if self.workers[worker].started_at.is_some_and(|known| known < born) {
+        let Some(started_at) = registration.born else { return worker };
+        if self.workers[worker].started_at.is_some_and(|known| known < started_at) {
             let now = self.now;
             let may_hold = |state: &Worker, _, hosted: &Hosted| state.may_start_late(hosted, now);
-            return self.replace_incarnation(worker, Some(born), may_hold);
+            return self.replace_incarnation(worker, Some(started_at), may_hold);
         }
-        self.workers[worker].started_at = Some(born);
+        self.workers[worker].started_at = Some(started_at);
         worker
     }
 
-    /// A later incarnation answers: whatever it doesn't account for is over, but for starts that may still reach it.
+    /// Replaces an incarnation by the later one that answers: all runs that the report doesn't list
+    /// have ended, except those whose starts may still arrive.
     pub(crate) fn replace_from_report(&mut self, worker: WorkerId, report: &Report) {
         let running = report.running.iter().map(|running| running.run);
         let held: HashSet<Run> = running.chain(report.ended.iter().map(|end| end.run)).collect();
-        // Where this was its first answer to this owner, it has been told to refuse the orders of all earlier ones.
+        // If this was its first response to this owner, it has been told to refuse the commands of
+        // all previous ones.
         let fenced = matches!(self.workers[worker].contact, Contact::Unfenced { .. });
         let now = self.now;
         self.replace_incarnation(worker, report.born, |state, run, hosted| {
@@ -160,36 +166,37 @@
         });
     }
 
-    /// A worker has started again under its name, or may have. The runs that the next incarnation may hold keep their
-    /// places until it has accounted for them; all else is over.
+    /// Replaces the incarnation of a worker that has restarted under its name, or may have. Runs
+    /// that the next incarnation may hold keep their places until it has reported on them; all
+    /// others have ended.
     fn replace_incarnation(
         &mut self,
         worker: WorkerId,
-        born: Option<id::Incarnation>,
+        started_at: Option<id::Incarnation>,
         may_hold: impl Fn(&Worker, Run, &Hosted) -> bool,
     ) -> WorkerId {
-        self.log_restart(worker, born);
-        let over = self.count_crash(worker);
+        self.log_restart(worker, started_at);
+        let crashed_jobs = self.count_crash(worker);
         let state = &self.workers[worker];
         let runs = state.runs.iter().filter(|(run, hosted)| may_hold(state, **run, hosted));
         let kept: Vec<Run> = runs.map(|(run, _)| *run).collect();
         self.incarnations_ended += 1;
         let mut successor = self.workers[worker].successor(self.incarnations_ended, self.now);
-        successor.started_at = born;
+        successor.started_at = started_at;
         let next = self.workers.insert(successor);
         self.workers_by_name.insert(self.workers[next].name.clone(), next);
         for run in kept {
             self.carry_over(worker, next, run);
         }
         self.end_all_runs(worker);
-        self.end_crashed_jobs(over);
+        self.end_crashed_jobs(crashed_jobs);
         self.workers.remove(worker);
         self.timers.insert((self.now + EXPIRY_CHECK_INTERVAL, Timer::LeaseExpiry(next)));
         self.schedule_heartbeat(next, self.now);
         next
     }
 
-    /// Moves a run to the next incarnation, whose account tells whether it is there.
+    /// Moves a run to the next incarnation, whose report shows whether it is there.
     fn carry_over(&mut self, worker: WorkerId, next: WorkerId, run: Run) {
         let Some(hosted) = self.workers[worker].remove_run(run) else { return };
         let stage = match hosted.stage {
@@ -218,15 +225,15 @@
         }
     }
 
-    fn log_restart(&mut self, worker: WorkerId, born: Option<id::Incarnation>) {
+    fn log_restart(&mut self, worker: WorkerId, started_at: Option<id::Incarnation>) {
         let state = &self.workers[worker];
-        let told = |born: Option<id::Incarnation>| {
-            born.map_or(String::from("an untold time"), |born| born.to_string())
+        let text = |started_at: Option<id::Incarnation>| {
+            started_at.map_or(String::from("an unknown time"), |started_at| started_at.to_string())
         };
         let detail = format!(
-            "started at {}, then at {}; {} runs, ends up to {} taken in, {} acknowledged",
-            told(state.started_at),
-            told(born),
+            "started at {}, then at {}; {} runs, ends up to {} read, {} acknowledged",
+            text(state.started_at),
+            text(started_at),
             state.runs.len(),
             state.last_end_seen,
             state.acknowledged
@@ -235,8 +242,8 @@
         self.note(LogEvent::WorkerRestarted, None, None, Some(name), detail);
     }
 
-    /// A worker has answered at an address, which has one at a time: whichever other was there is
-    /// over. An entry alone, which anybody may write, ends none.
+    /// Ends every other worker at the address of a worker that has answered there: an address has
+    /// one at a time. A directory entry alone, which anybody may write, ends none.
     pub(crate) fn end_others_at_address(&mut self, worker: WorkerId) {
         let address = self.workers[worker].address;
         let others = self.workers.iter().filter(|(id, other)| {
@@ -248,18 +255,19 @@
         }
     }
 
-    /// A worker is over and a worker of another name has its place, or none: whatever ran there is over.
+    /// Ends a worker whose place is taken by a worker of another name, or by none: all its runs
+    /// have ended.
     pub(crate) fn end_incarnation(&mut self, worker: WorkerId) {
         let name = self.workers[worker].name.clone();
         self.note(LogEvent::WorkerReplaced, None, None, Some(name), "");
-        let over = self.count_crash(worker);
+        let crashed_jobs = self.count_crash(worker);
         self.end_all_runs(worker);
-        self.end_crashed_jobs(over);
+        self.end_crashed_jobs(crashed_jobs);
         self.unpin_worker(worker);
         self.forget_incarnation(worker);
     }
 
-    /// Forgets a worker of which nothing is waited for.
+    /// Forgets a worker that nothing waits for.
     pub(crate) fn forget_incarnation(&mut self, worker: WorkerId) {
         let Some(state) = self.workers.remove(worker) else { return };
         self.incarnations_ended += 1;
--- a/crates/planner/src/pin.rs
+++ b/crates/planner/src/pin.rs
@@ -1,16 +1,19 @@
-//! Tasks that may be started on one worker only, since an earlier start of theirs is outstanding there.
+//! Tasks that may be started on one worker only, since an earlier start of theirs is outstanding
+//! there.
 //!
-//! Failure pattern: a start goes unanswered, its worker restarts and accounts for its runs without it, and the task is
-//! started elsewhere. The worker restarts once more behind a partition. That incarnation hasn't been fenced yet, carries
-//! the old start out, and the task runs twice. Nothing recalls such a start, and waiting until it can't be carried out any
-//! more takes longer than a task may wait.
+//! Without pins a task could run twice: a start is unanswered, its worker restarts and reports its
+//! runs without it, and the task is started elsewhere. The worker restarts once more behind a
+//! partition. That incarnation hasn't been fenced yet and carries out the old start. Such a start
+//! can't be revoked, and waiting until it has expired takes longer than a task may wait.
 //!
-//! So the task is *pinned* to the worker until the start has expired. It is started there again at once: a worker's
-//! incarnations follow one another, so two runs on them never overlap, and each incarnation lists a run that was carried out
-//! late before it is given another one. Pins are part of the job's record, so they outlive the owner.
+//! So the task is *pinned* to the worker until the start has expired. It is started there again at
+//! once: a worker's incarnations follow one another, so runs on two of them never overlap, and each
+//! incarnation lists a run that was carried out late before it is given another one. Pins are part
+//! of the job's record, so they outlive the owner.
 //!
-//! Only workers that tell when they started are restarted under their names. One that is leaving won't be, and one in an
-//! evacuated failure domain may not be given the task again: both release their tasks once they have been fenced.
+//! Only workers that report when they started restart under their names. A draining worker won't
+//! restart, and a worker in an evacuated failure domain may not be given the task again: both
+//! release their tasks once they have been fenced.
 
 use std::time::Duration;
 
@@ -34,23 +37,23 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// A start that went unanswered may be carried out until this long after it was sent.
+/// Time after sending within which an unanswered start may be carried out.
 const START_EXPIRY: Duration = Duration::from_secs(12);
 
-/// Where a task may be started until its outstanding start has expired.
+/// The only worker on which a task may be started until its outstanding start has expired.
 #[derive(Clone, Debug)]
 pub(crate) struct Pin {
-    /// The worker's name: any later incarnation may carry the start out.
+    /// Name of the worker: any later incarnation may carry out the start.
     worker: id::Instance,
     until: Time,
 }
 
 impl Hosted {
-    /// Returns `true` if a start of the run that went unanswered may still be carried out. Of one that an earlier owner
-    /// placed nobody knows, until the worker has listed it.
+    /// Returns `true` if an unanswered start of the run may still be carried out. For a run that a
+    /// previous owner placed this is unknown, and assumed, until the worker has listed it.
     pub(crate) fn has_outstanding_start(&self, now: Time) -> bool {
-        let is_out = self.starts_in_flight > 0 || matches!(self.stage, Stage::Inherited);
-        is_out && now < self.start_last_sent + START_EXPIRY
+        let is_unanswered = self.starts_in_flight > 0 || matches!(self.stage, Stage::Inherited);
+        is_unanswered && now < self.start_last_sent + START_EXPIRY
     }
 }
 
@@ -62,7 +65,7 @@
         }
     }
 
-    /// Pins a task that waits while a worker runs it: an outstanding start was carried out there.
+    /// Pins a waiting task that a worker runs: an outstanding start was carried out there.
     pub(crate) fn pin_to_orphan(&mut self, worker: WorkerId, run: Run) {
         let task = self.jobs.get(&run.task.job).and_then(|job| job.task(run.task));
         if task.is_some_and(|task| task.place == Place::Waiting) {
@@ -79,7 +82,8 @@
         self.timers.insert((until, Timer::Place));
     }
 
-    /// Returns `true` if a worker's tasks may go elsewhere although their starts are outstanding.
+    /// Returns `true` if the tasks of a worker may go elsewhere although their starts are
+    /// outstanding.
     fn releases_pins(&self, worker: &Worker) -> bool {
         worker.answers() && (worker.draining || self.is_evacuated(worker))
     }
@@ -88,12 +92,12 @@
         self.pins.contains_key(&task)
     }
 
-    /// Returns the worker that a task is pinned to; nothing while no incarnation of it is known.
+    /// Returns the worker that a task is pinned to; `None` while no incarnation of it is known.
     pub(crate) fn pinned_worker(&self, task: TaskId) -> Option<WorkerId> {
         self.workers_by_name.get(&self.pins.get(&task)?.worker).copied()
     }
 
-    /// Returns what the record of a job keeps of its pins.
+    /// Returns the outstanding starts that the record of a job holds.
     pub(crate) fn outstanding_starts(&self, job: JobId) -> Vec<Outstanding> {
         let pins = self.pins.iter().filter(|(task, _)| task.job == job);
         let pinned = pins.map(|(task, pin)| Outstanding::new(*task, pin.worker.clone()));
@@ -102,22 +106,24 @@
         pinned.chain(unanswered).collect()
     }
 
-    /// Returns the starts of runs in their places that went unanswered, on workers that may be restarted under their names.
+    /// Returns the unanswered starts of runs that are in their places, on workers that may restart
+    /// under their names.
     fn unanswered_starts(&self, job: JobId) -> impl Iterator<Item = Outstanding> {
         let steps = self.jobs.get(&job).into_iter().flat_map(move |state| state.steps(job));
-        let tasks =
-            steps.flat_map(|(step, state)| (0..).map(move |at| step.task(at)).zip(&state.tasks));
+        let tasks = steps
+            .flat_map(|(step, state)| (0..).map(move |index| step.task(index)).zip(&state.tasks));
         tasks.filter_map(|(id, task)| {
             let Place::At(worker) = task.place else { return None };
             let worker = self.workers.get(worker)?;
             let hosted = worker.runs.get(&Run { task: id, attempt: task.attempt })?;
-            let is_out = hosted.start_unanswered && hosted.has_outstanding_start(self.now);
-            (is_out && worker.started_at.is_some())
+            let is_outstanding = hosted.start_unanswered && hosted.has_outstanding_start(self.now);
+            (is_outstanding && worker.started_at.is_some())
                 .then(|| Outstanding::new(id, worker.name.clone()))
         })
     }
 
-    /// Pins the tasks that an earlier owner had pinned. Whenever it sent their starts, it was before this ownership.
+    /// Pins the tasks that a previous owner had pinned. Their starts were sent before this
+    /// ownership.
     pub(crate) fn restore_pins(&mut self, job: JobId, outstanding: &[Outstanding]) {
         let until = self.now + START_EXPIRY;
         for start in outstanding {
@@ -135,7 +141,7 @@
         self.room_changed |= self.pins.len() != before;
     }
 
-    /// Starts pinned tasks again where they are pinned, ahead of everything else that might take their room there.
+    /// Restarts pinned tasks on their workers, before anything else may take their room there.
     pub(crate) fn place_pinned(&mut self) {
         self.drop_expired_pins();
         let waiting: Vec<TaskId> = self.pins.keys().copied().collect();
@@ -148,7 +154,7 @@
         }
     }
 
-    /// Releases tasks whose starts have expired, or whose workers won't carry them out.
+    /// Releases tasks whose starts have expired or whose workers won't carry them out.
     fn drop_expired_pins(&mut self) {
         let mut pins = std::mem::take(&mut self.pins);
         pins.retain(|task, pin| {
@@ -164,11 +170,11 @@
         let Some(worker) = self.pinned_worker(task) else { return };
         let Some(job) = self.jobs.get(&task.job) else { return };
         let accepted = job.accepted.clone();
-        let waits = job.task(task).is_some_and(|state| state.is_ready(self.now));
+        let is_waiting = job.task(task).is_some_and(|state| state.is_ready(self.now));
         let is_open = job.end.is_none() && job.step(task.step_id()).is_some_and(|step| step.open);
         // A gang is placed as a whole.
         let step = &accepted.spec.steps[usize::from(task.step)];
-        if waits && is_open && !step.gang {
+        if is_waiting && is_open && !step.gang {
             self.restart_pinned(task, worker, step);
         }
     }
@@ -180,7 +186,7 @@
         if let Some(advice) = self.queue(task.job).and_then(|queue| queue.advice)
             && !self.has_ticket(task.step_id(), worker)
         {
-            // Tickets of the incarnation before are of no use to this one.
+            // Tickets of the previous incarnation aren't valid for this one.
             self.query_advice(task.step_id(), step, advice, &[worker]);
             return;
         }
@@ -202,16 +208,17 @@
         self.is_open(state) && state.service == self.service(step.job)
     }
 
-    /// Returns `true` if a worker still holds a run of a task, which may have been carried out late.
+    /// Returns `true` if a worker still holds a run of a task, whose start may have been carried
+    /// out late.
     pub(crate) fn has_run_of(&self, worker: WorkerId, task: TaskId) -> bool {
         self.workers[worker].runs.keys().any(|run| run.task == task)
     }
 
-    /// Returns `true` unless a task is on probation and the worker isn't isolated.
+    /// Returns `true` unless a task is on probation and the worker isn't suitable for that.
     fn may_start(&self, task: TaskId, worker: WorkerId) -> bool {
         let state = self.jobs.get(&task.job).and_then(|job| job.task(task));
-        let probation = state.filter(|state| state.is_on_probation());
-        probation
+        let on_probation = state.filter(|state| state.is_on_probation());
+        on_probation
             .is_none_or(|state| !self.probation_workers(state.waiting_since, &[worker]).is_empty())
     }
 }
--- a/crates/planner/src/probation.rs
+++ b/crates/planner/src/probation.rs
@@ -1,9 +1,9 @@
 //! Workers for tasks on probation.
 //!
-//! Pattern answered: a task that may crash its worker is started where nothing else has begun just now, so that the
-//! crash can be told from others. In a busy cell something begins on every worker all the time, and a gang wants several
-//! such workers at once; then it would wait for good. So workers are kept quiet for a step that has found none: nothing
-//! else begins there until it has, or for a while.
+//! A task that may crash its worker is started where nothing else has begun recently, so that its
+//! crash can be told from others. In a busy cell something begins on every worker all the time, and
+//! a gang needs several such workers at once, so it would wait forever. So workers are *isolated*
+//! for a step that has found none: nothing else begins there until it has, or for a limited time.
 
 use std::time::Duration;
 
@@ -22,19 +22,21 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// For so long a task on probation waits for a machine that hasn't crashed lately: one that goes down again and again
-/// brings whatever it is given under suspicion. Short against the seconds within which every task starts.
+/// Time that a task on probation waits for a machine that hasn't crashed recently: a machine that
+/// crashes again and again makes all its runs suspects. Short compared with the seconds within
+/// which every task starts.
 const STABLE_MACHINE_WAIT: Duration = Duration::from_millis(1500);
-/// How soon a task on probation that found no worker looks again.
+/// Retry interval of a task on probation that found no worker.
 const PROBATION_RETRY: Duration = Duration::from_millis(100);
-/// How long a worker is kept quiet if no look renews it.
+/// Time after which the isolation of a worker ends unless it is renewed.
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// The part of the workers that are kept quiet at a time, so that all else goes on beside them. A step that needs more, as
-/// a gang may, has them to itself: no others are kept quiet meanwhile.
+/// Maximum fraction of the workers that are isolated at a time, so that all other work continues
+/// beside them. A step that needs more, as a gang may, is the only one that workers are isolated
+/// for meanwhile.
 const MAX_ISOLATED_FRACTION: f64 = 0.125;
 
-/// A step for which nothing else begins on a worker.
+/// The step for which a worker is isolated: nothing else begins there.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Isolation {
     pub(crate) step: StepId,
@@ -42,14 +44,14 @@
 }
 
 impl Worker {
-    /// Tells whether it is kept quiet for another step.
+    /// Returns `true` if the worker is isolated for another step.
     pub(crate) fn is_isolated_for_other(&self, step: StepId, now: Time) -> bool {
-        self.isolated_for.is_some_and(|quiet| quiet.step != step && now < quiet.until)
+        self.isolated_for.is_some_and(|isolation| isolation.step != step && now < isolation.until)
     }
 
-    /// Tells whether it is kept quiet for a step, or was last.
+    /// Returns `true` if the worker is isolated for a step, or was last.
     pub(crate) fn is_isolated_for(&self, step: StepId) -> bool {
-        self.isolated_for.is_some_and(|quiet| quiet.step == step)
+        self.isolated_for.is_some_and(|isolation| isolation.step == step)
     }
 }
 
@@ -61,34 +63,36 @@
         since: Time,
         open: &[WorkerId],
     ) -> Option<WorkerId> {
-        let rated = self.probation_workers(since, open).into_iter().filter_map(|id| {
-            let rate = self.score(&self.workers[id], request)?;
-            Some((rate, id))
+        let scored = self.probation_workers(since, open).into_iter().filter_map(|id| {
+            let score = self.score(&self.workers[id], request)?;
+            Some((score, id))
         });
-        rated.max_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, id)| id)
+        scored.max_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, id)| id)
     }
 
-    /// Returns the workers on which a task that waits for its probation since then can be told from others.
+    /// Returns the workers on which a task that has waited for its probation since `since` can be
+    /// told from other causes of a crash.
     pub(crate) fn probation_workers(&self, since: Time, open: &[WorkerId]) -> Vec<WorkerId> {
         let now = self.now;
         let since = self.stable_wait_since(since, open);
-        let is_quiet = |worker: &Worker| {
+        let is_suitable = |worker: &Worker| {
             worker.suspects == 0
                 && now >= worker.last_start_sent + START_CRASH_WINDOW
                 && !worker.runs.values().any(Hosted::is_starting)
                 && self.is_stable(worker, since, now)
         };
-        open.iter().copied().filter(|&id| is_quiet(&self.workers[id])).collect()
+        open.iter().copied().filter(|&id| is_suitable(&self.workers[id])).collect()
     }
 
-    /// Returns since when a task counts as waiting for a steady machine: from the beginning of time, so that its wait is over,
-    /// where none is open.
+    /// Returns since when a task counts as waiting for a stable machine: time zero, so that its
+    /// wait has ended, if none is open.
     fn stable_wait_since(&self, since: Time, open: &[WorkerId]) -> Time {
-        let any_steady = open.iter().any(|&id| !self.has_crashed_recently(&self.workers[id]));
-        if any_steady { since } else { Time::ZERO }
+        let any_stable = open.iter().any(|&id| !self.has_crashed_recently(&self.workers[id]));
+        if any_stable { since } else { Time::ZERO }
     }
 
-    /// Tells whether a machine is steady enough for a task that has waited for its probation since then.
+    /// Returns `true` if a machine is stable enough for a task that has waited for its probation
+    /// since `since`.
     fn is_stable(&self, worker: &Worker, since: Time, now: Time) -> bool {
         now >= since + STABLE_MACHINE_WAIT || !self.has_crashed_recently(worker)
     }
@@ -98,7 +102,7 @@
         last.is_some_and(|crash| self.now < crash.at + MACHINE_CRASH_WINDOW)
     }
 
-    /// Returns since when the task of a step on probation has waited that has for the longest, if one waits.
+    /// Returns since when the longest-waiting task on probation of a step has waited, if one waits.
     pub(crate) fn probation_since(&self, step: StepId) -> Option<Time> {
         let state = self.jobs.get(&step.job).and_then(|job| job.step(step));
         let tasks = state.into_iter().flat_map(|state| &state.tasks);
@@ -106,8 +110,9 @@
         waiting.map(|task| task.waiting_since).min()
     }
 
-    /// Keeps workers quiet for a step on probation that has found none and waits since then: as many as a gang needs, or
-    /// one. Steady machines go first, and those on which nothing has begun for longer.
+    /// Isolates workers for a step on probation that has found none and has waited since `since`:
+    /// as many as a gang needs, or one. Stable machines are preferred, then those on which nothing
+    /// has begun for the longest time.
     pub(crate) fn isolate_workers(
         &mut self,
         step: StepId,
@@ -120,25 +125,26 @@
         if self.isolation_priority.is_some_and(|first| first.step != step && now < first.until) {
             return;
         }
-        let quiet = Isolation { step, until: now + ISOLATION_TIMEOUT };
+        let isolation = Isolation { step, until: now + ISOLATION_TIMEOUT };
         let chosen = self.isolation_candidates(step, spec, since, open);
-        let kept =
+        let isolated =
             open.iter().filter(|&&id| self.workers[id].is_isolated_for_other(step, now)).count();
-        let most = ((open.len() as f64 * MAX_ISOLATED_FRACTION) as usize).max(1);
-        if chosen.len() > most {
-            self.isolation_priority = Some(quiet);
-        } else if chosen.len() + kept > most {
+        let max_isolated = ((open.len() as f64 * MAX_ISOLATED_FRACTION) as usize).max(1);
+        if chosen.len() > max_isolated {
+            self.isolation_priority = Some(isolation);
+        } else if chosen.len() + isolated > max_isolated {
             return;
         }
         for id in chosen {
             let worker = &mut self.workers[id];
             if !worker.is_isolated_for_other(step, now) {
-                worker.isolated_for = Some(quiet);
+                worker.isolated_for = Some(isolation);
             }
         }
     }
 
-    /// Returns the workers that a step on probation can have to itself first; none where it has no room in all.
+    /// Returns the workers that can be isolated first for a step on probation; none if they don't
+    /// have room for what it needs.
     fn isolation_candidates(
         &self,
         step: StepId,
@@ -147,7 +153,8 @@
         open: &[WorkerId],
     ) -> Vec<WorkerId> {
         let request = Request::new(&self.interference, step.task(0), spec);
-        // Before that a machine which has crashed lately is of no use yet, and may be to others.
+        // Until then a machine that has crashed recently is of no use to this step, but may be to
+        // others.
         let by = self.now + START_CRASH_WINDOW;
         let since = self.stable_wait_since(since, open);
         let usable = |worker: &Worker| {
@@ -160,10 +167,10 @@
         candidates.sort_by_cached_key(|&id| {
             let worker = &self.workers[id];
             let crashed = self.has_crashed_recently(worker);
-            let taken = worker.is_isolated_for_other(step, self.now);
+            let isolated = worker.is_isolated_for_other(step, self.now);
             (
                 !worker.is_isolated_for(step),
-                taken,
+                isolated,
                 worker.suspects > 0,
                 crashed,
                 worker.last_start_sent,
@@ -176,8 +183,9 @@
                 break;
             }
             let room = gang::fit_count(spec, self.workers[id].room());
-            let most = if spec.max_per_worker == 0 { room } else { spec.max_per_worker.into() };
-            wanted = wanted.saturating_sub(room.min(most));
+            let per_worker =
+                if spec.max_per_worker == 0 { room } else { spec.max_per_worker.into() };
+            wanted = wanted.saturating_sub(room.min(per_worker));
             chosen.push(id);
         }
         if wanted == 0 { chosen } else { Vec::new() }
--- a/crates/planner/src/progress.rs
+++ b/crates/planner/src/progress.rs
@@ -1,9 +1,9 @@
-//! Runs that stand still or crawl.
+//! Stalled and slow runs.
 //!
-//! Patterns answered: a worker on which all that runs hangs while it answers as ever, and one that
-//! has become several times slower. Both hold tasks that would be done elsewhere by now, and the
-//! second draws new ones, since it is never full. What was measured counts, not what was estimated:
-//! a run's speed is compared with that of the cell, whose estimates are off in the same way.
+//! On some workers all runs hang while the worker answers as usual, and some become several times
+//! slower. Both hold tasks that would be done elsewhere by now, and a slow worker attracts new
+//! ones, since it is never full. Measurements decide, not estimates: a run's speed is compared with
+//! that of the cell, whose estimates are off in the same way.
 
 use std::time::Duration;
 
@@ -17,24 +17,25 @@
 use crate::planner::Planner;
 use crate::worker::WorkerId;
 
-/// A run that hasn't moved by one part in a hundred for this long stands still, unless its work is
-/// so long that it couldn't have.
+/// Time without a percent of progress after which a run is stalled, unless its work is so long that
+/// it can't have made that much.
 const STALL_TIME: Duration = Duration::from_millis(1500);
-/// The same as a part of the run's estimate.
+/// The same as a fraction of the run's estimate.
 const STALL_FRACTION: f64 = 0.15;
-/// A task that lasts and isn't at work for this long after its start won't be: starts take a second
-/// at most.
+/// Time after its start by which a service task is available, or never will be: starts take a
+/// second at most.
 const SERVICE_START_TIMEOUT: Duration = Duration::from_millis(3500);
-/// A run's speed tells something after this time.
+/// Running time after which a run's speed is meaningful.
 const SPEED_WARMUP: Duration = Duration::from_millis(700);
-/// A speed below this part of the cell's is slow: estimates alone differ by half that much.
+/// Fraction of the cell's speed below which a run is slow: estimates alone differ by half that
+/// much.
 const SLOW_FRACTION: f64 = 0.33;
-/// The same for a worker of which only one run tells.
+/// The same for a worker with a single run to judge by.
 const SLOW_FRACTION_SINGLE: f64 = 0.2;
-/// How long nothing is placed on a slow worker; it is looked at again with what still runs there.
+/// Time for which nothing is placed on a slow worker; it is checked again by what still runs there.
 const SLOW_WORKER_PAUSE: Duration = Duration::from_secs(4);
-/// A run on a slow worker is moved if what is left of it would take this many times what the whole
-/// takes elsewhere.
+/// A run on a slow worker is moved if the rest of it would take this many times as long as the
+/// whole run takes elsewhere.
 const MIN_MOVE_GAIN: f64 = 1.3;
 /// Weight of one run in the cell's speed.
 const SPEED_WEIGHT: f64 = 0.02;
@@ -49,13 +50,13 @@
         if self.long_running {
             return self.progress < 100 && now >= self.progressed_at + SERVICE_START_TIMEOUT;
         }
-        let still = STALL_TIME.max(self.estimate.mul_f64(STALL_FRACTION));
+        let stall_time = STALL_TIME.max(self.estimate.mul_f64(STALL_FRACTION));
         self.speed_limit == FULL_SPEED
             && self.confirmed_speed_limit == Some(FULL_SPEED)
-            && now >= self.progressed_at + still
+            && now >= self.progressed_at + stall_time
     }
 
-    /// Returns the work done for each second, as a part of the estimate's.
+    /// Returns the work done per second, as a fraction of the estimated work.
     fn speed(&self, now: Time) -> Option<f64> {
         let Stage::Running { since } = self.stage else { return None };
         let passed = now.saturating_sub(since);
@@ -68,7 +69,7 @@
 }
 
 impl Planner {
-    /// Looks at what a worker's runs have done since they began.
+    /// Checks the progress of a worker's runs.
     pub(crate) fn check_progress(&mut self, worker: WorkerId) {
         let now = self.now;
         for run in self.workers[worker].runs_where(|hosted| hosted.is_stalled(now)) {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Learns the cell's speed from a short run that finished.
+    /// Updates the cell's speed from a short run that finished.
     pub(crate) fn learn_speed(&mut self, hosted: &Hosted) {
         let now = self.now;
         let Stage::Running { since } = hosted.stage else { return };
@@ -94,35 +95,37 @@
     }
 
     fn is_slow(&self, worker: WorkerId) -> bool {
-        let usual = self.log_speed.exp();
+        let cell_speed = self.log_speed.exp();
         let runs =
             self.workers[worker].runs.values().filter(|hosted| hosted.is_running_short_task());
         let speeds: Vec<f64> = runs.filter_map(|hosted| hosted.speed(self.now)).collect();
-        let part = match speeds.len() {
+        let fraction = match speeds.len() {
             0 => return false,
             1 => SLOW_FRACTION_SINGLE,
             _ => SLOW_FRACTION,
         };
-        speeds.iter().all(|speed| *speed < usual * part)
+        speeds.iter().all(|speed| *speed < cell_speed * fraction)
     }
 
     fn avoid_slow_worker(&mut self, worker: WorkerId) {
         let now = self.now;
         let state = &mut self.workers[worker];
         state.closed_until = state.closed_until.max(now + SLOW_WORKER_PAUSE);
-        let usual = self.log_speed.exp();
-        let gains = |hosted: &Hosted| {
+        let cell_speed = self.log_speed.exp();
+        let is_worth_moving = |hosted: &Hosted| {
             let Some(speed) = hosted.speed(now) else { return false };
-            let left = 1.0 - f64::from(hosted.progress) / 100.0;
-            hosted.is_running_short_task() && left / speed.max(0.01) > MIN_MOVE_GAIN / usual
+            let remaining = 1.0 - f64::from(hosted.progress) / 100.0;
+            hosted.is_running_short_task()
+                && remaining / speed.max(0.01) > MIN_MOVE_GAIN / cell_speed
         };
-        for run in self.workers[worker].runs_where(gains) {
+        for run in self.workers[worker].runs_where(is_worth_moving) {
             self.avoid_worker(worker, run);
             self.stop_run(worker, run, Reason::Stalled);
         }
     }
 
-    /// Keeps a task from being placed again where it made no progress, if there is room elsewhere.
+    /// Keeps a task from being placed again on a worker where it made no progress, if there is room
+    /// elsewhere.
     pub(crate) fn avoid_worker(&mut self, worker: WorkerId, run: Run) {
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         if job.end.is_none() && job.task(run.task).is_some() {
--- a/crates/planner/src/rate_limit.rs
+++ b/crates/planner/src/rate_limit.rs
@@ -1,44 +1,46 @@
-//! How fast an owner sends starts.
+//! Rate limit on the starts that an owner sends.
 //!
-//! Pattern answered: a start carries what the client handed in for its job, some kilobytes, and there are
-//! instances with narrow links. Starts that are decided on faster than the link takes them pile up in its
-//! queues, and with them the holds that keep runs alive and the renewals of the owner's lease: calls time
-//! out and are made again, the lease is lost, and the next owner begins with the same pile. So starts are
-//! placed only as fast as a part of the link carries. What comes later waits here, where the most valuable
-//! comes first and what is cancelled goes.
+//! A start carries the payload of its job, some kilobytes, and some instances have narrow links.
+//! Starts decided on faster than the link carries them fill its queues and delay the heartbeats
+//! that keep runs alive and the renewals of the owner's lease: requests time out and are retried,
+//! the lease is lost, and the next owner begins with the same backlog. So starts are placed only as
+//! fast as a fraction of the link carries them. Later starts wait in the planner, where the most
+//! valuable one goes first and cancelled ones are dropped.
 //!
-//! A job with nothing at work for a while gets one task started all the same, from a small part of its own. Without that
-//! part the oldest jobs of a backlog take all that the link carries for starts: every new job then waits until it is as old
-//! as they are, and the backlog outlasts the burst that made it for as long as jobs come.
+//! A job that has had nothing running for a while gets one task started nevertheless, from a small
+//! fraction of its own. Without it the oldest jobs of a backlog would take all the bandwidth for
+//! starts: every new job would wait until it is as old as they are, and the backlog would outlast
+//! its burst for as long as jobs arrive.
 //!
-//! Buckets of bytes: each fills at its part of the link's rate and never holds more than a fraction of a
-//! second of it, which is the longest that anything else waits behind starts.
+//! The limit uses token buckets of bytes: each fills at its fraction of the link's rate and never
+//! holds more than a fraction of a second of it, which is the longest time that other traffic waits
+//! behind starts.
 
 use std::time::Duration;
 
 use cowslipchute_base::id::Time;
 
-/// Part of the link for starts. Holds with their accounts, the workers' directory and writes of records
-/// take about as much again.
+/// Fraction of the link for starts. Heartbeats with their reports, the workers' directory and
+/// writes of records take about as much again.
 const START_FRACTION: f64 = 0.5;
-/// Part of the link for jobs that have had nothing at work for a while: a fifth of what the others have, so that a
-/// backlog grows no older than it must, and shrinks first of all by what the others leave.
+/// Fraction of the link for jobs that have had nothing running for a while: a fifth of that of all
+/// others, so that a backlog ages no more than it must and shrinks mainly by what the others leave.
 const STARVED_FRACTION: f64 = 0.1;
-/// Starts that may be sent at once, in time of their part of the link: short against the time after which
-/// a call is given up, and against a lease.
+/// Burst of starts, as time at their fraction of the link: short compared with a request timeout
+/// and with a lease.
 const BURST_TIME: Duration = Duration::from_millis(200);
-/// How soon a start that has to wait for the link is looked at again.
+/// Retry interval of a start that waits for the link.
 pub(crate) const START_RETRY: Duration = Duration::from_millis(50);
-/// Bytes that a start takes beside its job's payload: heads of the order and of its answer, and the order's
-/// other fields.
+/// Bytes of a start beside its job's payload: the headers of the request and of its response, and
+/// the request's other fields.
 const START_BYTES: usize = 600;
 
-/// Bytes that may be sent.
+/// A token bucket of bytes.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    /// How many a second.
+    /// Bytes per second.
     rate: f64,
-    /// How many at `at`; below zero what was sent in advance.
+    /// Bytes available at `at`; negative if sent in advance.
     available: f64,
     at: Time,
 }
@@ -57,50 +59,51 @@
     }
 }
 
-/// What may be sent now.
+/// Rate limiter of starts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Limiter {
-    /// For all starts; none where the link's rate isn't known.
+    /// For all starts; `None` if the link's rate is unknown.
     general: Option<Bucket>,
-    /// For jobs that have had nothing at work for a while.
+    /// For jobs that have had nothing running for a while.
     starved: Option<Bucket>,
 }
 
 impl Limiter {
-    /// Opens with a link that carries so many bytes a second.
-    pub(crate) fn open(link: Option<f64>) -> Limiter {
-        let bucket = |part: f64| link.map(|link| Bucket::open(link * part));
+    /// Opens a limiter for a link that carries this many bytes per second.
+    pub(crate) fn open(link_rate: Option<f64>) -> Limiter {
+        let bucket = |fraction: f64| link_rate.map(|link_rate| Bucket::open(link_rate * fraction));
         Limiter { general: bucket(START_FRACTION), starved: bucket(STARVED_FRACTION) }
     }
 
-    /// Tells whether another start may be sent.
+    /// Returns `true` if another start may be sent.
     pub(crate) fn allows(&mut self, now: Time) -> bool {
         self.general.as_mut().is_none_or(|bucket| bucket.allows(now))
     }
 
-    /// Tells whether another start may be sent for a job that has had nothing at work for a while.
+    /// Returns `true` if another start may be sent for a job that has had nothing running for a
+    /// while.
     pub(crate) fn allows_starved(&mut self, now: Time) -> bool {
         self.starved.as_mut().is_none_or(|bucket| bucket.allows(now))
     }
 
-    /// Notes a start that is to be sent for a job with a payload of so many bytes.
+    /// Charges a start that is to be sent for a job with a payload of this many bytes.
     pub(crate) fn charge(&mut self, payload: usize) {
         if let Some(bucket) = &mut self.general {
             bucket.available -= bytes(payload);
         }
     }
 
-    /// Takes a start back that was noted and isn't sent after all.
+    /// Refunds a start that was charged and isn't sent after all.
     pub(crate) fn refund(&mut self, payload: usize) {
         if let Some(bucket) = &mut self.general {
             bucket.available += bytes(payload);
         }
     }
 
-    /// Charges the start that was noted last to the part of jobs that had nothing at work.
+    /// Moves the charge of the last start to the fraction of jobs that had nothing running.
     pub(crate) fn shift_to_starved(&mut self, payload: usize) {
-        if let (Some(usual), Some(starved)) = (&mut self.general, &mut self.starved) {
-            usual.available += bytes(payload);
+        if let (Some(general), Some(starved)) = (&mut self.general, &mut self.starved) {
+            general.available += bytes(payload);
             starved.available -= bytes(payload);
         }
     }
--- a/crates/planner/src/takeover.rs
+++ b/crates/planner/src/takeover.rs
@@ -1,4 +1,4 @@
-//! What becomes known: the cell with its records, jobs and workers.
+//! Takeover of a cell, and updates of its jobs and workers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,21 +31,21 @@
 use crate::worker::WorkerId;
 use crate::write::Writes;
 
-/// How soon a worker that does not answer is looked at for its deadline having passed.
+/// Interval at which the lease of a silent worker is checked for expiry.
 pub(crate) const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Planner {
-    /// Begins with what the store holds.
+    /// Takes over the cell with what the store holds.
     pub(crate) fn take_over(
         &mut self,
         epoch: id::Epoch,
         jobs: Vec<(JobId, Arc<Accepted>)>,
         records: Vec<(JobId, Record)>,
-        learnt: Option<Estimates>,
+        estimates: Option<Estimates>,
     ) {
         self.release_ownership();
-        if let Some(learnt) = learnt {
-            self.restore_estimates(learnt);
+        if let Some(estimates) = estimates {
+            self.restore_estimates(estimates);
         }
         self.epoch = Some(epoch);
         self.owned_at = self.now;
@@ -58,7 +58,7 @@
         }
         let known: Vec<JobId> = self.jobs.keys().copied().collect();
         for job in known {
-            self.end_if_settled(job);
+            self.end_if_finished(job);
         }
         self.room_changed = true;
     }
@@ -91,8 +91,8 @@
 
     fn insert_job(&mut self, job: JobId, accepted: Arc<Accepted>) {
         self.arrivals += 1;
-        let terms = Policy::of(self.config.as_deref(), &accepted.queue);
-        let state = Job::new(accepted, terms, self.now, self.arrivals);
+        let policy = Policy::of(self.config.as_deref(), &accepted.queue);
+        let state = Job::new(accepted, policy, self.now, self.arrivals);
         self.reserve.add_job(self.now, &state.accepted.spec);
         Planner::learn_work(&mut self.mean_work, &state.accepted.queue, state.work);
         let scheduled = state.next_due().is_some();
@@ -103,9 +103,10 @@
         }
     }
 
-    /// Takes over a record of an earlier owner.
+    /// Restores a job from the record of a previous owner.
     fn restore(&mut self, job: JobId, record: &Record) {
-        // A record whose job is gone is what an ended job left; nothing is to be done for it.
+        // A record without a job is left over from a job that has ended; nothing is to be done for
+        // it.
         let Some(state) = self.jobs.get_mut(&job) else { return };
         state.restore(record);
         let mut placed = Vec::new();
@@ -137,8 +138,8 @@
         }
     }
 
-    /// A record names a run with the incarnation that it was placed on. Whichever of them answers first, its account
-    /// tells which of the runs it holds.
+    /// Restores a run on the incarnation that its record names. Whichever incarnation answers
+    /// first, its report shows which of the runs it holds.
     fn restore_run(&mut self, run: Run, host: &Incarnation) {
         let worker = self.ensure_worker(&host.name);
         let state = &mut self.workers[worker];
@@ -158,24 +159,24 @@
         self.workers[worker].add_run(run, hosted);
     }
 
-    /// Ends a job for which nothing is left to do but to say so.
-    fn end_if_settled(&mut self, job: JobId) {
+    /// Ends a job that is cancelled, done or out of attempts.
+    fn end_if_finished(&mut self, job: JobId) {
         let Some(state) = self.jobs.get(&job) else { return };
-        let most = state.policy.max_attempts as usize;
-        let spent = state.steps(job).any(|(id, step)| {
-            let lasts = state.spec(id.step).long_running;
-            !lasts && step.tasks.iter().any(|task| task.failed.len() >= most)
+        let max_attempts = state.policy.max_attempts as usize;
+        let is_exhausted = state.steps(job).any(|(id, step)| {
+            let is_service = state.spec(id.step).long_running;
+            !is_service && step.tasks.iter().any(|task| task.failed.len() >= max_attempts)
         });
         if state.accepted.cancelled {
             self.finish_job(job, State::Cancelled);
         } else if state.is_done() {
             self.finish_job(job, State::Completed);
-        } else if spent {
+        } else if is_exhausted {
             self.finish_job(job, State::Failed);
         }
     }
 
-    /// A job is in the store, or was changed there.
+    /// Handles a job that is in the store or was changed there.
     pub(crate) fn update_job(&mut self, job: JobId, accepted: Arc<Accepted>) {
         if self.epoch.is_none() || self.ended.contains_key(&job) {
             return;
@@ -198,14 +199,14 @@
         if let Some(&worker) = self.workers_by_name.get(name) {
             return worker;
         }
-        let rank = self.incarnations_ended;
-        let worker = self.workers.insert(Worker::unlisted(name.clone(), rank, self.now));
+        let generation = self.incarnations_ended;
+        let worker = self.workers.insert(Worker::unlisted(name.clone(), generation, self.now));
         self.workers_by_name.insert(name.clone(), worker);
         self.timers.insert((self.now + EXPIRY_CHECK_INTERVAL, Timer::LeaseExpiry(worker)));
         worker
     }
 
-    /// A worker is in the directory, or its entry has changed.
+    /// Handles a directory entry that is new or has changed.
     pub(crate) fn update_entry(&mut self, registration: &Registration) {
         if self.epoch.is_none() {
             return;
@@ -216,22 +217,22 @@
             return;
         }
         let is_known = known.is_some();
-        let is_news = known.is_none_or(|worker| !worker.matches_registration(registration));
+        let has_changed = known.is_none_or(|worker| !worker.matches_registration(registration));
         if !self.is_configured(&registration.service) && !self.lacks_address(&registration.name) {
             self.defer_entry(registration);
             return;
         }
-        if !is_news {
+        if !has_changed {
             return;
         }
         self.unconfigured.remove(&registration.name);
         let worker = self.ensure_worker(&registration.name);
         let worker = self.match_incarnation(worker, registration);
         let was_draining = self.workers[worker].draining;
-        let was_nowhere = self.workers[worker].address.is_none();
+        let had_no_address = self.workers[worker].address.is_none();
         self.workers[worker].update_registration(registration);
-        if was_nowhere {
-            self.resume_orders(worker);
+        if had_no_address {
+            self.resume_commands(worker);
         }
         self.room_changed = true;
         if !is_known {
@@ -249,31 +250,31 @@
         }
     }
 
-    /// Sends the orders that could not be sent while the worker's address was not known.
-    fn resume_orders(&mut self, worker: WorkerId) {
+    /// Sends the commands that could not be sent while the worker's address was unknown.
+    fn resume_commands(&mut self, worker: WorkerId) {
         let runs: Vec<Run> = self.workers[worker].runs.keys().copied().collect();
         for run in runs {
             self.schedule_command(worker, run, Duration::ZERO);
         }
     }
 
-    /// Tells whether the configuration in force names a service, as one of its own or as that of a
-    /// queue.
+    /// Returns `true` if the current configuration names a service, as one of its own or as that of
+    /// a queue.
     fn is_configured(&self, service: &id::Service) -> bool {
         let Some(config) = &self.config else { return false };
         config.services.iter().any(|known| known.name == *service)
             || config.queues.iter().any(|queue| queue.service == *service)
     }
 
-    /// Tells whether a record names a worker of which nobody has said yet where it is. What it runs has
-    /// to be held, also after its service was dropped.
+    /// Returns `true` if a record names a worker whose address isn't known yet. Its runs need
+    /// heartbeats even after its service was dropped.
     fn lacks_address(&self, name: &id::Instance) -> bool {
         let worker = self.workers_by_name.get(name).and_then(|&worker| self.workers.get(worker));
         worker.is_some_and(|worker| worker.address.is_none())
     }
 
-    /// Keeps an entry whose service nobody has named, which may be a stray writer's, until the
-    /// configuration names it. A worker that is known already gets nothing new meanwhile.
+    /// Defers an entry with a service that isn't configured, which may be a foreign writer's, until
+    /// the configuration names it. A worker that is already known gets nothing new meanwhile.
     fn defer_entry(&mut self, registration: &Registration) {
         let name = &registration.name;
         if self.workers_by_name.contains_key(name) {
@@ -282,14 +283,15 @@
         self.unconfigured.insert(name.clone(), registration.clone());
     }
 
-    /// Takes in the entries that were set aside and whose service is named now.
+    /// Applies the deferred entries whose service is configured now.
     pub(crate) fn apply_deferred_entries(&mut self) {
         for (_, registration) in std::mem::take(&mut self.unconfigured) {
             self.update_entry(&registration);
         }
     }
 
-    /// A worker is in the directory no more. It may run on, so its runs keep their places.
+    /// Handles the removal of a worker's directory entry. The worker may continue to run, so its
+    /// runs keep their places.
     pub(crate) fn remove_entry(&mut self, name: &id::Instance) {
         self.unconfigured.remove(name);
         let Some(&worker) = self.workers_by_name.get(name) else { return };
@@ -298,7 +300,7 @@
         self.forget_if_unused(worker);
     }
 
-    /// Forgets a worker that is neither listed, nor answers, nor may run anything.
+    /// Forgets a worker that isn't listed, doesn't answer and can't run anything.
     pub(crate) fn forget_if_unused(&mut self, worker: WorkerId) {
         let state = &self.workers[worker];
         if !state.listed && !state.answers() && state.runs.is_empty() {
@@ -306,7 +308,7 @@
         }
     }
 
-    /// Moves off a leaving worker what lasts, and what saves its progress.
+    /// Moves service tasks and checkpointing tasks off a draining worker.
     fn move_tasks_off(&mut self, worker: WorkerId) {
         for run in
             self.workers[worker].runs_where(|hosted| hosted.long_running || hosted.checkpointing)
