--- a/crates/planner/tests/world/capacity.rs
+++ b/crates/planner/tests/world/capacity.rs
@@ -1,4 +1,4 @@
-//! Workers whose capacity shrinks and grows while they run, and how full each may be then.
+//! Workers whose capacity changes while they run, and how much each may hold then.
 
 use std::time::Duration;
 
@@ -10,22 +10,23 @@
 use super::World;
 use super::workers::registration;
 
-/// How long the directory takes to tell of a new capacity.
+/// Delay until the directory shows a new capacity.
 const ENTRY_DELAY: Duration = Duration::from_millis(1500);
-/// For so long starts may still go by the capacity before: contact, and one beat.
+/// Time within which starts may still assume the previous capacity: a heartbeat and one directory
+/// update.
 const GRACE: Duration = Duration::from_millis(4500);
 
 /// What a worker that has shrunk may hold.
 #[derive(Clone, Copy, Debug)]
 pub struct Bound {
     shrunk_at: Time,
-    /// What it may hold at first.
+    /// What it may hold within [`GRACE`].
     before: Amount,
-    /// What it may hold after that: what it held then, and never more again than it has held since.
+    /// What it may hold after that: what it held then, and never more than it has held since.
     held: Amount,
 }
 
-/// The larger of two amounts in every dimension.
+/// Returns the larger of two amounts in every dimension.
 fn max_each(a: Amount, b: Amount) -> Amount {
     Amount {
         cpu_milli: a.cpu_milli.max(b.cpu_milli),
@@ -34,7 +35,7 @@
     }
 }
 
-/// The smaller of two amounts in every dimension.
+/// Returns the smaller of two amounts in every dimension.
 fn min_each(a: Amount, b: Amount) -> Amount {
     Amount {
         cpu_milli: a.cpu_milli.min(b.cpu_milli),
@@ -44,7 +45,7 @@
 }
 
 impl Bound {
-    /// What may be held now, by a worker that holds `sum` of its `capacity`.
+    /// Returns what a worker that holds `sum` of its `capacity` may hold now.
     pub(super) fn allowed(&mut self, now: Time, capacity: Amount, sum: Amount) -> Amount {
         if now <= self.shrunk_at + GRACE {
             self.held = sum;
@@ -55,7 +56,7 @@
         allowed
     }
 
-    /// A start of before was carried out late.
+    /// Allows for an earlier start that was carried out late.
     pub(super) fn allow_late_start(&mut self, demand: Amount) {
         self.before = self.before.plus(demand);
         self.held = self.held.plus(demand);
@@ -63,7 +64,7 @@
 }
 
 impl World {
-    /// A worker has another capacity from now on; its entry tells a beat later.
+    /// Changes the capacity of a worker; its directory entry shows it after [`ENTRY_DELAY`].
     pub fn resize(&mut self, name: &str, capacity: Amount) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(name) else { return };
--- a/crates/planner/tests/world/check.rs
+++ b/crates/planner/tests/world/check.rs
@@ -1,4 +1,4 @@
-//! What must hold in the planner's world, at every moment and at every order.
+//! Invariants of the planner's world, checked at every moment and for every start.
 
 use std::collections::BTreeMap;
 
@@ -12,27 +12,27 @@
 use super::World;
 
 impl World {
-    /// Remembers what a worker has been told to forget, unless it has seen a higher epoch: from then on it stands for
-    /// good.
+    /// Records the ends that a worker has been told to forget, unless it has seen a higher epoch:
+    /// from then on they are final.
     pub(super) fn acknowledge(&mut self, name: &str, epoch: id::Epoch, number: u64) {
-        let obeys = |worker: &&mut Worker| worker.up && worker.epoch <= epoch;
-        let Some(worker) = self.by_name(name).filter(obeys) else { return };
-        let told: Vec<TaskId> = worker
+        let accepts = |worker: &&mut Worker| worker.up && worker.epoch <= epoch;
+        let Some(worker) = self.by_name(name).filter(accepts) else { return };
+        let acknowledged_tasks: Vec<TaskId> = worker
             .ended
             .iter()
             .filter(|end| end.number <= number && end.how == How::Done)
             .map(|end| end.run.task)
             .collect();
-        for task in told {
+        for task in acknowledged_tasks {
             self.check_stored(task);
             self.acknowledged.insert(task);
         }
     }
 
-    /// What is acknowledged can be read from the store.
+    /// Checks that what is acknowledged can be read from the store.
     fn check_stored(&self, task: TaskId) {
-        let lasts = self.specs[&task.job].spec.steps[usize::from(task.step)].long_running;
-        if lasts || self.ends.contains_key(&task.job) {
+        let is_service = self.specs[&task.job].spec.steps[usize::from(task.step)].long_running;
+        if is_service || self.ends.contains_key(&task.job) {
             return;
         }
         let record = self.records.get(&task.job).expect("a job with an end has a record");
@@ -40,7 +40,7 @@
             record.occurrences.iter().find(|occurrence| occurrence.number == task.occurrence);
         let Some(occurrence) = occurrence else { return };
         let stored = &occurrence.steps[usize::from(task.step)][task.index as usize];
-        assert!(stored.done, "{task} is acknowledged and the store doesn't hold it");
+        assert!(stored.done, "the end of {task} is acknowledged but not in the store");
     }
 
     pub(super) fn check_start(&mut self, run: Run) {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// What must hold at every moment.
+    /// Checks the invariants that hold at every moment.
     pub(super) fn check(&mut self) {
         let now = self.now;
         let mut running: BTreeMap<TaskId, &str> = BTreeMap::new();
@@ -82,7 +82,7 @@
             let capacity = worker.capacity;
             let bound = self.bounds.get_mut(machine);
             let allowed = bound.map_or(capacity, |bound| bound.allowed(now, capacity, sum));
-            assert!(sum.fits(allowed), "{} holds more than it has", worker.name);
+            assert!(sum.fits(allowed), "{} holds more than its capacity", worker.name);
         }
     }
 }
--- a/crates/planner/tests/world/orders.rs
+++ b/crates/planner/tests/world/commands.rs
@@ -1,4 +1,4 @@
-//! Orders on their way to workers, and what becomes of them there.
+//! Commands in flight to workers, and their results.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,13 +20,13 @@
 use super::workers::registration;
 
 impl World {
-    pub(super) fn order(&mut self, term: u32, action: Action) {
+    pub(super) fn receive(&mut self, term: u32, action: Action) {
         if let Action::Advise { step, workers, .. } = &action {
             self.advise(term, *step, workers);
             return;
         }
         if let Action::Start { target, start } = &action {
-            // The sender looks once more before it sends.
+            // The sender checks once more before it sends.
             let planner = self.planner.as_ref().filter(|_| term == self.term);
             if planner.is_some_and(|planner| !planner.is_start_wanted(target, start.run)) {
                 let event = failed(action, Failure::Unsent);
@@ -36,7 +36,7 @@
         }
         match action {
             Action::StartMaintenance { rollout, machine } => {
-                return self.upkeep(term, rollout, &machine);
+                return self.start_maintenance(term, rollout, &machine);
             }
             Action::SaveRollout { rollout, progress, started } => {
                 if term == self.term {
@@ -55,17 +55,17 @@
     }
 
     fn advise(&mut self, term: u32, step: StepId, workers: &[id::Instance]) {
-        let rows: Vec<_> = workers
+        let tickets: Vec<_> = workers
             .iter()
             .filter(|name| self.allowed.contains(&***name))
             .map(|name| (name.clone(), Arc::from(format!("{step}@{name}"))))
             .collect();
         let at =
             self.now + Duration::from_millis(30) + Duration::from_millis(5) * workers.len() as u32;
-        self.push(at, Arrival::Event(term, Event::AdviceResult { step, outcome: Ok(rows) }));
+        self.push(at, Arrival::Event(term, Event::AdviceResult { step, outcome: Ok(tickets) }));
     }
 
-    /// A hold is answered when something has ended, or when its wait is over.
+    /// Answers a heartbeat when something has ended, or when its wait has passed.
     pub(super) fn wait_for_end(&mut self, term: u32, action: Action, until: Time) {
         let Action::Heartbeat { target, heartbeat } = &action else { return };
         let acknowledged = heartbeat.acknowledged;
@@ -80,14 +80,14 @@
         if ended || self.now >= until {
             self.deliver(term, action);
         } else {
-            // It holds from its arrival on, whenever it is answered.
+            // It renews the lease from its arrival on, whenever it is answered.
             let (name, heartbeat) = (target.name.clone(), *heartbeat);
             let now = self.now;
             self.acknowledge(&name, epoch, acknowledged);
             if let Some(worker) = self.by_name(&name) {
                 drop(worker.hold(epoch, &heartbeat, now));
             }
-            self.push(self.now + TICK, Arrival::Hold(term, action, until));
+            self.push(self.now + TICK, Arrival::Heartbeat(term, action, until));
         }
     }
 
@@ -107,9 +107,9 @@
             _ => None,
         };
         let address = target.address;
-        let mut lives = self.workers.values();
+        let mut others = self.workers.values();
         let other_worker =
-            lives.any(|worker| registration(worker).address == address && worker.name != name);
+            others.any(|worker| registration(worker).address == address && worker.name != name);
         let Some(worker) = self.by_name(&name) else {
             let refusal = cowslipchute_ports::executor::Refusal::OtherWorker;
             let failure =
@@ -126,7 +126,7 @@
         if worker.late.0 > 0 && !matches!(action, Action::Heartbeat { .. }) {
             worker.late.0 -= 1;
             let at = now + worker.late.1;
-            self.push(at, Arrival::DelayedOrder(action.clone()));
+            self.push(at, Arrival::DelayedCommand(action.clone()));
             let event = failed(action, Failure::Unknown);
             self.push(now + TIMEOUT, Arrival::Event(term, event));
             return;
@@ -134,7 +134,7 @@
         if worker.late_holds.0 > 0 && matches!(action, Action::Heartbeat { .. }) {
             worker.late_holds.0 -= 1;
             let at = now + worker.late_holds.1;
-            self.push(at, Arrival::DelayedOrder(action.clone()));
+            self.push(at, Arrival::DelayedCommand(action.clone()));
             let event = failed(action, Failure::Unknown);
             self.push(now + TIMEOUT, Arrival::Event(term, event));
             return;
@@ -142,12 +142,12 @@
         if let Action::Heartbeat { heartbeat, .. } = &action {
             self.acknowledge(&name, epoch, heartbeat.acknowledged);
         }
-        let worker = self.by_name(&name).expect("it was found a moment ago");
+        let worker = self.by_name(&name).expect("the worker was found above");
         let lost = worker.lose > 0 && !matches!(action, Action::Heartbeat { .. });
         if lost {
             worker.lose -= 1;
         }
-        let is_there = match &action {
+        let was_running = match &action {
             Action::Start { start, .. } => worker.active.contains_key(&start.run),
             _ => false,
         };
@@ -156,7 +156,7 @@
             self.starts += 1;
             self.record_start(run.task.job);
             self.check_start(*run);
-            if !is_there {
+            if !was_running {
                 self.check_domain(&name, *run);
             }
         }
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Carries an order out whose sender has given it up long ago.
+    /// Carries out a command that its sender has given up long before.
     pub(super) fn carry_out_late(&mut self, action: &Action) {
         let now = self.now;
         let (Action::Start { target, .. }
@@ -190,8 +190,8 @@
         let machine = self.workers.iter().find(|(_, worker)| worker.name == name && worker.up);
         let Some(machine) = machine.map(|(machine, _)| machine.clone()) else { return };
         let demand = spec.as_ref().map(|(step, _)| step.demand);
-        let worker = self.workers.get_mut(&machine).expect("it was found a moment ago");
-        // Whatever it answers, nobody hears it.
+        let worker = self.workers.get_mut(&machine).expect("the worker was found above");
+        // Its response reaches nobody.
         let event = carry_out(worker, action, spec, now);
         let started = matches!(event, Some(Event::StartResult { outcome: Ok(_), .. }));
         if let (true, Some(demand), Some(bound)) = (started, demand, self.bounds.get_mut(&machine))
@@ -201,16 +201,15 @@
     }
 
     fn spec(&self, run: Run) -> (Step, Duration) {
-        let accepted =
-            self.specs.get(&run.task.job).expect("nothing is started that was not asked");
+        let accepted = self.specs.get(&run.task.job).expect("only submitted jobs are started");
         let step = accepted.spec.steps[usize::from(run.task.step)].clone();
         let work = self.actual_work.get(&run.task.job).copied().unwrap_or(step.estimate);
         (step, work)
     }
 }
 
-/// A worker does what it is told, for a start with what its step asks for; the event that tells what came
-/// of it, or nothing for what is no order to a worker.
+/// Carries out a command on a worker, for a start with the step that it runs and its work; returns
+/// the event with the result, or `None` if the action is no command to a worker.
 fn carry_out(
     worker: &mut Worker,
     action: &Action,
@@ -243,7 +242,7 @@
     })
 }
 
-/// The event that tells of an order's failure.
+/// Returns the event of a command that failed.
 pub(super) fn failed(action: Action, failure: Failure) -> Event {
     match action {
         Action::Start { target, start } => {
--- a/crates/planner/tests/world/crashes.rs
+++ b/crates/planner/tests/world/crashes.rs
@@ -9,11 +9,12 @@
 
 use super::World;
 
-/// A worker that ends so soon after a start by itself looks as if it died of it.
+/// A worker that ends by itself this soon after a start looks as if the start had crashed it.
 const CRASH_WINDOW: Duration = Duration::from_millis(150);
 
 impl World {
-    /// Crashes the workers that run a culprit for long enough, and brings back those whose time is over.
+    /// Crashes the workers on which a crashing task has run for long enough, and brings back those
+    /// whose downtime has ended.
     pub(super) fn advance_crashes(&mut self) {
         let now = self.now;
         let crashed: Vec<(String, TaskId)> = self
@@ -24,10 +25,10 @@
             })
             .collect();
         for (name, task) in crashed {
-            let worker = self.workers.get_mut(&name).expect("it was looked at a moment ago");
+            let worker = self.workers.get_mut(&name).expect("the worker was found above");
             worker.up = false;
-            let gone: Vec<Run> = std::mem::take(&mut worker.active).into_keys().collect();
-            self.break_gangs(&gone);
+            let lost_runs: Vec<Run> = std::mem::take(&mut worker.active).into_keys().collect();
+            self.break_gangs(&lost_runs);
             self.crashes.crash(&name, task, now);
         }
         for name in self.crashes.take_back(now) {
@@ -37,13 +38,15 @@
         }
     }
 
-    /// A task that has crashed its share of workers isn't started again and again.
+    /// Checks that a task that has crashed as many workers as allowed isn't started again and
+    /// again.
     pub(super) fn check_crash_limit(&mut self, run: Run) {
-        let broken = self.crashes.start(run);
-        assert_eq!(broken, None, "noted before:\n{}", self.notes.join("\n"));
+        let violation = self.crashes.start(run);
+        assert_eq!(violation, None, "logged before:\n{}", self.notes.join("\n"));
     }
 
-    /// A worker ends by itself: whoever was started there a moment before can't be told from a culprit.
+    /// Records the victims of a worker that ends by itself: a task that was started there just
+    /// before can't be told from a crashing task.
     pub(super) fn record_crash_victims(&mut self, name: &str) {
         let now = self.now;
         let active = self.workers[name].active.iter();
@@ -51,12 +54,17 @@
         self.crash_victims.extend(begun.map(|(run, _)| run.task.job));
     }
 
-    /// Only a job with a culprit may be given up for crashes, or one that met one by itself right after a start.
-    pub(super) fn check_given_up(&self, job: JobId, state: State) {
-        let culprit = self.crashes.culprits.keys().any(|task| task.job == job);
-        let guilty = culprit || self.crash_victims.contains(&job);
+    /// Checks that only a job with a crashing task is ended as crashed, or one whose worker ended
+    /// by itself right after a start.
+    pub(super) fn check_crashed_job(&self, job: JobId, state: State) {
+        let has_crashing_task = self.crashes.culprits.keys().any(|task| task.job == job);
+        let may_crash = has_crashing_task || self.crash_victims.contains(&job);
         let notes = || self.notes.join("\n");
-        let told = "is given up and crashed no worker";
-        assert!(guilty || state != State::Crashed, "{job:x} {told}; noted before:\n{}", notes());
+        let message = "is ended as crashed although it crashed no worker";
+        assert!(
+            may_crash || state != State::Crashed,
+            "{job:x} {message}; logged before:\n{}",
+            notes()
+        );
     }
 }
--- a/crates/planner/tests/world/evacuations.rs
+++ b/crates/planner/tests/world/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuated failure domains of the planner's world, and the starts there that come too late.
+//! Evacuated failure domains of the planner's world, and the check for late starts there.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,18 +12,18 @@
 
 use super::World;
 
-/// By then an evacuation that an owner could read is in force.
+/// Time after which an evacuation that an owner could read is in effect.
 const EFFECT_DELAY: Duration = Duration::from_millis(500);
 
-/// What the operator has evacuated.
+/// Failure domains that the operator has evacuated.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
-    /// What the store holds.
+    /// The set in the store.
     pub domains: BTreeSet<id::Domain>,
-    /// What the owner was last told.
-    told: BTreeSet<id::Domain>,
-    /// Since when an owner could know of each.
-    known: BTreeMap<id::Domain, Time>,
+    /// The set that the owner was last notified of.
+    notified: BTreeSet<id::Domain>,
+    /// When an owner could first read each of them.
+    known_since: BTreeMap<id::Domain, Time>,
 }
 
 impl World {
@@ -33,25 +33,25 @@
 
     pub fn restore(&mut self, domain: &str) {
         self.evacuations.domains.remove(domain);
-        self.evacuations.known.remove(domain);
+        self.evacuations.known_since.remove(domain);
     }
 
-    /// Tells the owner of what has changed, as soon as the store can be read.
+    /// Notifies the owner of changes as soon as the store can be read.
     pub(super) fn advance_evacuations(&mut self) {
-        let changed = self.evacuations.told != self.evacuations.domains;
+        let changed = self.evacuations.notified != self.evacuations.domains;
         if changed && self.store_up && self.planner.is_some() {
             let event = self.read_evacuations();
             self.tell(event);
         }
     }
 
-    /// Reads what a new owner is told before it owns the cell.
+    /// Returns what a new owner receives before it owns the cell.
     pub(super) fn read_evacuations(&mut self) -> Event {
         let evacuations = &mut self.evacuations;
         for domain in &evacuations.domains {
-            evacuations.known.entry(domain.clone()).or_insert(self.now);
+            evacuations.known_since.entry(domain.clone()).or_insert(self.now);
         }
-        evacuations.told = evacuations.domains.clone();
+        evacuations.notified = evacuations.domains.clone();
         Event::Evacuated { domains: evacuations.domains.clone() }
     }
 
@@ -59,11 +59,11 @@
         self.evacuations.domains.contains(&worker.domain)
     }
 
-    /// Nothing is started in a failure domain whose evacuation is in force.
+    /// Checks that nothing is started in a failure domain whose evacuation is in effect.
     pub(super) fn check_domain(&self, worker: &str, run: Run) {
         let worker = self.workers.values().find(|known| &*known.name == worker);
         let domain = &worker.expect("it has just begun the run").domain;
-        let Some(&known) = self.evacuations.known.get(domain) else { return };
+        let Some(&known) = self.evacuations.known_since.get(domain) else { return };
         let late = self.now > known + EFFECT_DELAY;
         assert!(!late, "{run:?} is started in {domain}, which is evacuated");
     }
--- a/crates/planner/tests/world/gangs.rs
+++ b/crates/planner/tests/world/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs of the planner's world: they work when all are there, and end together.
+//! Gangs of the planner's world: they work once all members run, and end together.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
 use super::World;
 
 impl World {
-    /// A gang works from when all its runs are there.
+    /// Lets a gang work once all its runs are there.
     pub(super) fn join_gangs(&mut self) {
         let mut present: BTreeMap<(StepId, id::Attempt), u32> = BTreeMap::new();
         for worker in self.workers.values().filter(|worker| worker.up) {
@@ -31,10 +31,10 @@
         }
     }
 
-    /// Runs are gone without an end: what is left of their gangs ends as broken.
-    pub(super) fn break_gangs(&mut self, gone: &[Run]) {
+    /// Ends the rest of the gangs of runs that were lost without an end.
+    pub(super) fn break_gangs(&mut self, lost_runs: &[Run]) {
         let broken: BTreeSet<(StepId, id::Attempt)> =
-            gone.iter().map(|run| (run.task.step_id(), run.attempt)).collect();
+            lost_runs.iter().map(|run| (run.task.step_id(), run.attempt)).collect();
         let now = self.now;
         for worker in self.workers.values_mut() {
             for (run, active) in &mut worker.active {
--- a/crates/planner/tests/world/job_wait.rs
+++ b/crates/planner/tests/world/job_wait.rs
@@ -1,4 +1,4 @@
-//! How long jobs have nothing at work beside room that is free for them.
+//! Time for which jobs have nothing running while there is room for them.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,19 +13,20 @@
 
 use super::World;
 
-/// How often it is looked at: far more often than a task that could run may wait.
+/// Sampling interval: far shorter than a task that could run may wait.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
-/// There has to be room for so many of what could run.
+/// Tasks, or gangs, of the waiting step for which there has to be room.
 const MIN_SLOTS: u64 = 2;
-/// The part of the processors of all workers that may be in use, as its inverse.
+/// Maximum fraction of the processors of all workers that is in use, as its inverse.
 const INVERSE_BUSY_FRACTION: u64 = 2;
 
-/// Since when jobs have had nothing at work, though a task's turn had come and there was room, and the longest
-/// that one had, and which.
+/// Start of the time in which jobs had nothing running although a task was due and there was room,
+/// and the longest such time with its job.
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
     since: BTreeMap<JobId, Time>,
-    /// Jobs of which a run has begun since the last look: it may have crashed its worker before the next one.
+    /// Jobs of which a run has begun since the last sample: it may have crashed its worker before
+    /// the next one.
     began: BTreeSet<JobId>,
     pub longest: Duration,
     pub job: Option<JobId>,
@@ -33,7 +34,7 @@
 }
 
 impl World {
-    /// Looks at the jobs of which nothing runs.
+    /// Samples the jobs of which nothing runs.
     pub(super) fn watch_job_wait(&mut self) {
         let Some(mut watch) = self.job_wait.take() else { return };
         if self.now >= watch.next_at {
@@ -43,7 +44,7 @@
         self.job_wait = Some(watch);
     }
 
-    /// Notes that a run of a job has begun.
+    /// Records that a run of a job has begun.
     pub(super) fn record_start(&mut self, job: JobId) {
         if let Some(watch) = &mut self.job_wait {
             watch.began.insert(job);
@@ -79,7 +80,8 @@
         (all - free) * INVERSE_BUSY_FRACTION < all
     }
 
-    /// Returns the jobs that haven't ended, of which nothing runs, and for whose next step there is room.
+    /// Returns the jobs that haven't ended, have nothing running, and have room for their next
+    /// step.
     fn idle_jobs(&self) -> Vec<JobId> {
         let running = self.workers.values().flat_map(|worker| worker.active.keys());
         let busy: Vec<JobId> = running.map(|run| run.task.job).collect();
@@ -93,18 +95,18 @@
         let is_done = |step: usize, index| {
             self.finished.contains(&TaskId { job, occurrence: 0, step: step as _, index })
         };
-        // One end of a gang stands for all of them.
+        // One end completes a whole gang.
         let step_done = |step: usize| match steps[step].gang {
             true => (0..steps[step].count).any(|index| is_done(step, index)),
             false => (0..steps[step].count).all(|index| is_done(step, index)),
         };
-        let due = |step: usize| {
+        let is_due = |step: usize| {
             let before = &steps[step].after;
             !step_done(step) && before.iter().all(|&before| step_done(usize::from(before)))
         };
-        (0..steps.len()).filter(|&step| due(step)).any(|step| {
-            let width = if steps[step].gang { u64::from(steps[step].count) } else { 1 };
-            self.count_slots(&steps[step]) >= MIN_SLOTS * width
+        (0..steps.len()).filter(|&step| is_due(step)).any(|step| {
+            let tasks = if steps[step].gang { u64::from(steps[step].count) } else { 1 };
+            self.count_slots(&steps[step]) >= MIN_SLOTS * tasks
         })
     }
 
@@ -120,5 +122,5 @@
 }
 
 fn free(worker: &Worker) -> Amount {
-    worker.active.values().fold(worker.capacity, |left, active| left.minus(active.step.demand))
+    worker.active.values().fold(worker.capacity, |room, active| room.minus(active.step.demand))
 }
--- a/crates/planner/tests/world/link.rs
+++ b/crates/planner/tests/world/link.rs
@@ -1,4 +1,4 @@
-//! The owner's link, where it is narrow: what is sent waits behind what was sent before.
+//! The owner's link, if it is narrow: traffic queues behind earlier traffic.
 
 use std::time::Duration;
 
@@ -6,14 +6,14 @@
 use cowslipchute_planner::action::Action;
 use cowslipchute_planner::action::Change;
 
-/// Bytes of an order's head, its other fields and its answer.
-const ORDER_BYTES: usize = 600;
+/// Bytes of a command's headers, its other fields and its response.
+const COMMAND_BYTES: usize = 600;
 /// Bytes of a change beside its record.
 const CHANGE_BYTES: usize = 300;
 
 /// A link.
 pub struct Link {
-    /// Bytes a second.
+    /// Bytes per second.
     pub rate: f64,
     free_at: Time,
 }
@@ -23,28 +23,28 @@
         Link { rate, free_at: Time::ZERO }
     }
 
-    /// Returns how long what is sent now waits for what was sent before.
+    /// Returns how long traffic sent now waits for earlier traffic.
     pub fn queue_delay(&self, now: Time) -> Duration {
         self.free_at.saturating_sub(now)
     }
 
-    /// Sends so many bytes; returns when the last of them has left.
+    /// Sends `bytes`; returns how long it takes until the last of them has left.
     pub fn send(&mut self, now: Time, bytes: usize) -> Duration {
-        let takes = Duration::from_secs_f64(bytes as f64 / self.rate);
-        self.free_at = self.free_at.max(now) + takes;
+        let duration = Duration::from_secs_f64(bytes as f64 / self.rate);
+        self.free_at = self.free_at.max(now) + duration;
         self.queue_delay(now)
     }
 }
 
-/// Returns the bytes of an order, with its answer.
-pub fn order_bytes(order: &Action) -> usize {
-    match order {
-        Action::Start { start, .. } => start.payload.len() + ORDER_BYTES,
-        _ => ORDER_BYTES,
+/// Returns the bytes of a command and its response.
+pub fn command_bytes(command: &Action) -> usize {
+    match command {
+        Action::Start { start, .. } => start.payload.len() + COMMAND_BYTES,
+        _ => COMMAND_BYTES,
     }
 }
 
-/// Returns the bytes of a write, as base64.
+/// Returns the bytes of a write, in base64.
 pub fn write_bytes(changes: &[Change]) -> usize {
     let records = changes.iter().map(|change| match change {
         Change::Progress { record, .. } => record.encode().len(),
--- a/crates/planner/tests/world/machines.rs
+++ b/crates/planner/tests/world/machines.rs
@@ -1,4 +1,4 @@
-//! The machines of the planner's world: a worker's key names its machine over all lives.
+//! The machines of the planner's world: a worker's key names its machine across all incarnations.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,40 +18,40 @@
 use super::ONE_WAY_DELAY;
 use super::World;
 
-/// How long an upkeep takes.
-const UPKEEP: Duration = Duration::from_secs(2);
-/// How often the owner lists the machines.
-const LIST_PAUSE: Duration = Duration::from_millis(300);
+/// Duration of the maintenance of a machine.
+const MAINTENANCE: Duration = Duration::from_secs(2);
+/// Interval at which the owner lists the machines.
+const LIST_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Machines and the waves that were asked for.
+/// Machines and the rollouts that were requested.
 #[derive(Debug, Default)]
 pub struct Machines {
-    waves: BTreeMap<WaveNumber, Wave>,
-    /// How far each is, as the store holds it.
+    rollouts: BTreeMap<WaveNumber, Wave>,
+    /// Progress of each rollout as the store holds it.
     pub stored: BTreeMap<WaveNumber, (Progress, Vec<Name>)>,
-    /// Machines that are down, and when they are back.
+    /// Machines that are down, with the time when they are up again.
     up_at: BTreeMap<String, Time>,
     begun: BTreeSet<(WaveNumber, Name)>,
     listed_at: Time,
-    /// Answers to the next so many orders get lost.
+    /// Number of the next responses that get lost.
     pub lost_answers: u32,
-    /// Whether the list can't be had.
+    /// Whether the machine list is unavailable.
     pub list_unavailable: bool,
-    /// Steps whose tasks have all been at work.
+    /// Steps whose tasks have all run at the same time.
     full_steps: BTreeSet<StepId>,
-    /// The most tasks of one step that were away at once.
+    /// The highest number of tasks of one step that were unavailable at once.
     pub max_unavailable: usize,
 }
 
 impl Machines {
-    /// Tells whether a machine is down for its upkeep, so that nothing else happens to it.
+    /// Returns `true` if a machine is down for its maintenance, so that nothing else happens to it.
     pub fn is_down(&self, name: &str) -> bool {
         self.up_at.contains_key(name)
     }
 }
 
 impl World {
-    /// The operator asks for a wave.
+    /// Requests a rollout as the operator.
     pub fn add_rollout(
         &mut self,
         number: WaveNumber,
@@ -60,45 +60,47 @@
         cap: usize,
     ) {
         let rollout = Wave { number, machines: names, duration, cap };
-        self.machines.waves.insert(number, rollout.clone());
+        self.machines.rollouts.insert(number, rollout.clone());
         self.tell(Event::Rollout { rollout, started: Vec::new() });
     }
 
-    /// Returns what a new owner is told of the waves that aren't completed.
-    pub(super) fn open_waves(&self) -> Vec<Event> {
-        let open = self.machines.waves.values().filter_map(|wave| {
-            let kept = self.machines.stored.get(&wave.number);
-            let started = match kept {
+    /// Returns the events about rollouts in progress that a new owner receives.
+    pub(super) fn open_rollouts(&self) -> Vec<Event> {
+        let open = self.machines.rollouts.values().filter_map(|rollout| {
+            let status = self.machines.stored.get(&rollout.number);
+            let started = match status {
                 Some((Progress::Completed, _)) => return None,
                 Some((Progress::Active, started)) => started.clone(),
                 None => Vec::new(),
             };
-            Some(Event::Rollout { rollout: wave.clone(), started })
+            Some(Event::Rollout { rollout: rollout.clone(), started })
         });
         open.collect()
     }
 
-    /// Tells whether a wave isn't completed.
+    /// Returns `true` if a rollout isn't completed.
     pub fn has_open_waves(&self) -> bool {
-        !self.open_waves().is_empty()
+        !self.open_rollouts().is_empty()
     }
 
     pub(super) fn advance_machines(&mut self) {
         let now = self.now;
-        let back: Vec<String> = self
+        let due: Vec<String> = self
             .machines
             .up_at
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(name, _)| name.clone())
             .collect();
-        for name in back {
+        for name in due {
             self.machines.up_at.remove(&name);
             self.crash(&name, true);
         }
         self.count_unavailable();
         let wanted = self.planner.as_ref().is_some_and(|planner| planner.needs_machine_list());
-        if wanted && !self.machines.list_unavailable && now >= self.machines.listed_at + LIST_PAUSE
+        if wanted
+            && !self.machines.list_unavailable
+            && now >= self.machines.listed_at + LIST_INTERVAL
         {
             self.machines.listed_at = now;
             let machines = self.workers.iter().map(|(name, worker)| Machine {
@@ -111,8 +113,8 @@
         }
     }
 
-    pub(super) fn upkeep(&mut self, term: u32, rollout: WaveNumber, name: &Name) {
-        let outcome = self.begin_upkeep(rollout, name);
+    pub(super) fn start_maintenance(&mut self, term: u32, rollout: WaveNumber, name: &Name) {
+        let outcome = self.begin_maintenance(rollout, name);
         let (at, outcome) = if self.machines.lost_answers > 0 {
             self.machines.lost_answers -= 1;
             (self.now + super::TIMEOUT, Err(Failure::Unknown))
@@ -123,7 +125,7 @@
         self.push(at, Arrival::Event(term, event));
     }
 
-    fn begin_upkeep(&mut self, number: WaveNumber, name: &Name) -> Result<(), Failure> {
+    fn begin_maintenance(&mut self, number: WaveNumber, name: &Name) -> Result<(), Failure> {
         if self.machines.begun.contains(&(number, name.clone())) {
             return Ok(());
         }
@@ -132,26 +134,38 @@
             Some(worker) if !worker.up => return Err(Failure::Busy),
             Some(_) => {}
         }
-        let wave = &self.machines.waves[&number];
-        let down = wave.machines.iter().filter(|name| self.machines.is_down(name));
-        assert!(down.count() < wave.cap, "more machines of wave {number} are down than may be");
+        let rollout = &self.machines.rollouts[&number];
+        let down = rollout.machines.iter().filter(|name| self.machines.is_down(name));
+        assert!(
+            down.count() < rollout.cap,
+            "more machines of rollout {number} are down than allowed"
+        );
         self.machines.begun.insert((number, name.clone()));
         self.crash(name, false);
-        self.machines.up_at.insert(name.to_string(), self.now + UPKEEP);
+        self.machines.up_at.insert(name.to_string(), self.now + MAINTENANCE);
         Ok(())
     }
 
-    pub(super) fn store_rollout(&mut self, wave: WaveNumber, progress: Progress, begun: Vec<Name>) {
+    pub(super) fn store_rollout(
+        &mut self,
+        number: WaveNumber,
+        progress: Progress,
+        begun: Vec<Name>,
+    ) {
         if progress == Progress::Completed {
-            let wanted = self.machines.waves[&wave].machines.iter();
-            let mut left = wanted.filter(|name| self.workers.contains_key(&***name));
-            let missed = left.find(|name| !self.machines.begun.contains(&(wave, (*name).clone())));
-            assert_eq!(missed, None, "a wave is completed before the upkeep of a machine began");
+            let wanted = self.machines.rollouts[&number].machines.iter();
+            let mut known_machines = wanted.filter(|name| self.workers.contains_key(&***name));
+            let missed = known_machines
+                .find(|name| !self.machines.begun.contains(&(number, (*name).clone())));
+            assert_eq!(
+                missed, None,
+                "a rollout is completed before the maintenance of a machine began"
+            );
         }
-        self.machines.stored.insert(wave, (progress, begun));
+        self.machines.stored.insert(number, (progress, begun));
     }
 
-    /// Counts how many tasks of a step that lasts are away, once it has been whole.
+    /// Counts the unavailable tasks of service steps that have been complete once.
     fn count_unavailable(&mut self) {
         for (job, accepted) in &self.jobs {
             for (index, step) in accepted.spec.steps.iter().enumerate() {
@@ -161,19 +175,20 @@
                 let id = StepId { job: *job, occurrence: 0, step: index as u16 };
                 let up = self.workers.values().filter(|worker| worker.up);
                 let runs = up.flat_map(|worker| worker.active.iter());
-                let at_work = runs
+                let running = runs
                     .filter(|(run, active)| run.task.step_id() == id && active.ending.is_none());
-                let away = (step.count as usize).saturating_sub(at_work.count());
-                if away == 0 {
+                let unavailable = (step.count as usize).saturating_sub(running.count());
+                if unavailable == 0 {
                     self.machines.full_steps.insert(id);
                 } else if self.machines.full_steps.contains(&id) {
-                    self.machines.max_unavailable = self.machines.max_unavailable.max(away);
+                    self.machines.max_unavailable = self.machines.max_unavailable.max(unavailable);
                 }
             }
         }
     }
 
-    /// Tells how far the waves are, and how many tasks of a step were away at most.
+    /// Renders the progress of the rollouts and the highest number of tasks of a step that were
+    /// unavailable.
     pub fn describe_waves(&self) -> String {
         let mut text = String::new();
         for (number, (progress, begun)) in &self.machines.stored {
--- a/crates/planner/tests/world/mod.rs
+++ b/crates/planner/tests/world/mod.rs
@@ -1,22 +1,23 @@
 //! A world for the planner in virtual time: a store, workers, and an owner that can be replaced.
 //!
-//! What must always hold is checked after every step: a task never runs twice at once, nor again
-//! after an end that was acknowledged; a step never begins before those it comes after; no worker
-//! is given more than it has, or had a moment ago; a job's end is shown only after the store holds
-//! it; what is acknowledged can be read from the store; a task that crashes its workers is given up,
-//! and no other for theirs; nothing is started in an evacuated failure domain.
+//! These invariants are checked after every step: a task never runs twice at once, nor again after
+//! an end that was acknowledged; a step never begins before the steps that it depends on are done;
+//! no worker is given more than its capacity, or its capacity a moment ago; a job's end is shown
+//! only after the store holds it; what is acknowledged can be read from the store; a task that
+//! crashes its workers is ended as crashed, and no other task because of their crashes; nothing is
+//! started in an evacuated failure domain.
 
 #![allow(dead_code, reason = "each test file uses a part of the world")]
 
 mod capacity;
 mod check;
+mod commands;
 mod crashes;
 mod evacuations;
 mod gangs;
 pub mod job_wait;
 pub mod link;
 mod machines;
-mod orders;
 mod owner;
 mod restarts;
 pub mod service_wait;
@@ -43,29 +44,29 @@
 use cowslipchute_standin::site::crashes::Crashes;
 use cowslipchute_standin::site::worker::Worker;
 
-/// One way between the owner and anyone else.
+/// One-way delay between the owner and anyone else.
 const ONE_WAY_DELAY: Duration = Duration::from_millis(2);
-/// How often time passes.
+/// Interval at which time advances.
 const TICK: Duration = Duration::from_millis(5);
-/// After this an order without an answer is given up.
+/// Timeout of a command without a response.
 const TIMEOUT: Duration = Duration::from_millis(700);
-/// How long the owner's lease lasts from a renewal.
+/// Duration of the owner's lease from a renewal on.
 const LEASE: Duration = Duration::from_millis(2500);
 
 /// What arrives at a time.
 #[derive(Clone, Debug)]
 enum Arrival {
-    /// An action reaches the worker it is for.
-    Order(u32, Action),
-    /// A waiting hold looks again whether something has ended.
-    Hold(u32, Action, Time),
-    /// An order that was left without an answer is carried out.
-    DelayedOrder(Action),
+    /// An action reaches the worker that it is for.
+    Command(u32, Action),
+    /// A waiting heartbeat checks again whether something has ended.
+    Heartbeat(u32, Action, Time),
+    /// A command that was left unanswered is carried out.
+    DelayedCommand(Action),
     /// A write reaches the store.
     Write(u32, u64, Vec<Change>),
     /// An event reaches the owner of a term.
     Event(u32, Event),
-    /// A client hands a job in.
+    /// A client submits a job.
     Submit(JobId, Accepted),
 }
 
@@ -73,7 +74,7 @@
 pub struct World {
     pub now: Time,
     pub planner: Option<Planner>,
-    /// Rises with each owner; also its epoch.
+    /// Number of the current owner; also its epoch.
     pub term: u32,
     pub owned_at: Time,
     pub workers: BTreeMap<String, Worker>,
@@ -83,30 +84,30 @@
     pub ends: BTreeMap<JobId, State>,
     /// Jobs that the store has ever held.
     pub specs: BTreeMap<JobId, Arc<Accepted>>,
-    /// When each was handed in, and when its end was stored.
+    /// When each was submitted, and when its end was stored.
     pub submitted_at: BTreeMap<JobId, Time>,
     pub ended_at: BTreeMap<JobId, Time>,
-    /// How tasks that last wait beside free room, if that is watched.
+    /// Wait of service tasks beside free capacity, if it is watched.
     pub service_wait: Option<service_wait::Watch>,
-    /// How long jobs have nothing at work beside free room, if that is watched.
+    /// Time for which jobs have nothing running beside free capacity, if it is watched.
     pub job_wait: Option<job_wait::Watch>,
-    /// How long a task really works, where it isn't as estimated.
+    /// Actual duration of a task where it differs from the estimate.
     pub actual_work: BTreeMap<JobId, Duration>,
     /// Whether the store answers, and how long it takes.
     pub store_up: bool,
     pub store_delay: Duration,
     pub renewals: bool,
-    /// How long the owner's orders, but holds, wait until it has the time to send them.
+    /// Delay until the owner has CPU time to send its commands, except for heartbeats.
     pub order_delay: Duration,
     /// The owner's link, if it is narrow.
     pub link: Option<link::Link>,
     arrivals: BTreeMap<(Time, u64), Arrival>,
     sequence: u64,
-    /// Ends that are acknowledged for good.
+    /// Tasks whose end has been acknowledged for good.
     acknowledged: BTreeSet<TaskId>,
-    /// Tasks of which a run has ended done, on whatever life.
+    /// Tasks of which a run has ended done, on any incarnation.
     finished: BTreeSet<TaskId>,
-    /// Where advised queues may run.
+    /// Workers that the advisory service permits.
     pub allowed: BTreeSet<String>,
     pub notes: Vec<String>,
     pub starts: u64,
@@ -116,7 +117,7 @@
     pub evacuations: evacuations::Evacuations,
     /// Jobs with a task whose worker ended by itself right after its start.
     crash_victims: BTreeSet<JobId>,
-    /// How full workers may be that have shrunk.
+    /// What workers that have shrunk may hold.
     bounds: BTreeMap<String, capacity::Bound>,
 }
 
@@ -186,7 +187,7 @@
         self.push(self.now + ONE_WAY_DELAY, Arrival::Event(term, event));
     }
 
-    /// Lets time pass.
+    /// Advances the time by `span`.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
@@ -211,17 +212,17 @@
                 if key.0 > self.now {
                     break;
                 }
-                let arrival = self.arrivals.remove(&key).expect("it was there a moment ago");
+                let arrival = self.arrivals.remove(&key).expect("it was just looked up");
                 self.arrive(arrival);
             }
-            self.settle();
+            self.advance_planner();
             self.check();
             self.watch_service_wait();
             self.watch_job_wait();
         }
     }
 
-    fn settle(&mut self) {
+    fn advance_planner(&mut self) {
         let Some(planner) = &mut self.planner else { return };
         let mut actions = Vec::new();
         planner.advance(self.now, &mut actions);
@@ -249,23 +250,27 @@
                     let at = self.now + queue + self.store_delay / 2;
                     self.push(at, Arrival::Write(term, batch, changes));
                 }
-                order => {
-                    let asks = matches!(order, Action::Heartbeat { .. });
-                    let delay = if asks { Duration::ZERO } else { self.order_delay };
+                command => {
+                    let is_heartbeat = matches!(command, Action::Heartbeat { .. });
+                    let delay = if is_heartbeat { Duration::ZERO } else { self.order_delay };
                     let now = self.now;
-                    let queue = self.transmit(link::order_bytes(&order));
+                    let queue = self.transmit(link::command_bytes(&command));
                     if queue > TIMEOUT {
-                        let event = orders::failed(order, Failure::Unknown);
+                        let event = commands::failed(command, Failure::Unknown);
                         self.push(now + TIMEOUT, Arrival::Event(term, event));
                     } else {
-                        self.push(now + queue + delay + ONE_WAY_DELAY, Arrival::Order(term, order));
+                        self.push(
+                            now + queue + delay + ONE_WAY_DELAY,
+                            Arrival::Command(term, command),
+                        );
                     }
                 }
             }
         }
     }
 
-    /// Sends bytes over the owner's link; returns when the last of them has left.
+    /// Sends bytes over the owner's link; returns how long it takes until the last of them has
+    /// left.
     fn transmit(&mut self, bytes: usize) -> Duration {
         let now = self.now;
         self.link.as_mut().map_or(Duration::ZERO, |link| link.send(now, bytes))
@@ -283,20 +288,20 @@
                 self.act(actions);
             }
             Arrival::Write(term, batch, changes) => self.write(term, batch, changes),
-            Arrival::Order(term, action) => self.order(term, action),
+            Arrival::Command(term, action) => self.receive(term, action),
             Arrival::Submit(id, accepted) => self.submit(id, accepted),
-            Arrival::DelayedOrder(action) => self.carry_out_late(&action),
-            Arrival::Hold(term, action, until) => self.wait_for_end(term, action, until),
+            Arrival::DelayedCommand(action) => self.carry_out_late(&action),
+            Arrival::Heartbeat(term, action, until) => self.wait_for_end(term, action, until),
         }
     }
 
     fn write(&mut self, term: u32, batch: u64, changes: Vec<Change>) {
         if !self.store_up {
-            // The writer makes it again until it is there.
+            // The writer retries until the write is there.
             self.push(self.now + Duration::from_millis(100), Arrival::Write(term, batch, changes));
             return;
         }
-        // The store refuses whoever isn't the owner any more.
+        // The store refuses writers that aren't the owner any more.
         if term != self.term {
             return;
         }
@@ -306,7 +311,7 @@
                 Change::End { job, state } => {
                     self.records.remove(&job);
                     self.jobs.remove(&job);
-                    self.check_given_up(job, state);
+                    self.check_crashed_job(job, state);
                     let before = self.ends.insert(job, state);
                     assert_eq!(before, None, "a job ends once: {job:x}");
                     self.ended_at.insert(job, self.now);
@@ -321,7 +326,7 @@
         self.push(self.now + ONE_WAY_DELAY, Arrival::Event(term, event));
     }
 
-    /// Renders how far each job is.
+    /// Renders the progress of each job.
     pub fn describe(&self) -> String {
         let mut text = String::new();
         for id in self.specs.keys() {
--- a/crates/planner/tests/world/owner.rs
+++ b/crates/planner/tests/world/owner.rs
@@ -1,4 +1,4 @@
-//! Owners of the planner's world, one after the other.
+//! The successive owners of the planner's world.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -48,7 +48,7 @@
         })
     }
 
-    /// A configuration whose services refuse what doesn't fit if all their workers do.
+    /// Returns a configuration in which a service refuses excess runs if all its workers do.
     pub(super) fn with_services(&self, config: &Arc<Config>) -> Arc<Config> {
         let mut guarded: BTreeMap<id::Service, bool> = BTreeMap::new();
         for worker in self.workers.values() {
@@ -60,7 +60,8 @@
         Arc::new(Config { services: services.collect(), ..Config::clone(config) })
     }
 
-    /// A new owner takes the cell over; whatever the former one had on its way goes on.
+    /// Lets a new owner take over the cell; commands of the previous one that are in flight
+    /// continue.
     pub fn take_over(&mut self, config: &Arc<Config>) {
         self.term += 1;
         self.owned_at = self.now;
@@ -81,7 +82,7 @@
         for event in events {
             planner.step(self.now, event, &mut actions);
         }
-        for event in self.open_waves() {
+        for event in self.open_rollouts() {
             planner.step(self.now, event, &mut actions);
         }
         for worker in self.workers.values().filter(|worker| worker.listed) {
@@ -92,12 +93,12 @@
         self.act(actions);
     }
 
-    /// Returns for how long the cell has had its owner.
+    /// Returns how long the cell has had its owner.
     pub fn owned_for(&self) -> Duration {
         self.now - self.owned_at
     }
 
-    /// The owner is gone without a word.
+    /// Kills the owner without notice.
     pub fn kill_owner(&mut self) {
         self.planner = None;
     }
--- a/crates/planner/tests/world/restarts.rs
+++ b/crates/planner/tests/world/restarts.rs
@@ -1,4 +1,4 @@
-//! Workers of the planner's world that start again under their names.
+//! Workers of the planner's world that restart under their names.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,31 +12,32 @@
 use super::World;
 use super::workers::registration;
 
-/// Workers that are down until they start again, and what the directory held of their starts before.
+/// Workers that are down until they restart, and the directory entries of their previous
+/// incarnations.
 #[derive(Debug, Default)]
 pub struct Restarts {
     up_at: BTreeMap<String, Time>,
-    /// How long after its start a worker's entry is in the directory.
+    /// Time after a worker's start until its entry is in the directory.
     pub entry_delay: Duration,
     former_entries: BTreeMap<String, Registration>,
 }
 
 impl World {
-    /// A worker crashes and starts again under its name after a while, knowing nothing of before.
+    /// Crashes a worker, which restarts under its name after a while without any state.
     pub fn restart(&mut self, machine: &str, down: Duration) {
         if self.machines.is_down(machine) || !self.workers.get(machine).is_some_and(|w| w.up) {
             return;
         }
         self.record_crash_victims(machine);
-        let worker = self.workers.get_mut(machine).expect("it was looked at a moment ago");
+        let worker = self.workers.get_mut(machine).expect("the worker was found above");
         worker.up = false;
-        let gone: Vec<Run> = std::mem::take(&mut worker.active).into_keys().collect();
-        self.break_gangs(&gone);
+        let lost_runs: Vec<Run> = std::mem::take(&mut worker.active).into_keys().collect();
+        self.break_gangs(&lost_runs);
         self.restarts.up_at.insert(machine.to_owned(), self.now + down);
         self.advance_restarts();
     }
 
-    /// Starts the workers again whose time has come.
+    /// Restarts the workers that are due.
     pub(super) fn advance_restarts(&mut self) {
         let now = self.now;
         let due = self.restarts.up_at.iter().filter(|(_, at)| **at <= now);
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The directory's entry of a worker's start before arrives once more.
+    /// Delivers the directory entry of a worker's previous incarnation once more.
     pub fn deliver_former_entry(&mut self, machine: &str) {
         if let Some(registration) = self.restarts.former_entries.get(machine).cloned() {
             self.tell(Event::Listed { registration });
--- a/crates/planner/tests/world/service_wait.rs
+++ b/crates/planner/tests/world/service_wait.rs
@@ -1,4 +1,4 @@
-//! How long tasks that last wait beside room for two of them.
+//! Time for which service tasks wait while there is room for two of them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,10 +10,11 @@
 
 use super::World;
 
-/// How often it is looked at: far more often than short tasks come and go.
+/// Sampling interval: far shorter than the time in which short tasks come and go.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Since when tasks that last wait beside room for two of them, and the longest that one did.
+/// Start of the wait of service tasks while there is room for two of them, and the longest such
+/// wait.
 #[derive(Clone, Debug, Default)]
 pub struct Watch {
     since: BTreeMap<TaskId, Time>,
@@ -22,7 +23,7 @@
 }
 
 impl World {
-    /// Looks at the tasks that last and don't run.
+    /// Samples the service tasks that don't run.
     pub(super) fn watch_service_wait(&mut self) {
         let Some(mut watch) = self.service_wait.take() else { return };
         if self.now >= watch.next_at {
@@ -52,7 +53,7 @@
     }
 
     fn waiting_service_tasks(&self) -> Vec<TaskId> {
-        let mut idle = Vec::new();
+        let mut waiting = Vec::new();
         for (&job, accepted) in &self.specs {
             if self.ends.contains_key(&job) || accepted.spec.schedule.is_some() {
                 continue;
@@ -62,10 +63,10 @@
                     continue;
                 }
                 let id = |task| TaskId { job, occurrence: 0, step: index as _, index: task };
-                idle.extend((0..step.count).map(id).filter(|&task| !self.runs(task)));
+                waiting.extend((0..step.count).map(id).filter(|&task| !self.runs(task)));
             }
         }
-        idle
+        waiting
     }
 
     fn runs(&self, task: TaskId) -> bool {
@@ -76,7 +77,7 @@
 
 fn free(worker: &cowslipchute_standin::site::worker::Worker) -> Amount {
     let reserving = worker.active.values().filter(|active| !active.step.fills);
-    reserving.fold(worker.capacity, |left, active| left.minus(active.step.demand))
+    reserving.fold(worker.capacity, |room, active| room.minus(active.step.demand))
 }
 
 fn count_slots(rooms: &[Amount], demand: Amount) -> u32 {
--- a/crates/planner/tests/world/stream.rs
+++ b/crates/planner/tests/world/stream.rs
@@ -1,4 +1,4 @@
-//! Jobs that come one after the other, and how many of them are done in time.
+//! Jobs that are submitted one after another, and how many of them are done in time.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::World;
 
 impl World {
-    /// Hands in jobs of the same form one after the other, with rising numbers.
+    /// Submits jobs of the same shape one after another, with rising numbers.
     pub fn submit_stream(
         &mut self,
         first: JobId,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Counts jobs of a stream that were done so soon after they were handed in.
+    /// Counts the jobs of a stream that were done within this time of their submission.
     pub fn completed_within(&self, first: JobId, count: u64, within: Duration) -> u64 {
         let served = (first..first + count).filter(|id| {
             let (Some(&from), Some(&to)) = (self.submitted_at.get(id), self.ended_at.get(id))
--- a/crates/planner/tests/world/workers.rs
+++ b/crates/planner/tests/world/workers.rs
@@ -1,4 +1,4 @@
-//! Workers of the planner's world: what the directory says of them, and their lives.
+//! Workers of the planner's world: their directory entries and their incarnations.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
         self.tell(Event::Listed { registration });
     }
 
-    /// Somebody else writes an entry into the directory that has the address of a worker.
+    /// Writes a foreign directory entry with the address of a worker.
     pub fn list_foreign(&mut self, name: &str, at: &str, service: &str) {
         let Some(worker) = self.workers.get(at) else { return };
         let registration =
@@ -45,8 +45,8 @@
         self.tell(Event::Unlisted { name });
     }
 
-    /// The worker's life ends; another one begins at the same place, under another name.
-    pub fn crash(&mut self, name: &str, reborn: bool) {
+    /// Ends a worker; if `replaced`, a worker of another name takes its place.
+    pub fn crash(&mut self, name: &str, replaced: bool) {
         if self.machines.is_down(name) {
             return;
         }
@@ -56,20 +56,20 @@
         let Some(worker) = self.workers.get_mut(name) else { return };
         worker.up = false;
         worker.active.clear();
-        if !reborn {
+        if !replaced {
             return;
         }
         self.incarnations += 1;
-        let mut life = Worker::open(
+        let mut successor = Worker::open(
             &format!("{name}+{}", self.incarnations),
             worker.capacity,
             &worker.rack.clone(),
         );
-        life.updated = self.now;
-        life.guards = worker.guards;
-        life.domain = worker.domain.clone();
+        successor.updated = self.now;
+        successor.guards = worker.guards;
+        successor.domain = worker.domain.clone();
         self.bounds.remove(name);
-        let old = self.workers.insert(name.to_owned(), life);
+        let old = self.workers.insert(name.to_owned(), successor);
         let old = old.expect("it was looked up before");
         let registration = registration(&self.workers[name]);
         self.tell(Event::Listed { registration });
@@ -81,9 +81,9 @@
     }
 }
 
-/// The entry of a worker as it writes it.
+/// Returns the directory entry that a worker writes.
 pub(super) fn registration(worker: &Worker) -> Registration {
-    // The address stays with the machine, whichever life it has.
+    // The address belongs to the machine, whichever worker runs on it.
     let machine = worker.name.split('+').next().unwrap_or_default();
     let host =
         machine.bytes().fold(7u32, |sum, byte| sum.wrapping_mul(31).wrapping_add(byte.into()));
