--- a/crates/planner/tests/interleavings.rs
+++ b/crates/planner/tests/interleavings.rs
@@ -1,5 +1,6 @@
-//! Random interleavings of owners, workers and jobs. The world checks what must always hold after
-//! every step; in the end all is mended, and then every job has to come to its end.
+//! Random interleavings of faults, owners, workers and jobs. The simulated cell checks the
+//! invariants after every step. In the end all faults are repaired, and then every job has to reach
+//! a final state.
 
 mod world;
 
@@ -18,37 +19,39 @@
 use world::World;
 use yare::parameterized;
 
-/// Workers of the world.
+/// Number of workers in the cell.
 const WORKERS: u8 = 4;
-/// Processors of each.
+/// Processors of each worker.
 const PROCESSORS: u32 = 4;
-/// Cases, unless the environment says otherwise.
+/// Number of cases, unless `PROPTEST_CASES` is set.
 const CASES: u32 = 200;
-/// Steps of a case.
-const STEPS: usize = 60;
-/// Failed runs that a job may have; faults alone don't spend them.
-const ATTEMPTS: u32 = 1000;
-/// A mended world is calm for so long before it is watched whether anything waits beside free room: the longest deadline
-/// that an earlier owner may have given has passed by then.
-const SETTLED: Duration = Duration::from_secs(12);
-/// So long a job may have nothing at work beside room that is free for it.
-const IDLE: Duration = Duration::from_secs(3);
-/// So long a service task may wait beside room for two of its kind, whether or not others of its job run.
-const BESIDE: Duration = Duration::from_secs(3);
-/// By then every job has come to its end in a mended world.
-const END: Duration = Duration::from_secs(60);
+/// Upper bound on the steps of a case, exclusive.
+const MAX_STEPS: usize = 60;
+/// Failed runs that a job may have. High enough that injected faults alone don't use them up.
+const MAX_ATTEMPTS: u32 = 1000;
+/// Time after the repair before waits next to free room are measured: by then the longest lease
+/// that a previous owner may have given has expired.
+const SETTLE_TIME: Duration = Duration::from_secs(12);
+/// Longest time that a job may have no running task although there is room for it.
+const MAX_JOB_WAIT: Duration = Duration::from_secs(3);
+/// Longest time that a service task may wait although there is room for two of its kind, whether or
+/// not other tasks of its job run.
+const MAX_SERVICE_WAIT: Duration = Duration::from_secs(3);
+/// Time after the repair within which every job has to reach a final state.
+const COMPLETION_TIME: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
+    /// A job of `chain` sequential steps, each with `width` tasks that take `time` milliseconds.
     Submit {
         width: u32,
         chain: u16,
         time: u64,
         kind: u8,
     },
-    /// A job one of whose tasks crashes each worker, so many milliseconds after its start.
-    Culprit {
+    /// A job with a task that crashes each of its workers, this many milliseconds after its start.
+    CrashingJob {
         width: u32,
         at: u32,
         after: u64,
@@ -57,42 +60,46 @@
     Cancel(u8),
     KillOwner,
     TakeOver,
-    Cut(u8),
+    Partition(u8),
     Heal(u8),
-    Rebirth(u8),
+    /// A worker crashes, and another one starts at its address under a new name.
+    Replace(u8),
     Unlist(u8),
     List(u8),
     Fail(u8),
     Hang(u8),
     Slow(u8),
-    Mend(u8),
-    Lose(u8, u32),
-    /// Orders without an answer, carried out so many milliseconds later.
-    Late(u8, u32, u64),
+    Repair(u8),
+    /// The worker carries this many commands out without responding.
+    LoseResponses(u8, u32),
+    /// The worker carries this many commands out late, by this many milliseconds, without
+    /// responding.
+    DelayCommands(u8, u32, u64),
     StoreDown,
     StoreSlow,
     StoreUp,
-    /// Machines by their bits, and how many may be down at once.
-    Wave(u8, u8),
-    LoseUpkeep(u32),
-    NoRenewal,
-    Renewal,
-    /// Owners one after the other, with so many milliseconds between them.
-    Owners(u8, u64),
-    /// Somebody else's entry at a worker's address, of a known service or of another.
-    Foreign(u8, bool),
-    /// A worker has so many processors from now on.
+    /// A maintenance rollout: a bit mask of its machines, and how many may be down at once.
+    Rollout(u8, u8),
+    LoseMaintenanceResponses(u32),
+    StopLeaseRenewal,
+    ResumeLeaseRenewal,
+    /// Successive takeovers by new owners, with this many milliseconds between them.
+    ChangeOwners(u8, u64),
+    /// An entry at a worker's address that another party wrote, of a configured service or of
+    /// another one.
+    ForeignEntry(u8, bool),
+    /// The worker's capacity changes to this many processors.
     Resize(u8, u32),
-    /// The list of machines can't be had, or can again.
-    Unlisted(bool),
-    /// A worker crashes and starts again under its name, so many milliseconds later.
+    /// The list of machines becomes unavailable, or available again.
+    MachineListUnavailable(bool),
+    /// A worker crashes and restarts under its name this many milliseconds later.
     Restart(u8, u64),
-    /// A rack's workers do at the same moment.
+    /// All workers of a rack crash at the same moment and restart this many milliseconds later.
     RestartRack(bool, u64),
-    /// The directory's entry of a worker's start before arrives once more.
-    Former(u8),
-    /// Holds without an answer, carried out so many milliseconds later.
-    LateHolds(u8, u32, u64),
+    /// The directory entry of a worker's previous incarnation is delivered again.
+    PreviousEntry(u8),
+    /// The worker handles this many heartbeats late, by this many milliseconds, without responding.
+    DelayHeartbeats(u8, u32, u64),
     /// The operator evacuates a failure domain, or restores it.
     Evacuate(bool),
     Restore(bool),
@@ -106,37 +113,38 @@
         6 => (1u32..5, 1u16..4, 50u64..2500, 0u8..6)
             .prop_map(|(width, chain, time, kind)| Step::Submit { width, chain, time, kind }),
         1 => (1u32..5, 0u32..4, 10u64..300, 0u8..6)
-            .prop_map(|(width, at, after, kind)| Step::Culprit { width, at, after, kind }),
+            .prop_map(|(width, at, after, kind)| Step::CrashingJob { width, at, after, kind }),
         1 => (0u8..20).prop_map(Step::Cancel),
         1 => Just(Step::KillOwner),
         3 => Just(Step::TakeOver),
-        2 => worker().prop_map(Step::Cut),
+        2 => worker().prop_map(Step::Partition),
         3 => worker().prop_map(Step::Heal),
-        2 => worker().prop_map(Step::Rebirth),
+        2 => worker().prop_map(Step::Replace),
         1 => worker().prop_map(Step::Unlist),
         2 => worker().prop_map(Step::List),
         1 => worker().prop_map(Step::Fail),
         1 => worker().prop_map(Step::Hang),
         1 => worker().prop_map(Step::Slow),
-        3 => worker().prop_map(Step::Mend),
-        2 => (worker(), 1u32..4).prop_map(|(worker, answers)| Step::Lose(worker, answers)),
-        1 => (worker(), 1u32..5, 500u64..8000).prop_map(|(at, orders, by)| Step::Late(at, orders, by)),
+        3 => worker().prop_map(Step::Repair),
+        2 => (worker(), 1u32..4).prop_map(|(worker, answers)| Step::LoseResponses(worker, answers)),
+        1 => (worker(), 1u32..5, 500u64..8000)
+            .prop_map(|(at, commands, by)| Step::DelayCommands(at, commands, by)),
         1 => Just(Step::StoreDown),
         1 => Just(Step::StoreSlow),
         2 => Just(Step::StoreUp),
-        1 => (0u8..15, 1u8..4).prop_map(|(of, cap)| Step::Wave(of + 1, cap)),
-        1 => (1u32..4).prop_map(Step::LoseUpkeep),
-        1 => Just(Step::NoRenewal),
-        2 => Just(Step::Renewal),
-        1 => (2u8..6, 100u64..1500).prop_map(|(owners, gap)| Step::Owners(owners, gap)),
-        1 => (worker(), proptest::bool::ANY).prop_map(|(at, known)| Step::Foreign(at, known)),
-        1 => proptest::bool::ANY.prop_map(Step::Unlisted),
+        1 => (0u8..15, 1u8..4).prop_map(|(of, cap)| Step::Rollout(of + 1, cap)),
+        1 => (1u32..4).prop_map(Step::LoseMaintenanceResponses),
+        1 => Just(Step::StopLeaseRenewal),
+        2 => Just(Step::ResumeLeaseRenewal),
+        1 => (2u8..6, 100u64..1500).prop_map(|(owners, gap)| Step::ChangeOwners(owners, gap)),
+        1 => (worker(), proptest::bool::ANY).prop_map(|(at, known)| Step::ForeignEntry(at, known)),
+        1 => proptest::bool::ANY.prop_map(Step::MachineListUnavailable),
         2 => (worker(), 1u32..=4).prop_map(|(at, processors)| Step::Resize(at, processors)),
         3 => (worker(), 0u64..1500).prop_map(|(at, down)| Step::Restart(at, down)),
         1 => (proptest::bool::ANY, 0u64..1500).prop_map(|(first, down)| Step::RestartRack(first, down)),
-        1 => worker().prop_map(Step::Former),
+        1 => worker().prop_map(Step::PreviousEntry),
         1 => (worker(), 1u32..4, 300u64..8000)
-            .prop_map(|(at, holds, by)| Step::LateHolds(at, holds, by)),
+            .prop_map(|(at, heartbeats, by)| Step::DelayHeartbeats(at, heartbeats, by)),
         1 => proptest::bool::ANY.prop_map(Step::Evacuate),
         2 => proptest::bool::ANY.prop_map(Step::Restore),
     ]
@@ -150,7 +158,8 @@
     format!("w{worker}")
 }
 
-/// Each failure domain has a worker that refuses what doesn't fit and one that doesn't.
+/// Returns the name of a failure domain. Each has one worker that refuses runs that don't fit and
+/// one that doesn't.
 fn domain(first: bool) -> &'static str {
     if first { "d1" } else { "d2" }
 }
@@ -171,14 +180,14 @@
     Accepted { queue: "q".into(), service: "desk".into(), spec, cancelled: false }
 }
 
-fn take(world: &mut World, jobs: &mut u64, waves: &mut u64, step: &Step) {
+fn apply_step(world: &mut World, jobs: &mut u64, rollouts: &mut u64, step: &Step) {
     match step {
         Step::Wait(millis) => world.run(Duration::from_millis(*millis)),
         Step::Submit { width, chain, time, kind } => {
             *jobs += 1;
             world.submit(*jobs, job(*width, *chain, *time, *kind));
         }
-        Step::Culprit { width, at, after, kind } => {
+        Step::CrashingJob { width, at, after, kind } => {
             *jobs += 1;
             let task = TaskId { job: *jobs, occurrence: 0, step: 0, index: at % width };
             world.crashes.culprits.insert(task, Duration::from_millis(*after));
@@ -186,30 +195,30 @@
         }
         Step::Cancel(at) => world.cancel((*at).into()),
         Step::KillOwner => world.kill_owner(),
-        Step::TakeOver => world.take_over(&World::config(0, ATTEMPTS, false)),
-        Step::Rebirth(at) => world.crash(&name(*at), true),
+        Step::TakeOver => world.take_over(&World::config(0, MAX_ATTEMPTS, false)),
+        Step::Replace(at) => world.crash(&name(*at), true),
         Step::Unlist(at) => world.unlist(&name(*at)),
         Step::List(at) => world.list(&name(*at)),
-        Step::Wave(of, cap) => {
+        Step::Rollout(of, cap) => {
             let machines = (0..WORKERS).filter(|at| of & (1 << at) != 0);
             let machines = machines.map(|at| name(at).as_str().into()).collect();
-            *waves += 1;
-            world.add_rollout(*waves, machines, Duration::from_secs(10), usize::from(*cap));
+            *rollouts += 1;
+            world.add_rollout(*rollouts, machines, Duration::from_secs(10), usize::from(*cap));
         }
-        Step::LoseUpkeep(answers) => world.machines.lost_answers = *answers,
+        Step::LoseMaintenanceResponses(answers) => world.machines.lost_answers = *answers,
         Step::StoreDown => world.store_up = false,
         Step::StoreSlow => world.store_delay = Duration::from_millis(300),
         Step::StoreUp => {
             world.store_up = true;
             world.store_delay = Duration::from_millis(4);
         }
-        Step::Owners(owners, gap) => {
+        Step::ChangeOwners(owners, gap) => {
             for _ in 0..*owners {
-                world.take_over(&World::config(0, ATTEMPTS, false));
+                world.take_over(&World::config(0, MAX_ATTEMPTS, false));
                 world.run(Duration::from_millis(*gap));
             }
         }
-        Step::Foreign(at, known) => {
+        Step::ForeignEntry(at, known) => {
             let service = if *known { "desk" } else { "other" };
             world.list_foreign(&format!("x{at}"), &name(*at), service);
         }
@@ -219,47 +228,49 @@
             let rack = if *first { 0..WORKERS / 2 } else { WORKERS / 2..WORKERS };
             rack.for_each(|at| world.restart(&name(at), Duration::from_millis(*down)));
         }
-        Step::Former(at) => world.deliver_former_entry(&name(*at)),
-        Step::Unlisted(unlisted) => world.machines.list_unavailable = *unlisted,
+        Step::PreviousEntry(at) => world.deliver_former_entry(&name(*at)),
+        Step::MachineListUnavailable(unavailable) => world.machines.list_unavailable = *unavailable,
         Step::Evacuate(first) => world.evacuate(domain(*first)),
         Step::Restore(first) => world.restore(domain(*first)),
-        Step::NoRenewal => world.renewals = false,
-        Step::Renewal => world.renewals = true,
-        Step::Cut(at)
+        Step::StopLeaseRenewal => world.renewals = false,
+        Step::ResumeLeaseRenewal => world.renewals = true,
+        Step::Partition(at)
         | Step::Heal(at)
         | Step::Fail(at)
         | Step::Hang(at)
         | Step::Slow(at)
-        | Step::Mend(at)
-        | Step::Late(at, _, _)
-        | Step::LateHolds(at, _, _)
-        | Step::Lose(at, _) => {
-            let worker = world.workers.get_mut(&name(*at)).expect("workers stay");
+        | Step::Repair(at)
+        | Step::DelayCommands(at, _, _)
+        | Step::DelayHeartbeats(at, _, _)
+        | Step::LoseResponses(at, _) => {
+            let worker = world.workers.get_mut(&name(*at)).expect("workers are never removed");
             match step {
-                Step::Cut(_) => worker.cut = true,
+                Step::Partition(_) => worker.cut = true,
                 Step::Heal(_) => worker.cut = false,
                 Step::Fail(_) => worker.fails = true,
                 Step::Hang(_) => worker.hangs = true,
                 Step::Slow(_) => worker.slow = 6,
-                Step::Late(_, orders, by) => worker.late = (*orders, Duration::from_millis(*by)),
-                Step::LateHolds(_, holds, by) => {
-                    worker.late_holds = (*holds, Duration::from_millis(*by));
+                Step::DelayCommands(_, commands, by) => {
+                    worker.late = (*commands, Duration::from_millis(*by))
                 }
-                Step::Lose(_, answers) => worker.lose = *answers,
+                Step::DelayHeartbeats(_, heartbeats, by) => {
+                    worker.late_holds = (*heartbeats, Duration::from_millis(*by));
+                }
+                Step::LoseResponses(_, answers) => worker.lose = *answers,
                 _ => (worker.fails, worker.hangs, worker.slow) = (false, false, 1),
             }
         }
     }
 }
 
-fn mend(world: &mut World) {
+fn repair(world: &mut World) {
     world.store_up = true;
     world.store_delay = Duration::from_millis(4);
     world.renewals = true;
     world.machines.list_unavailable = false;
     [true, false].into_iter().for_each(|first| world.restore(domain(first)));
     for at in 0..WORKERS {
-        let worker = world.workers.get_mut(&name(at)).expect("workers stay");
+        let worker = world.workers.get_mut(&name(at)).expect("workers are never removed");
         (worker.cut, worker.fails, worker.hangs, worker.slow) = (false, false, false, 1);
         worker.lose = 0;
         worker.late.0 = 0;
@@ -267,46 +278,52 @@
         world.list(&name(at));
         world.resize(&name(at), capacity(PROCESSORS));
     }
-    world.take_over(&World::config(0, ATTEMPTS, false));
+    world.take_over(&World::config(0, MAX_ATTEMPTS, false));
 }
 
-fn lasts(world: &World, id: u64) -> bool {
+fn is_service(world: &World, id: u64) -> bool {
     world.specs[&id].spec.steps[0].long_running
 }
 
-fn play(steps: &[Step]) {
+fn run_case(steps: &[Step]) {
     let mut world = World::open();
     let mut jobs = 0;
-    let mut waves = 0;
+    let mut rollouts = 0;
     for at in 0..WORKERS {
         let rack = if at < 2 { "r1" } else { "r2" };
         world.add_worker_in(domain(at % 2 == 0), &name(at), capacity(PROCESSORS), rack);
     }
-    // Half of them take whatever they are given.
+    // Half of the workers don't refuse runs that don't fit.
     for at in 0..WORKERS / 2 {
-        world.workers.get_mut(&name(at)).expect("workers stay").guards = false;
+        world.workers.get_mut(&name(at)).expect("workers are never removed").guards = false;
     }
-    world.take_over(&World::config(0, ATTEMPTS, false));
+    world.take_over(&World::config(0, MAX_ATTEMPTS, false));
     for step in steps {
-        take(&mut world, &mut jobs, &mut waves, step);
+        apply_step(&mut world, &mut jobs, &mut rollouts, step);
     }
-    mend(&mut world);
-    world.run(SETTLED);
+    repair(&mut world);
+    world.run(SETTLE_TIME);
     world.job_wait = Some(world::job_wait::Watch::default());
     world.service_wait = Some(world::service_wait::Watch::default());
-    world.run(END / 2 - SETTLED);
-    let idle = world.job_wait.as_ref().expect("it is watched");
-    assert!(idle.longest <= IDLE, "{:?} idle for {:?}", idle.job, idle.longest);
-    let beside = world.service_wait.as_ref().expect("it is watched");
-    assert!(beside.longest <= BESIDE, "a service task waited for {:?}", beside.longest);
-    // Tasks that last may hold all the room that a gang needs; their clients cancel them at last.
-    let lasting: Vec<u64> = world.specs.keys().copied().filter(|id| lasts(&world, *id)).collect();
-    for id in lasting {
+    world.run(COMPLETION_TIME / 2 - SETTLE_TIME);
+    let job_wait = world.job_wait.as_ref().expect("the measurement was started");
+    assert!(job_wait.longest <= MAX_JOB_WAIT, "{:?} idle for {:?}", job_wait.job, job_wait.longest);
+    let service_wait = world.service_wait.as_ref().expect("the measurement was started");
+    assert!(
+        service_wait.longest <= MAX_SERVICE_WAIT,
+        "a service task waited for {:?}",
+        service_wait.longest
+    );
+    // Service tasks may occupy all the room that a gang needs, so their clients cancel them in the
+    // end.
+    let services: Vec<u64> =
+        world.specs.keys().copied().filter(|id| is_service(&world, *id)).collect();
+    for id in services {
         world.cancel(id);
     }
-    world.run(END / 2);
+    world.run(COMPLETION_TIME / 2);
     let open: Vec<u64> = world.jobs.keys().copied().collect();
-    assert!(!world.has_open_waves(), "waves that aren't completed:\n{}", world.describe_waves());
+    assert!(!world.has_open_waves(), "rollouts that aren't completed:\n{}", world.describe_waves());
     assert!(open.is_empty(), "jobs without an end: {open:?}\n{}", world.describe());
 }
 
@@ -316,114 +333,117 @@
     let config =
         Config { cases: cases.unwrap_or(CASES), failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new(config);
-    let steps = proptest::collection::vec(step(), 1..STEPS);
+    let steps = proptest::collection::vec(step(), 1..MAX_STEPS);
     runner
         .run(&steps, |steps| {
-            play(&steps);
+            run_case(&steps);
             Ok(())
         })
         .unwrap_or_else(|error| panic!("{error}"));
 }
 
-/// After crashes of culprits beside them every worker runs a suspect for three seconds, so that no worker counts as
-/// isolated and a best-effort task on probation waits for longer than it may.
+/// After crashes caused by crashing tasks next to them, every worker runs a suspect for three
+/// seconds. No worker counts as isolated, and a best-effort task on probation waits longer than it
+/// may.
 fn suspects_on_every_worker() -> Vec<Step> {
     vec![
         Step::Submit { width: 1, chain: 2, time: 86, kind: 0 },
         Step::Wait(41),
         Step::Wait(391),
         Step::Submit { width: 1, chain: 2, time: 2131, kind: 0 },
-        Step::Culprit { width: 4, at: 1, after: 121, kind: 2 },
+        Step::CrashingJob { width: 4, at: 1, after: 121, kind: 2 },
         Step::Submit { width: 4, chain: 2, time: 225, kind: 0 },
         Step::Evacuate(false),
-        Step::Culprit { width: 2, at: 2, after: 71, kind: 2 },
-        Step::Rebirth(2),
+        Step::CrashingJob { width: 2, at: 2, after: 71, kind: 2 },
+        Step::Replace(2),
         Step::Submit { width: 2, chain: 2, time: 508, kind: 2 },
         Step::Resize(0, 1),
         Step::Submit { width: 4, chain: 3, time: 668, kind: 2 },
         Step::Wait(2241),
         Step::Wait(306),
         Step::Restart(1, 761),
-        Step::Culprit { width: 3, at: 1, after: 31, kind: 5 },
-        Step::Culprit { width: 4, at: 3, after: 111, kind: 5 },
+        Step::CrashingJob { width: 3, at: 1, after: 31, kind: 5 },
+        Step::CrashingJob { width: 4, at: 3, after: 111, kind: 5 },
         Step::Submit { width: 4, chain: 2, time: 496, kind: 5 },
     ]
 }
 
-/// A best-effort task on probation waits for an isolated worker after its last crash was known late: nothing of its job is at
-/// work for 3.3 s.
-fn culprits_and_waves() -> Vec<Step> {
+/// A best-effort task on probation waits for an isolated worker after its last crash was detected
+/// late: no task of its job runs for 3.3 s.
+fn crashing_jobs_during_rollouts() -> Vec<Step> {
     vec![
         Step::Cancel(0),
-        Step::Culprit { width: 1, at: 0, after: 131, kind: 0 },
-        Step::Culprit { width: 3, at: 0, after: 111, kind: 0 },
+        Step::CrashingJob { width: 1, at: 0, after: 131, kind: 0 },
+        Step::CrashingJob { width: 3, at: 0, after: 111, kind: 0 },
         Step::Submit { width: 4, chain: 3, time: 196, kind: 4 },
         Step::Submit { width: 2, chain: 1, time: 1340, kind: 0 },
-        Step::Culprit { width: 1, at: 0, after: 176, kind: 2 },
-        Step::Wave(15, 2),
+        Step::CrashingJob { width: 1, at: 0, after: 176, kind: 2 },
+        Step::Rollout(15, 2),
         Step::Evacuate(false),
-        Step::Owners(2, 1206),
-        Step::Wave(4, 1),
+        Step::ChangeOwners(2, 1206),
+        Step::Rollout(4, 1),
         Step::Submit { width: 1, chain: 3, time: 1380, kind: 0 },
-        Step::Culprit { width: 1, at: 0, after: 10, kind: 2 },
+        Step::CrashingJob { width: 1, at: 0, after: 10, kind: 2 },
     ]
 }
 
-/// A rack restarts and its owner is killed before it has placed the rack's tasks again: the next owner counts the same
-/// crash once more, and a job is given up whose tasks crashed no worker.
+/// A rack restarts, and its owner is killed before it has placed the rack's tasks again. The next
+/// owner counts the same crash again, and a job is ended although its tasks crashed no worker.
 fn crash_counted_by_two_owners() -> Vec<Step> {
     vec![
         Step::Wait(716),
         Step::Submit { width: 3, chain: 1, time: 1201, kind: 1 },
-        Step::Unlisted(true),
+        Step::MachineListUnavailable(true),
         Step::Wait(361),
         Step::RestartRack(false, 26),
-        Step::Rebirth(0),
+        Step::Replace(0),
         Step::Wait(196),
         Step::Submit { width: 1, chain: 1, time: 1340, kind: 0 },
         Step::Fail(1),
-        Step::Culprit { width: 2, at: 1, after: 10, kind: 2 },
+        Step::CrashingJob { width: 2, at: 1, after: 10, kind: 2 },
         Step::KillOwner,
         Step::Submit { width: 1, chain: 1, time: 1340, kind: 0 },
         Step::Submit { width: 4, chain: 1, time: 1340, kind: 0 },
         Step::Wait(10),
-        Step::Rebirth(2),
+        Step::Replace(2),
     ]
 }
 
-/// A task on probation has worked for a second when a culprit begins beside it: their worker's crash counts against both,
-/// again and again, and a job is given up whose tasks crashed no worker.
+/// A task on probation has run for a second when a crashing task starts next to it. The crash of
+/// their worker counts against both, repeatedly, and a job is ended although its tasks crashed no
+/// worker.
 fn crash_of_a_later_start() -> Vec<Step> {
     vec![
         Step::Submit { width: 2, chain: 1, time: 51, kind: 0 },
         Step::Slow(2),
         Step::Wait(931),
         Step::Submit { width: 1, chain: 3, time: 1021, kind: 3 },
-        Step::Culprit { width: 4, at: 1, after: 206, kind: 4 },
+        Step::CrashingJob { width: 4, at: 1, after: 206, kind: 4 },
         Step::Submit { width: 1, chain: 1, time: 1390, kind: 3 },
-        Step::Cut(3),
-        Step::Unlisted(true),
-        Step::Late(0, 1, 500),
+        Step::Partition(3),
+        Step::MachineListUnavailable(true),
+        Step::DelayCommands(0, 1, 500),
         Step::Wait(2956),
-        Step::Culprit { width: 2, at: 1, after: 21, kind: 0 },
+        Step::CrashingJob { width: 2, at: 1, after: 21, kind: 0 },
         Step::Wait(86),
-        Step::Owners(4, 1021),
-        Step::Owners(3, 1051),
-        Step::Culprit { width: 3, at: 2, after: 10, kind: 0 },
+        Step::ChangeOwners(4, 1021),
+        Step::ChangeOwners(3, 1051),
+        Step::CrashingJob { width: 3, at: 2, after: 10, kind: 0 },
     ]
 }
 
-/// Two starts of a gang stay out, their worker restarts behind a partition after its owner was killed, and carries them out
-/// there: the next owner has started the gang elsewhere, since no machine was listed that runs the worker.
+/// Two starts of a gang go unanswered. After its owner was killed, their worker restarts behind a
+/// network partition and carries them out. The next owner has started the gang elsewhere, since no
+/// listed machine runs the worker.
 fn starts_out_over_owners() -> Vec<Step> {
     vec![
         Step::Wait(171),
         Step::Submit { width: 1, chain: 1, time: 361, kind: 0 },
-        Step::Late(1, 2, 2856),
+        Step::DelayCommands(1, 2, 2856),
         Step::Wait(10),
         Step::Submit { width: 4, chain: 1, time: 136, kind: 4 },
         Step::Wait(1086),
-        Step::Cut(1),
+        Step::Partition(1),
         Step::Wait(351),
         Step::Wait(191),
         Step::Wait(171),
@@ -431,52 +451,54 @@
         Step::Wait(391),
         Step::Wait(166),
         Step::Wait(151),
-        Step::Owners(2, 926),
+        Step::ChangeOwners(2, 926),
     ]
 }
 
-/// A machine whose upkeep has begun restarts by itself and comes back under another name: the next machine of its wave is
-/// taken down beside it, though only one may be down at a time.
+/// A machine whose maintenance has started restarts by itself and returns under another name. The
+/// next machine of the rollout is shut down while it is away, although only one may be down at a
+/// time.
 fn restart_during_upkeep() -> Vec<Step> {
     vec![
-        Step::Wave(12, 1),
+        Step::Rollout(12, 1),
         Step::Wait(251),
         Step::Wait(276),
         Step::TakeOver,
         Step::Wait(1286),
         Step::Restart(2, 796),
         Step::Wait(561),
-        Step::Rebirth(2),
+        Step::Replace(2),
         Step::Wait(321),
     ]
 }
 
-/// A culprit is started three times more than it may: owners follow each other, and one of its starts is carried out late.
-fn late_start_of_a_culprit() -> Vec<Step> {
+/// A crashing task is started three times more often than allowed: owners follow one another, and
+/// one of its starts is carried out late.
+fn late_start_of_a_crashing_task() -> Vec<Step> {
     vec![
         Step::Submit { width: 1, chain: 1, time: 131, kind: 4 },
         Step::Unlist(2),
         Step::Wait(536),
         Step::Wait(391),
-        Step::Culprit { width: 1, at: 0, after: 10, kind: 0 },
-        Step::Late(0, 1, 696),
+        Step::CrashingJob { width: 1, at: 0, after: 10, kind: 0 },
+        Step::DelayCommands(0, 1, 696),
         Step::Submit { width: 3, chain: 1, time: 301, kind: 4 },
         Step::Wait(301),
-        Step::Rebirth(1),
+        Step::Replace(1),
         Step::Wait(3156),
-        Step::Owners(5, 1226),
+        Step::ChangeOwners(5, 1226),
     ]
 }
 
 #[parameterized(
     crash_counted_twice = { crash_counted_by_two_owners() },
     crash_of_another = { crash_of_a_later_start() },
-    culprit_started_late = { late_start_of_a_culprit() },
-    culprits_beside_waves = { culprits_and_waves() },
+    culprit_started_late = { late_start_of_a_crashing_task() },
+    culprits_beside_waves = { crashing_jobs_during_rollouts() },
     restarted_in_upkeep = { restart_during_upkeep() },
     starts_out_unlisted = { starts_out_over_owners() },
     suspects_everywhere = { suspects_on_every_worker() },
 )]
 fn a_case_that_failed_once_keeps_every_promise(steps: Vec<Step>) {
-    play(&steps);
+    run_case(&steps);
 }
--- a/crates/planner/tests/scenarios.rs
+++ b/crates/planner/tests/scenarios.rs
@@ -1,28 +1,67 @@
-//! Runs the scenario files of `filetests`. Each file is one world.
+//! Runs the scenario files in `filetests`, each in a simulated cell of its own.
 //!
-//! Directives: `worker name=w cpu=N [memory=N] [rack=R] [domain=D] [count=N]`; `own` (a new owner takes over, `attempts=N`, `advised=w`);
-//! `kill` (the owner goes without a word); `busy ms=N` (its orders leave so much later than it decides on them); `link rate=N` (bytes a second
-//! of the link of owners from then on); `job id=H [queue=q] [payload=N] [work=MS] [start=MS interval=MS count=N]` with a step a line (`count=N cpu=N memory=N time=MS
-//! [after=N,..]` and any of `gang`, `lasts`, `fills`, `saves`, `tight`, `image=I`, `target=MS`, `spares=N`, `apart=N`,
-//! `near=R`, `needs=L`); `foreign name=e at=w [service=S]` (an entry of another writer at a worker's address); `cancel
-//! id=H`; `cut|heal|crash|rebirth|drain|unlist|list|unguard|fail|mend|hang|lose name=w`, `late name=w [orders=N]
-//! [by=MS]` (orders without an answer, carried out later), `slow name=w x=N`, `load name=w [percent=N] [swing=N]
-//! [period=MS] [rough=N] [press=(I, W, ..)]` (of its serving tasks by their own users, and what all its processors add
-//! to that when an image fills them); `harm stretch=MS all=MS` (whether fills kept a serving task over its target for
-//! no longer); `wave of=(w, ..) [cap=N] [time=MS] [number=N]` (an operator asks for upkeep); `waves` (how far they are,
-//! and how many tasks of a step were away at once); `lose_upkeep [answers=N]`; `machines state=down|up` (whether they
-//! can be listed); `store state=down|up [delay=MS]`; `run ms=N` (prints nothing); `show` (how far each job is); `notes
-//! [of=(Event, ..)]` (what was noted since the last look); `stored` (the numbers of jobs and records);
-//! `ratings most=N` (whether the owner rated workers more often than that a second); `stream id=H every=MS jobs=N`
-//! (like `job`, handed in again and again with rising numbers); `served id=H jobs=N within=MS least=N` (whether so many
-//! of a stream were done so soon); `culprit id=H [step=N] [task=N] [after=MS]` (that task crashes each worker so long after
-//! its start); `acquit id=H` (no task of the job does so any more); `crashes most=N` (whether no task has crashed more workers); `resize name=w cpu=N [memory=N]` (its entry tells
-//! a beat later); `beside` (from now on it is watched how tasks that last wait beside room for two of them) and
-//! `beside most=MS` (whether none did for longer); `restart name=w|(w, ..)|rack=R [down=MS] [gap=MS] [entry=MS]` (workers crash and start
-//! again under their names, and write their entries so long after); `untold name=w` (it doesn't tell when it started); `former name=w` (the directory's entry of the start before arrives once more); `late_holds
-//! name=w [holds=N] [by=MS]` (holds without an answer, carried out later); `idle` and `idle most=MS` (the same as `beside`
-//! for jobs of which nothing runs); `at_work id=H least=N` (whether so many of a job's tasks run); `evacuate domain=D` and
-//! `restore domain=D` (by the operator, in the store).
+//! Directives that set up the cell:
+//!
+//! - `worker name=w cpu=N [memory=N] [rack=R] [domain=D] [count=N]`: adds workers.
+//! - `own [attempts=N] [advised=w]`: a new owner takes over.
+//! - `kill`: the owner crashes without releasing the cell.
+//! - `busy ms=N`: the owner sends commands this much later than it decides on them.
+//! - `link rate=N`: bandwidth of owners' links from now on, in bytes per second.
+//! - `store state=down|up [delay=MS]`: whether the store responds, and how late.
+//! - `machines state=down|up`: whether the list of machines is available.
+//! - `resize name=w cpu=N [memory=N]`: changes a worker's capacity; its directory entry follows
+//!   after a delay.
+//!
+//! Directives for jobs:
+//!
+//! - `job id=H [queue=q] [payload=N] [work=MS] [start=MS interval=MS count=N]`: submits a job. Its
+//!   input has one line for each step: `count=N cpu=N memory=N time=MS [after=N,..]` and any of
+//!   `gang`, `lasts`, `fills`, `saves`, `tight`, `image=I`, `target=MS`, `spares=N`, `apart=N`,
+//!   `near=R`, `needs=L`.
+//! - `stream id=H every=MS jobs=N`: like `job`, submitted repeatedly with increasing ids.
+//! - `cancel id=H`: cancels a job.
+//! - `culprit id=H [step=N] [task=N] [after=MS]`: from now on the task crashes each of its workers
+//!   this long after its start.
+//! - `acquit id=H`: no task of the job crashes its workers any more.
+//!
+//! Directives for faults:
+//!
+//! - `cut|heal|crash|rebirth|drain|unlist|list|unguard|fail|mend|hang|lose name=w`: faults of a
+//!   worker, and their repair.
+//! - `late name=w [orders=N] [by=MS]`: commands go unanswered and are carried out late.
+//! - `late_holds name=w [holds=N] [by=MS]`: heartbeats go unanswered and are handled late.
+//! - `slow name=w x=N`: slows a worker down.
+//! - `restart name=w|(w, ..)|rack=R [down=MS] [gap=MS] [entry=MS]`: workers crash and restart under
+//!   their names, and write their directory entries this much later.
+//! - `untold name=w`: the worker doesn't report its start time.
+//! - `former name=w`: the directory entry of the worker's previous incarnation is delivered again.
+//! - `foreign name=e at=w [service=S]`: an entry of another writer at a worker's address.
+//! - `load name=w [percent=N] [swing=N] [period=MS] [rough=N] [press=(I, W, ..)]`: load on the
+//!   worker's latency-critical tasks by their own users, and what an image adds to it when its
+//!   best-effort tasks use all processors.
+//! - `lose_upkeep [answers=N]`: responses to maintenance requests are lost.
+//!
+//! Directives for the operator:
+//!
+//! - `wave of=(w, ..) [cap=N] [time=MS] [number=N]`: requests a maintenance rollout.
+//! - `evacuate domain=D` and `restore domain=D`: written to the store.
+//!
+//! Directives that advance the time or print:
+//!
+//! - `run ms=N`: prints nothing.
+//! - `show`: the state of each job.
+//! - `notes [of=(Event, ..)]`: the decisions logged since the last `notes`.
+//! - `stored`: the number of jobs and records in the store.
+//! - `waves`: the progress of rollouts, and how many tasks of a step were unavailable at once.
+//! - `harm stretch=MS all=MS`: whether best-effort tasks made a latency-critical task violate its
+//!   target for no longer than this.
+//! - `ratings most=N`: whether the owner computed no more worker scores per second.
+//! - `served id=H jobs=N within=MS least=N`: whether enough jobs of a stream were done in time.
+//! - `crashes most=N`: whether no task has crashed more workers.
+//! - `beside`: starts to measure how long service tasks wait although there is room for two of
+//!   their kind; `beside most=MS`: whether none waited longer.
+//! - `idle` and `idle most=MS`: the same for jobs without a running task.
+//! - `at_work id=H least=N`: whether enough tasks of a job run.
 
 mod world;
 
@@ -155,7 +194,7 @@
     datadriven::walk(&format!("filetests/{name}.test"), |file| {
         let mut world = World::open();
         file.run(|case| {
-            let mut output = direct(&mut world, case);
+            let mut output = run_directive(&mut world, case);
             if !output.is_empty() && !output.ends_with('\n') {
                 output.push('\n');
             }
@@ -166,8 +205,8 @@
 
 #[test]
 fn each_scenario_has_a_row() {
-    for entry in std::fs::read_dir("filetests").expect("the scenarios lie beside the crate") {
-        let path = entry.expect("a file").path();
+    for entry in std::fs::read_dir("filetests").expect("the crate has scenario files") {
+        let path = entry.expect("a readable directory").path();
         let name = path.file_stem().expect("a file has a name").to_string_lossy().into_owned();
         let row = format!("{name} = {{ \"{name}\" }}");
         assert!(include_str!("scenarios.rs").contains(&row), "no row for {name}");
@@ -182,7 +221,7 @@
     arg(case, name).map(|text| text.parse().ok().unwrap_or_else(|| panic!("{name}: {text}")))
 }
 
-fn direct(world: &mut World, case: &TestCase) -> String {
+fn run_directive(world: &mut World, case: &TestCase) -> String {
     let name = arg(case, "name").unwrap_or_default();
     match case.directive.as_str() {
         "worker" => {
@@ -205,60 +244,62 @@
         "kill" => world.kill_owner(),
         "link" => {
             world.link =
-                Some(world::link::Link::open(number(case, "rate").expect("bytes a second")));
+                Some(world::link::Link::open(number(case, "rate").expect("`rate` is given")));
         }
         "busy" => world.order_delay = Duration::from_millis(number(case, "ms").unwrap_or(0)),
         "job" => {
-            let accepted = accepted(world, case);
-            world.submit(id(case), accepted);
+            let accepted = parse_job(world, case);
+            world.submit(job_id(case), accepted);
         }
         "stream" => {
-            let every = Duration::from_millis(number(case, "every").expect("a stream has a pace"));
-            let accepted = accepted(world, case);
-            let jobs = number(case, "jobs").expect("how many");
+            let every = Duration::from_millis(number(case, "every").expect("`every` is given"));
+            let accepted = parse_job(world, case);
+            let jobs = number(case, "jobs").expect("`jobs` is given");
             if let Some(work) = number(case, "work").map(Duration::from_millis) {
-                world.actual_work.extend((id(case)..id(case) + jobs).map(|job| (job, work)));
+                world
+                    .actual_work
+                    .extend((job_id(case)..job_id(case) + jobs).map(|job| (job, work)));
             }
-            world.submit_stream(id(case), &accepted, jobs, every);
+            world.submit_stream(job_id(case), &accepted, jobs, every);
         }
         "served" => return served(world, case),
-        "culprit" => culprit(world, case),
-        "acquit" => world.crashes.culprits.retain(|task, _| task.job != id(case)),
+        "culprit" => add_crashing_task(world, case),
+        "acquit" => world.crashes.culprits.retain(|task, _| task.job != job_id(case)),
         "crashes" => return crashes(world, case),
         "resize" => world.resize(name, capacity(case)),
         "at_work" => return at_work(world, case),
-        "beside" => return beside(world, case),
-        "cancel" => world.cancel(id(case)),
+        "beside" => return service_wait(world, case),
+        "cancel" => world.cancel(job_id(case)),
         "crash" => world.crash(name, false),
         "rebirth" => world.crash(name, true),
         "restart" => restart(world, case),
         "former" => world.deliver_former_entry(name),
-        "idle" => return idle(world, case),
-        "evacuate" => world.evacuate(arg(case, "domain").expect("a failure domain")),
-        "restore" => world.restore(arg(case, "domain").expect("a failure domain")),
+        "idle" => return job_wait(world, case),
+        "evacuate" => world.evacuate(arg(case, "domain").expect("`domain` is given")),
+        "restore" => world.restore(arg(case, "domain").expect("`domain` is given")),
         "list" => world.list(name),
         "unlist" => world.unlist(name),
         "foreign" => {
             let service = arg(case, "service").unwrap_or("desk");
-            world.list_foreign(name, arg(case, "at").expect("a worker's place"), service);
+            world.list_foreign(name, arg(case, "at").expect("`at` is given"), service);
         }
         "store" => {
             world.store_up = arg(case, "state") != Some("down");
             world.store_delay = Duration::from_millis(number(case, "delay").unwrap_or(4));
         }
-        "run" => world.run(Duration::from_millis(number(case, "ms").expect("run says how long"))),
+        "run" => world.run(Duration::from_millis(number(case, "ms").expect("`ms` is given"))),
         "show" => return world.describe(),
         "stored" => {
             return format!("jobs {}, records {}", world.jobs.len(), world.records.len());
         }
-        "wave" => wave(world, case),
+        "wave" => add_rollout(world, case),
         "waves" => return world.describe_waves(),
         "lose_upkeep" => world.machines.lost_answers = number(case, "answers").unwrap_or(1),
         "machines" => world.machines.list_unavailable = arg(case, "state") == Some("down"),
-        "ratings" => return ratings(world, case),
-        "harm" => return harm(world, case),
+        "ratings" => return scores(world, case),
+        "harm" => return interference(world, case),
         "notes" => return notes(world, case),
-        other => fault(world, case, other),
+        other => run_worker_directive(world, case, other),
     }
     String::new()
 }
@@ -271,7 +312,7 @@
     }
 }
 
-/// Lets workers crash and start again under their names: one, several one after the other, or a rack at once.
+/// Restarts workers under their names: one, several in sequence, or a rack at once.
 fn restart(world: &mut World, case: &TestCase) {
     let down = Duration::from_millis(number(case, "down").unwrap_or(0));
     let gap = Duration::from_millis(number(case, "gap").unwrap_or(0));
@@ -282,7 +323,7 @@
             of.map(|(machine, _)| machine.clone()).collect()
         }
         (None, Some(names)) => names.clone(),
-        (None, None) => panic!("a restart names its workers or a rack"),
+        (None, None) => panic!("`restart` needs `name` or `rack`"),
     };
     for name in names {
         world.restart(&name, down);
@@ -290,22 +331,23 @@
     }
 }
 
-/// Watches from now on how long jobs have nothing at work beside free room, or tells whether one had for longer.
-fn idle(world: &mut World, case: &TestCase) -> String {
+/// Starts to measure how long jobs have no running task although there is room, or returns whether
+/// no job had none for longer than allowed.
+fn job_wait(world: &mut World, case: &TestCase) -> String {
     let Some(most) = number(case, "most").map(Duration::from_millis) else {
         world.job_wait = Some(world::job_wait::Watch::default());
         return String::new();
     };
-    let watch = world.job_wait.as_ref().expect("it is watched");
+    let watch = world.job_wait.as_ref().expect("the measurement was started");
     if watch.longest <= most {
         return String::from("within");
     }
     format!("{} ms, {:x?}", watch.longest.as_millis(), watch.job)
 }
 
-fn culprit(world: &mut World, case: &TestCase) {
+fn add_crashing_task(world: &mut World, case: &TestCase) {
     let task = TaskId {
-        job: id(case),
+        job: job_id(case),
         occurrence: 0,
         step: number(case, "step").unwrap_or(0),
         index: number(case, "task").unwrap_or(0),
@@ -314,14 +356,14 @@
     world.crashes.culprits.insert(task, after);
 }
 
-/// Tells whether no task has crashed more workers than this.
+/// Returns whether no task has crashed more workers than allowed.
 fn crashes(world: &World, case: &TestCase) -> String {
-    let most: u32 = number(case, "most").expect("how many");
+    let most: u32 = number(case, "most").expect("`most` is given");
     let crashes = world.crashes.most();
     if crashes <= most { String::from("within") } else { format!("{crashes}") }
 }
 
-fn fault(world: &mut World, case: &TestCase, directive: &str) {
+fn run_worker_directive(world: &mut World, case: &TestCase, directive: &str) {
     let name = arg(case, "name").unwrap_or_default();
     let worker = world.workers.get_mut(name).unwrap_or_else(|| panic!("no worker {name}"));
     match directive {
@@ -333,7 +375,7 @@
         "hang" => worker.hangs = true,
         "mend" => (worker.fails, worker.hangs, worker.slow) = (false, false, 1),
         "slow" => worker.slow = number(case, "x").unwrap_or(6),
-        "load" => load(worker, case),
+        "load" => set_load(worker, case),
         "late_holds" => {
             let by = Duration::from_millis(number(case, "by").unwrap_or(3000));
             worker.late_holds = (number(case, "holds").unwrap_or(1), by);
@@ -347,27 +389,28 @@
             worker.draining = true;
             world.list(name);
         }
-        other => panic!("no directive {other}"),
+        other => panic!("unknown directive {other}"),
     }
 }
 
-/// Tells whether the owner has rated workers more often than so many times a second since it took over.
-fn ratings(world: &mut World, case: &TestCase) -> String {
-    let most: f64 = number(case, "most").expect("how many a second");
-    let planner = world.planner.as_ref().expect("somebody owns the cell");
+/// Returns whether the owner has computed no more worker scores per second than allowed since it
+/// took over.
+fn scores(world: &mut World, case: &TestCase) -> String {
+    let most: f64 = number(case, "most").expect("`most` is given");
+    let planner = world.planner.as_ref().expect("the cell is owned");
     let ratings = planner.census().scores() as f64 / world.owned_for().as_secs_f64();
     if ratings <= most { String::from("within") } else { format!("over: {ratings:.0} a second") }
 }
 
-fn wave(world: &mut World, case: &TestCase) {
-    let names = case.args.get("of").expect("a wave names its machines");
+fn add_rollout(world: &mut World, case: &TestCase) {
+    let names = case.args.get("of").expect("`of` is given");
     let names = names.iter().map(|name| name.as_str().into()).collect();
     let duration = Duration::from_millis(number(case, "time").unwrap_or(20_000));
     let cap = number(case, "cap").unwrap_or(1);
     world.add_rollout(number(case, "number").unwrap_or(1), names, duration, cap);
 }
 
-fn load(worker: &mut Worker, case: &TestCase) {
+fn set_load(worker: &mut Worker, case: &TestCase) {
     let serving = &mut worker.serving;
     serving.load = number(case, "percent").unwrap_or(serving.load);
     serving.swing = number(case, "swing").unwrap_or(serving.swing);
@@ -377,16 +420,16 @@
     }
     let presses = case.args.get("press").map_or(&[][..], |words| words);
     for press in presses.chunks(2) {
-        let [image, weight] = press else { panic!("press holds images, each with its weight") };
-        serving.presses.insert(image.clone(), weight.parse().expect("a weight"));
+        let [image, weight] = press else { panic!("`press` takes pairs of image and weight") };
+        serving.presses.insert(image.clone(), weight.parse().expect("the weight is a number"));
     }
 }
 
-/// Tells whether tasks that fill kept one that serves over its target for longer than this, at a
-/// stretch and in all.
-fn harm(world: &World, case: &TestCase) -> String {
-    let stretch = Duration::from_millis(number(case, "stretch").expect("harm says how long"));
-    let all = Duration::from_millis(number(case, "all").expect("harm says how long in all"));
+/// Returns whether best-effort tasks made latency-critical ones violate their targets for no longer
+/// than allowed, at a stretch and in total.
+fn interference(world: &World, case: &TestCase) -> String {
+    let stretch = Duration::from_millis(number(case, "stretch").expect("`stretch` is given"));
+    let all = Duration::from_millis(number(case, "all").expect("`all` is given"));
     let servings = || world.workers.values().map(|worker| &worker.serving);
     let longest = servings().map(|serving| serving.longest).max().unwrap_or_default();
     let harmed: Duration = servings().map(|serving| serving.harmed).sum();
@@ -396,12 +439,12 @@
     format!("{} ms at a stretch, {} ms in all", longest.as_millis(), harmed.as_millis())
 }
 
-fn id(case: &TestCase) -> JobId {
-    JobId::from_str_radix(arg(case, "id").expect("a job has an id"), 16).expect("hexadecimal")
+fn job_id(case: &TestCase) -> JobId {
+    JobId::from_str_radix(arg(case, "id").expect("`id` is given"), 16).expect("`id` is hexadecimal")
 }
 
-fn accepted(world: &mut World, case: &TestCase) -> Accepted {
-    let steps = case.input.lines().map(step).collect();
+fn parse_job(world: &mut World, case: &TestCase) -> Accepted {
+    let steps = case.input.lines().map(parse_step).collect();
     let schedule = number(case, "count").map(|count| Schedule {
         count,
         start: world.now + Duration::from_millis(number(case, "start").unwrap_or(0)),
@@ -418,53 +461,54 @@
         cancelled: false,
     };
     if let Some(work) = number(case, "work") {
-        world.actual_work.insert(id(case), Duration::from_millis(work));
+        world.actual_work.insert(job_id(case), Duration::from_millis(work));
     }
     accepted
 }
 
-/// Tells whether enough jobs of a stream were done in time.
+/// Returns whether enough jobs of a stream were done in time.
 fn served(world: &World, case: &TestCase) -> String {
-    let count = number(case, "jobs").expect("how many");
-    let within = Duration::from_millis(number(case, "within").expect("how soon"));
-    let least: u64 = number(case, "least").expect("how many at least");
-    let served = world.completed_within(id(case), count, within);
+    let count = number(case, "jobs").expect("`jobs` is given");
+    let within = Duration::from_millis(number(case, "within").expect("`within` is given"));
+    let least: u64 = number(case, "least").expect("`least` is given");
+    let served = world.completed_within(job_id(case), count, within);
     if served >= least { String::from("enough") } else { format!("{served} of {count}") }
 }
 
-/// Tells whether enough tasks of a job run.
+/// Returns whether enough tasks of a job run.
 fn at_work(world: &World, case: &TestCase) -> String {
-    let least: usize = number(case, "least").expect("how many at least");
-    let id = id(case);
+    let least: usize = number(case, "least").expect("`least` is given");
+    let id = job_id(case);
     let runs = world.workers.values().filter(|worker| worker.up).flat_map(|w| w.active.keys());
     let running = runs.filter(|run| run.task.job == id).count();
     if running >= least { String::from("enough") } else { format!("{running}") }
 }
 
-/// Watches from now on how long tasks that last wait beside room for two of their kind, or tells whether one
-/// waited for longer.
-fn beside(world: &mut World, case: &TestCase) -> String {
+/// Starts to measure how long service tasks wait although there is room for two of their kind, or
+/// returns whether none waited longer than allowed.
+fn service_wait(world: &mut World, case: &TestCase) -> String {
     let Some(most) = number(case, "most").map(Duration::from_millis) else {
         world.service_wait = Some(world::service_wait::Watch::default());
         return String::new();
     };
-    let longest = world.service_wait.as_ref().expect("it is watched").longest;
+    let longest = world.service_wait.as_ref().expect("the measurement was started").longest;
     if longest <= most { String::from("within") } else { format!("{} ms", longest.as_millis()) }
 }
 
-fn step(line: &str) -> Step {
+fn parse_step(line: &str) -> Step {
     let mut step = Step { count: 1, estimate: Duration::from_secs(1), ..Step::default() };
     step.demand = Amount { cpu_milli: 1000, memory_mib: 100, accelerators: 0 };
     for word in line.split_whitespace() {
         let (key, value) = word.split_once('=').unwrap_or((word, ""));
-        let whole = || value.parse::<u32>().unwrap_or_else(|_| panic!("{word}"));
+        let integer = || value.parse::<u32>().unwrap_or_else(|_| panic!("{word}"));
         match key {
-            "count" => step.count = whole(),
-            "cpu" => step.demand.cpu_milli = whole(),
-            "memory" => step.demand.memory_mib = whole(),
-            "time" => step.estimate = Duration::from_millis(whole().into()),
+            "count" => step.count = integer(),
+            "cpu" => step.demand.cpu_milli = integer(),
+            "memory" => step.demand.memory_mib = integer(),
+            "time" => step.estimate = Duration::from_millis(integer().into()),
             "after" => {
-                step.after = value.split(',').map(|n| n.parse().expect("a step")).collect();
+                step.after =
+                    value.split(',').map(|n| n.parse().expect("the index of a step")).collect();
             }
             "gang" => step.gang = true,
             "lasts" => step.long_running = true,
@@ -472,12 +516,12 @@
             "saves" => step.checkpointing = true,
             "tight" => step.same_rack = true,
             "image" => step.image = Some(value.into()),
-            "target" => step.target = Some(Duration::from_millis(whole().into())),
-            "spares" => step.max_unavailable = Some(whole()),
-            "apart" => step.max_per_worker = whole(),
+            "target" => step.target = Some(Duration::from_millis(integer().into())),
+            "spares" => step.max_unavailable = Some(integer()),
+            "apart" => step.max_per_worker = integer(),
             "near" => step.data_rack = Some(value.into()),
             "needs" => step.required_label = Some(value.into()),
-            other => panic!("no word {other}"),
+            other => panic!("unknown option {other}"),
         }
     }
     step
