--- a/bin/scheduler/src/api.rs
+++ b/bin/scheduler/src/api.rs
@@ -1,4 +1,4 @@
-//! What clients may ask of this process, whether or not it owns the cell.
+//! The client API of this process, served whether or not it owns the cell.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -35,59 +35,60 @@
 use crate::rpc::Response;
 use crate::submission::Batcher;
 
-/// Counts of jobs that wait are asked for again after this; they may be two seconds old.
+/// Age at which the cached counts of pending jobs are refreshed; clients allow for counts that are
+/// two seconds old.
 const PENDING_REFRESH_AGE: Duration = Duration::from_millis(500);
-/// How old counts may be that are shown while nobody owns the cell.
+/// Largest age of the counts that are returned while the cell has no owner.
 const PENDING_MAX_AGE: Duration = Duration::from_millis(2500);
-/// When to come back for what the store or the owner can't tell now.
+/// Retry-after time of a request that the store or the owner doesn't answer now.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// How long a client waits for the read that finds out whether the store is back: a store that is
-/// slow takes a few hundred milliseconds.
-const PROBE_TIME: Duration = Duration::from_millis(400);
-/// How often a cancelling is tried again when the job changes under it.
-const CANCEL_TRIES: usize = 4;
-/// Pause before a cancelling that got no answer is made again.
-const CANCEL_PAUSE: Duration = Duration::from_millis(100);
+/// Timeout of the read that probes whether the store is back; a slow store takes a few hundred
+/// milliseconds.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Attempts to cancel a job that changes concurrently.
+const CANCEL_ATTEMPTS: usize = 4;
+/// Delay before a cancellation is attempted again, for instance after a lost answer.
+const CANCEL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 #[derive(Debug, Default)]
 struct Counts {
-    at: Option<Time>,
+    updated_at: Option<Time>,
     queues: HashMap<Arc<str>, u32>,
 }
 
-/// The desk of this process.
+/// The client API of this process.
 #[derive(Clone, Debug)]
 pub struct Api<S> {
     store: S,
     config: Current,
-    intake: Batcher,
-    link: Endpoint,
+    submissions: Batcher,
+    endpoint: Endpoint,
     health: Health,
     holder: watch::Receiver<Option<Holder>>,
     counts: Arc<Mutex<Counts>>,
     log: Log,
 }
 
-/// Result of a request that was served, in the metrics.
+/// Value of the `result` label of a request that succeeded.
 const SERVED: &str = "Served";
 
 impl<S: Store> Api<S> {
-    /// Opens the desk.
+    /// Opens the API.
     pub fn open(
         store: S,
         config: Current,
-        intake: Batcher,
-        link: Endpoint,
+        submissions: Batcher,
+        endpoint: Endpoint,
         health: Health,
         holder: watch::Receiver<Option<Holder>>,
         log: Log,
     ) -> Api<S> {
-        Api { store, config, intake, link, health, holder, counts: Arc::default(), log }
+        Api { store, config, submissions, endpoint, health, holder, counts: Arc::default(), log }
     }
 
-    async fn ask_owner(&self, question: Request) -> Option<Response> {
+    async fn call_owner(&self, request: Request) -> Option<Response> {
         let address = self.holder.borrow().as_ref().map(|holder| holder.address)?;
-        self.link.call(address, question).await
+        self.endpoint.call(address, request).await
     }
 
     async fn get(&self, prefix: &str, job: JobId) -> Result<Option<kv::Entry>, Rejection> {
@@ -105,46 +106,49 @@
         Ok(snapshot.entries.into_iter().find(|entry| entry.key == key))
     }
 
-    /// Keeps clients' writes from a store that doesn't answer: one that stays unsettled could not be
-    /// tried again elsewhere.
+    /// Rejects a client's write while the store isn't reachable: if its outcome stayed unknown, the
+    /// client could not retry it on another instance.
     async fn require_store(&self) -> Result<(), Rejection> {
-        let verdict = self.health.admission(clock::now());
-        if self.reaches_store(verdict).await { Ok(()) } else { Err(self.unavailable().await) }
+        let admission = self.health.admission(clock::now());
+        if self.reaches_store(admission).await { Ok(()) } else { Err(self.unavailable().await) }
     }
 
-    /// Refuses a client since the store isn't reached from here. Where the owner of the cell reaches it
-    /// the client is to try the next instance at once; short jobs are late after a pause of a second.
+    /// Returns the rejection for a client while the store isn't reachable from here. If the owner
+    /// of the cell reaches it, the client is told to try another instance at once, since a pause of
+    /// a second would make short jobs late.
     async fn unavailable(&self) -> Rejection {
-        let elsewhere =
-            self.ask_owner(Request::StoreReachable).await == Some(Response::StoreReachable(true));
-        let pause = if elsewhere { Duration::ZERO } else { RETRY_AFTER };
+        let owner_reaches_store =
+            self.call_owner(Request::StoreReachable).await == Some(Response::StoreReachable(true));
+        let pause = if owner_reaches_store { Duration::ZERO } else { RETRY_AFTER };
         Rejection::new(Code::StoreDown, "the store did not answer a moment ago").retry_after(pause)
     }
 
-    /// Tells whether new clients are wanted: there is a configuration, and the store is reached.
+    /// Returns `true` if new clients are accepted: a configuration is known and the store is
+    /// reachable.
     pub async fn is_ready(&self) -> bool {
-        let verdict = self.health.readiness(clock::now());
-        self.config.borrow().is_some() && self.reaches_store(verdict).await
+        let admission = self.health.readiness(clock::now());
+        self.config.borrow().is_some() && self.reaches_store(admission).await
     }
 
-    /// Settles a verdict, by a read if it has to be found out.
-    async fn reaches_store(&self, verdict: Admission) -> bool {
-        match verdict {
+    /// Returns `true` if the store is reachable, after a probing read where `admission` asks for
+    /// one.
+    async fn reaches_store(&self, admission: Admission) -> bool {
+        match admission {
             Admission::Serve => return true,
             Admission::Refuse => return false,
             Admission::Probe => {}
         }
-        let sent = clock::now();
-        let read = tokio::time::timeout(PROBE_TIME, self.store.read(keys::OWNER));
+        let sent_at = clock::now();
+        let read = tokio::time::timeout(PROBE_TIMEOUT, self.store.read(keys::OWNER));
         let answered = matches!(read.await, Ok(Ok(_)));
         if !answered {
-            self.health.record_failure(sent, clock::now());
+            self.health.record_failure(sent_at, clock::now());
         }
         answered
     }
 
-    /// Reads a job's state from the store. The job is looked for first: it goes, and its end
-    /// comes, in one transaction.
+    /// Reads a job's state from the store. The job is read before its final state, since one
+    /// transaction removes the former and writes the latter.
     async fn stored_state(&self, job: JobId) -> Result<State, Rejection> {
         if self.get(keys::JOBS, job).await?.is_some() {
             let record = self.get(keys::RECORDS, job).await?;
@@ -156,7 +160,7 @@
         }
     }
 
-    /// Tries once to cancel; nothing if the job changed meanwhile.
+    /// Attempts once to cancel a job; returns `None` if the job changed meanwhile.
     async fn try_cancel(&self, job: JobId) -> Result<Option<()>, Rejection> {
         let Some(entry) = self.get(keys::JOBS, job).await? else {
             return self.cancel_unknown(job).await;
@@ -177,20 +181,20 @@
         self.commit(txn).await
     }
 
-    /// Cancels a job that is not known, or has ended. An unknown one is kept from being taken in
-    /// later: its acceptance may still be on its way.
+    /// Cancels a job that is unknown or has ended. For an unknown job a final state is written, so
+    /// that a submission that is still in flight is not accepted later.
     async fn cancel_unknown(&self, job: JobId) -> Result<Option<()>, Rejection> {
         if self.get(keys::FINAL_STATES, job).await?.is_some() {
             return Ok(Some(()));
         }
-        let end = keys::for_job(keys::FINAL_STATES, job);
+        let final_state_key = keys::for_job(keys::FINAL_STATES, job);
         let value = record::encode(&State::Cancelled);
         let txn = kv::Txn {
             guards: vec![
                 kv::Guard::Missing(keys::for_job(keys::JOBS, job)),
-                kv::Guard::Missing(end.clone()),
+                kv::Guard::Missing(final_state_key.clone()),
             ],
-            changes: vec![kv::Change::Put { key: end, value, lease: 0 }],
+            changes: vec![kv::Change::Put { key: final_state_key, value, lease: 0 }],
         };
         match self.commit(txn).await? {
             Some(()) => Err(Rejection::new(Code::NoJob, "the store holds no such job")),
@@ -201,7 +205,7 @@
     async fn commit(&self, txn: kv::Txn) -> Result<Option<()>, Rejection> {
         match self.store.commit(txn).await {
             Ok(verdict) => Ok(verdict.applied.then_some(())),
-            // The next try's read settles it.
+            // The read of the next attempt shows the outcome.
             Err(kv::Error::Unknown(_)) => Ok(None),
             Err(error) => {
                 Err(Rejection::new(Code::StoreDown, error.to_string()).retry_after(RETRY_AFTER))
@@ -209,15 +213,15 @@
         }
     }
 
-    fn counts(&self) -> std::sync::MutexGuard<'_, Counts> {
-        self.counts.lock().expect("nobody panics while holding the counts")
+    fn lock_counts(&self) -> std::sync::MutexGuard<'_, Counts> {
+        self.counts.lock().expect("no thread panics while it holds the lock on the counts")
     }
 
-    fn counted(&self, queue: &str, age: Duration) -> Option<u32> {
-        let counts = self.counts();
-        let at = counts.at?;
-        let fresh = clock::now().saturating_sub(at) <= age;
-        fresh.then(|| counts.queues.get(queue).copied().unwrap_or(0))
+    fn cached_count(&self, queue: &str, max_age: Duration) -> Option<u32> {
+        let counts = self.lock_counts();
+        let updated_at = counts.updated_at?;
+        let is_fresh = clock::now().saturating_sub(updated_at) <= max_age;
+        is_fresh.then(|| counts.queues.get(queue).copied().unwrap_or(0))
     }
 }
 
@@ -245,37 +249,37 @@
             spec,
             cancelled: false,
         };
-        self.intake.submit(job, &accepted, within).await
+        self.submissions.submit(job, &accepted, within).await
     }
 
     async fn state(&self, job: JobId) -> Result<State, Rejection> {
-        match self.ask_owner(Request::State(job)).await {
+        match self.call_owner(Request::State(job)).await {
             Some(Response::State(Some(state))) => Ok(state),
             _ => self.stored_state(job).await,
         }
     }
 
     async fn cancel(&self, job: JobId) -> Result<(), Rejection> {
-        for _ in 0..CANCEL_TRIES {
+        for _ in 0..CANCEL_ATTEMPTS {
             if self.try_cancel(job).await?.is_some() {
                 event!(self.log, Event::JobCancelling, "job" => format!("{job:016x}"));
                 return Ok(());
             }
-            tokio::time::sleep(CANCEL_PAUSE).await;
+            tokio::time::sleep(CANCEL_RETRY_DELAY).await;
         }
-        Err(Rejection::new(Code::StoreUnknown, "the cancelling was not settled"))
+        Err(Rejection::new(Code::StoreUnknown, "the outcome of the cancellation is unknown"))
     }
 
     async fn pending(&self, queue: &Queue) -> Result<u32, Rejection> {
-        if let Some(count) = self.counted(&queue.name, PENDING_REFRESH_AGE) {
+        if let Some(count) = self.cached_count(&queue.name, PENDING_REFRESH_AGE) {
             return Ok(count);
         }
-        if let Some(Response::Pending(queues)) = self.ask_owner(Request::Pending).await {
-            let mut counts = self.counts();
-            counts.at = Some(clock::now());
+        if let Some(Response::Pending(queues)) = self.call_owner(Request::Pending).await {
+            let mut counts = self.lock_counts();
+            counts.updated_at = Some(clock::now());
             counts.queues = queues.into_iter().collect();
         }
-        self.counted(&queue.name, PENDING_MAX_AGE).ok_or_else(|| {
+        self.cached_count(&queue.name, PENDING_MAX_AGE).ok_or_else(|| {
             Rejection::new(Code::OwnerUnknown, "the owner of the cell did not answer")
                 .retry_after(RETRY_AFTER)
         })
--- a/bin/scheduler/src/clock.rs
+++ b/bin/scheduler/src/clock.rs
@@ -1,6 +1,6 @@
-//! The clocks of this process. The one on which all is counted goes on while the machine is
-//! suspended, so that what was believed before a pause is known to be old after it. The time of day
-//! jumps, and is read for due times alone.
+//! Clocks of this process. The clock for leases and timeouts keeps running while the machine is
+//! suspended, so that what was known before a suspension counts as old after it. The time of day
+//! may jump, and is used only for the due times of repeated jobs.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -10,18 +10,18 @@
 use nix::time::ClockId;
 use nix::time::clock_gettime;
 
-/// Reads the time since the machine's start, suspensions included.
+/// Returns the time since boot, including suspensions.
 ///
 /// # Panics
 ///
-/// Panics if the system doesn't know the clock, which every Linux since 2.6.39 does.
+/// Panics if the system lacks this clock, which every Linux since 2.6.39 has.
 pub fn now() -> Time {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the system has this clock");
     Duration::from(time)
 }
 
-/// Reads the time of day, since 1970.
+/// Returns the time of day, since 1970.
 pub fn wall() -> Duration {
-    // A time of day before 1970 makes nothing due, which is right until it is set.
+    // A time of day before 1970 isn't set yet; zero makes no job due.
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/bin/scheduler/src/config.rs
+++ b/bin/scheduler/src/config.rs
@@ -1,5 +1,5 @@
-//! The operator's configuration in force in this process. A version is never replaced by an
-//! earlier one, whatever the store or a late answer says.
+//! The operator's configuration in force in this process. A version is never replaced by an earlier
+//! one, even if the store or a late answer returns one.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use crate::watcher;
 use crate::watcher::Change;
 
-/// The configuration in force, none until one is known.
+/// Receiver of the configuration in force; holds `None` until one is known.
 pub type Current = watch::Receiver<Option<Arc<Config>>>;
 
 /// Starts following the operator's configuration.
@@ -37,17 +37,17 @@
         match change {
             Change::Snapshot(snapshot) => {
                 for entry in snapshot.entries {
-                    take(&entry.key, &entry.value, &sender, &log);
+                    apply(&entry.key, &entry.value, &sender, &log);
                 }
             }
-            Change::Put(entry) => take(&entry.key, &entry.value, &sender, &log),
+            Change::Put(entry) => apply(&entry.key, &entry.value, &sender, &log),
             // An operator replaces the configuration and never removes it.
             Change::Deleted { .. } => {}
         }
     }
 }
 
-fn take(key: &str, value: &[u8], sender: &watch::Sender<Option<Arc<Config>>>, log: &Log) {
+fn apply(key: &str, value: &[u8], sender: &watch::Sender<Option<Arc<Config>>>, log: &Log) {
     if key != operator::CONFIG {
         return;
     }
--- a/bin/scheduler/src/directory.rs
+++ b/bin/scheduler/src/directory.rs
@@ -1,9 +1,9 @@
-//! Follows the workers' directory on a thread of its own, and hands on what is news.
+//! Follows the workers' directory on a thread of its own, and forwards the changes to the owner.
 //!
-//! Load pattern: thousands of workers refresh their entries each second or two, in a cell whose owner has more orders
-//! and answers in a turn than it has processor time. Read between these, entries arrive seconds late, and tasks are
-//! started on workers that are leaving. What closes a worker has to be known before a start, so entries are read beside
-//! the owner's turns, however long those are, and refreshes that say nothing new end here.
+//! Thousands of workers refresh their entries every second or two. If a busy owner read them
+//! between its commands and answers, it would learn of draining workers seconds late, and start
+//! tasks on them. So entries are read in parallel to the owner, and unchanged ones are dropped
+//! here.
 
 use std::collections::HashMap;
 use std::io;
@@ -24,31 +24,33 @@
 use crate::log::Log;
 use crate::watcher;
 
-/// How long an entry that says nothing new is held back: the owner may have forgotten its worker meanwhile.
+/// Interval after which an unchanged entry is sent again, since the owner may have forgotten the
+/// worker meanwhile.
 const RESEND_INTERVAL: Duration = Duration::from_secs(4);
 
-/// What the owner was last told of each worker.
+/// Filter that drops entries which the owner knows already.
 #[derive(Debug, Default)]
 pub struct Filter {
-    told: HashMap<id::Instance, (Registration, Time)>,
+    sent: HashMap<id::Instance, (Registration, Time)>,
 }
 
 impl Filter {
-    /// Returns `true` if the owner has to be told.
+    /// Returns `true` if the event has to be sent to the owner.
     pub fn should_forward(&mut self, now: Time, event: &Event) -> bool {
         match event {
             Event::Listed { registration } => {
-                let known = self.told.get(&registration.name);
-                let repeats = known
-                    .is_some_and(|(told, at)| told == registration && now < *at + RESEND_INTERVAL);
-                if !repeats {
+                let known = self.sent.get(&registration.name);
+                let is_repeat = known.is_some_and(|(sent, sent_at)| {
+                    sent == registration && now < *sent_at + RESEND_INTERVAL
+                });
+                if !is_repeat {
                     let name = registration.name.clone();
-                    self.told.insert(name, (registration.clone(), now));
+                    self.sent.insert(name, (registration.clone(), now));
                 }
-                !repeats
+                !is_repeat
             }
             Event::Unlisted { name } => {
-                self.told.remove(name);
+                self.sent.remove(name);
                 true
             }
             _ => true,
@@ -56,12 +58,12 @@
     }
 }
 
-/// Starts following the directory until the receiver of its events is gone. `store` must share no connections with
-/// other threads.
+/// Starts following the directory until the receiver of its events is dropped. `store` must share
+/// no connections with other threads.
 ///
 /// # Errors
 ///
-/// When the system refuses the thread.
+/// Returns an error if the system refuses the thread.
 pub fn spawn<S: Store>(store: S, events: mpsc::UnboundedSender<Event>, log: Log) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let thread = std::thread::Builder::new().name(String::from("directory"));
@@ -69,25 +71,25 @@
     Ok(())
 }
 
-/// Follows the directory until the receiver of its events is gone.
+/// Follows the directory until the receiver of its events is dropped.
 pub async fn follow<S: Store>(store: S, events: mpsc::UnboundedSender<Event>, log: Log) {
     let mut changes = watcher::spawn(store, directory::PREFIX, None, None, log.clone());
     let mut listing = Listing::default();
-    let mut news = Filter::default();
-    let mut found = Vec::new();
+    let mut repeats = Filter::default();
+    let mut pending = Vec::new();
     loop {
         let change = tokio::select! {
             Some(change) = changes.recv() => change,
             () = events.closed() => return,
             else => return,
         };
-        for (name, error) in listing.apply(change, &mut found) {
+        for (name, error) in listing.apply(change, &mut pending) {
             event!(log, LogEvent::WorkerEntryInvalid, "worker" => name.to_string(),
                 "reason" => error.to_string());
         }
         let now = clock::now();
-        for event in found.drain(..).filter(|event| news.should_forward(now, event)) {
-            // The receiver is gone only when the ownership is ending.
+        for event in pending.drain(..).filter(|event| repeats.should_forward(now, event)) {
+            // The receiver is dropped only when the ownership ends.
             let _ = events.send(event);
         }
     }
--- a/bin/scheduler/src/election.rs
+++ b/bin/scheduler/src/election.rs
@@ -1,4 +1,5 @@
-//! Runs the seat: whether this process owns the cell.
+//! Leader election: decides through the store whether this process owns the cell, and reports each
+//! change of the ownership to the rest of the process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -27,98 +28,99 @@
 use crate::watcher;
 use crate::watcher::Change;
 
-/// How long an owner's lease lasts. It bounds how long the cell has no owner after one has died, in
-/// which nothing starts; five renewals a lease outlast a few that are lost, and one that is answered
-/// within a second.
-const TTL: Duration = Duration::from_millis(1200);
-/// Longest sleep between two looks at what is due.
-const TICK: Duration = Duration::from_millis(500);
-/// Spread of the claims of equal processes: a few times what a claim takes, so that most are spared.
-const SPREAD: Duration = Duration::from_millis(20);
-
-/// What the seat's key holds.
+/// Duration of the owner's lease. It bounds the time for which the cell has no owner after a crash,
+/// during which no task starts. With five renewals per lease, the lease survives a few lost
+/// renewals, or one that is answered within a second.
+const LEASE_TTL: Duration = Duration::from_millis(1200);
+/// Longest sleep between two checks for due work.
+const MAX_SLEEP: Duration = Duration::from_millis(500);
+/// Random part of the claim delay: a few times the duration of a claim, so that most processes of
+/// equal size see another's claim before they send their own.
+const CLAIM_JITTER: Duration = Duration::from_millis(20);
+
+/// Value of the key that names the owner.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Holder {
-    /// The owner.
+    /// Instance that owns the cell.
     pub instance: id::Instance,
-    /// Where it answers its peers.
+    /// Address at which it answers requests of its peers.
     pub address: SocketAddr,
-    /// Tells this incarnation of it from others.
+    /// Random number of the instance's incarnation.
     pub incarnation: u64,
-    /// The part of a core that it has.
+    /// CPU share of the instance, as a fraction of a core.
     pub cpu_share: f64,
 }
 
-/// What the seat tells the rest of the process.
+/// A change of the ownership.
 #[derive(Clone, Debug)]
 pub enum Transition {
     /// This process owns the cell from now on.
     Own {
-        /// Rank of the ownership, and the revision that guards its writes.
+        /// Epoch of the ownership, which is the revision that guards its writes.
         epoch: Revision,
-        /// The lease lasts at least until then.
+        /// Earliest end of the lease.
         until: Time,
     },
-    /// The lease lasts at least until then.
+    /// The lease was extended.
     Extend {
-        /// The time.
+        /// Earliest end of the lease.
         until: Time,
     },
-    /// This process owns the cell no more.
+    /// This process no longer owns the cell.
     Disown,
 }
 
-/// A word to the seat.
+/// A notice from the rest of the process to the election.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// A write as the owner was refused.
+    /// A write as the owner was rejected, since the owner key has changed.
     WriteFenced,
-    /// Give the cell up for a planned stop.
+    /// The process is about to stop: give the cell up.
     Drain,
 }
 
-/// The running seat.
+/// A handle to the running election.
 #[derive(Debug)]
 pub struct Handle {
-    /// What happens to the ownership.
+    /// Receives the changes of the ownership.
     pub transitions: mpsc::UnboundedReceiver<Transition>,
-    /// Says something to the seat.
+    /// Sends notices to the election.
     pub notices: mpsc::UnboundedSender<Notice>,
-    /// Who owns the cell, as far as is known here.
+    /// Last known owner of the cell.
     pub holder: watch::Receiver<Option<Holder>>,
 }
 
-/// Starts the seat of this process.
+/// Starts the election of this process.
 pub fn spawn<S: Store>(store: S, holder: Holder, health: Health, log: Log) -> Handle {
     let precedence = Precedence::open(holder.cpu_share);
     let mark = cowslipchute_planner::record::encode(&holder);
-    let settings = seat::Settings { ttl: TTL, delay: claim_delay(precedence), mark };
-    let (turn_sender, transitions) = mpsc::unbounded_channel();
-    let (notices, word_receiver) = mpsc::unbounded_channel();
+    let settings = seat::Settings { ttl: LEASE_TTL, delay: claim_delay(precedence), mark };
+    let (transition_sender, transitions) = mpsc::unbounded_channel();
+    let (notices, notice_receiver) = mpsc::unbounded_channel();
     let (holder_sender, holder) = watch::channel(None);
     let (result_sender, results) = mpsc::unbounded_channel();
     let changes = watcher::spawn(store.clone(), keys::OWNER, None, Some(health), log.clone());
     let runner = Runner {
         store,
-        mark: settings.mark.clone(),
+        owner_value: settings.mark.clone(),
         precedence,
-        seat: Seat::open(settings),
-        turns: turn_sender,
+        election: Seat::open(settings),
+        transitions: transition_sender,
         holder: holder_sender,
         results: result_sender,
         metrics: log.metrics().clone(),
     };
-    tokio::spawn(runner.run(changes, word_receiver, results));
+    tokio::spawn(runner.run(changes, notice_receiver, results));
     Handle { transitions, notices, holder }
 }
 
 struct Runner<S> {
     store: S,
-    mark: Vec<u8>,
+    owner_value: Vec<u8>,
     precedence: Precedence,
-    seat: Seat,
-    turns: mpsc::UnboundedSender<Transition>,
+    election: Seat,
+    transitions: mpsc::UnboundedSender<Transition>,
     holder: watch::Sender<Option<Holder>>,
     results: mpsc::UnboundedSender<Event>,
     metrics: Metrics,
@@ -128,18 +130,18 @@
     async fn run(
         mut self,
         mut changes: mpsc::Receiver<Change>,
-        mut words: mpsc::UnboundedReceiver<Notice>,
+        mut notices: mpsc::UnboundedReceiver<Notice>,
         mut results: mpsc::UnboundedReceiver<Event>,
     ) {
         loop {
-            let pause = match self.seat.next_due() {
-                Some(due) => due.saturating_sub(clock::now()).min(TICK),
-                None => TICK,
+            let pause = match self.election.next_due() {
+                Some(due) => due.saturating_sub(clock::now()).min(MAX_SLEEP),
+                None => MAX_SLEEP,
             };
             let due = Instant::now() + pause;
             let event = tokio::select! {
-                Some(change) = changes.recv() => self.seen(change),
-                Some(word) = words.recv() => Some(match word {
+                Some(change) = changes.recv() => self.observe(change),
+                Some(notice) = notices.recv() => Some(match notice {
                     Notice::WriteFenced => Event::Refused,
                     Notice::Drain => Event::Drain,
                 }),
@@ -151,17 +153,17 @@
             };
             let Some(event) = event else { continue };
             let mut actions = Vec::new();
-            self.seat.step(clock::now(), event, &mut actions);
+            self.election.step(clock::now(), event, &mut actions);
             for action in actions {
-                if !self.act(action) {
+                if !self.execute(action) {
                     return;
                 }
             }
         }
     }
 
-    /// Turns a change of the key into an event, and tells who owns the cell.
-    fn seen(&mut self, change: Change) -> Option<Event> {
+    /// Converts a change of the owner key into an event, and publishes the owner.
+    fn observe(&mut self, change: Change) -> Option<Event> {
         let (at, entry) = match change {
             Change::Snapshot(snapshot) => {
                 let entry = snapshot.entries.into_iter().find(|entry| entry.key == keys::OWNER);
@@ -176,15 +178,15 @@
             .and_then(|entry| cowslipchute_planner::record::decode::<Holder>(&entry.value).ok());
         if let Some(holder) = &holder {
             self.precedence.observe_owner(holder.cpu_share);
-            self.seat.set_delay(claim_delay(self.precedence));
+            self.election.set_delay(claim_delay(self.precedence));
         }
         self.holder.send_replace(holder);
         Some(Event::Seen { at, entry })
     }
 
-    /// Carries an action out; false when the process is ending.
-    fn act(&self, action: Action) -> bool {
-        let turn = match action {
+    /// Executes an action; returns `false` if the process is exiting.
+    fn execute(&self, action: Action) -> bool {
+        let transition = match action {
             Action::Own { epoch, until } => Transition::Own { epoch, until },
             Action::Extend { until } => Transition::Extend { until },
             Action::Disown => Transition::Disown,
@@ -193,20 +195,20 @@
                 return true;
             }
         };
-        self.turns.send(turn).is_ok()
+        self.transitions.send(transition).is_ok()
     }
 
     fn call(&self, action: Action) {
         let store = self.store.clone();
         let results = self.results.clone();
-        let mark = self.mark.clone();
+        let owner_value = self.owner_value.clone();
         tokio::spawn(async move {
             let event = match action {
                 Action::Grant { ticket, ttl } => {
                     Event::Granted { ticket, outcome: store.grant(ttl).await }
                 }
                 Action::Claim { ticket, lease } => {
-                    let outcome = store.commit(claim(mark, lease)).await;
+                    let outcome = store.commit(claim(owner_value, lease)).await;
                     Event::Claimed { ticket, outcome }
                 }
                 Action::Look => match store.read(keys::OWNER).await {
@@ -214,33 +216,33 @@
                         at: snapshot.revision,
                         entry: snapshot.entries.into_iter().find(|entry| entry.key == keys::OWNER),
                     },
-                    // It is looked again soon.
+                    // The read is retried soon.
                     Err(_) => return,
                 },
                 Action::Renew { ticket, lease } => {
                     Event::Renewed { ticket, outcome: store.keep_alive(lease).await }
                 }
                 Action::Revoke { lease } => {
-                    // If it is lost the lease lapses by itself.
+                    // If the call is lost, the lease expires by itself.
                     let _ = store.revoke(lease).await;
                     return;
                 }
                 Action::Own { .. } | Action::Extend { .. } | Action::Disown => return,
             };
-            // The seat is gone only when the process is ending.
+            // The receiver is dropped only when the process exits.
             let _ = results.send(event);
         });
     }
 }
 
-/// Returns how long to wait before a claim, a little longer or shorter each time.
+/// Returns the delay before a claim, with random jitter.
 fn claim_delay(precedence: Precedence) -> Duration {
-    precedence.delay() + SPREAD.mul_f64(rand::random_range(0.0..1.0))
+    precedence.delay() + CLAIM_JITTER.mul_f64(rand::random_range(0.0..1.0))
 }
 
-fn claim(mark: Vec<u8>, lease: kv::LeaseId) -> kv::Txn {
+fn claim(owner_value: Vec<u8>, lease: kv::LeaseId) -> kv::Txn {
     kv::Txn {
         guards: vec![kv::Guard::Missing(keys::OWNER.to_owned())],
-        changes: vec![kv::Change::Put { key: keys::OWNER.to_owned(), value: mark, lease }],
+        changes: vec![kv::Change::Put { key: keys::OWNER.to_owned(), value: owner_value, lease }],
     }
 }
--- a/bin/scheduler/src/evacuations.rs
+++ b/bin/scheduler/src/evacuations.rs
@@ -1,7 +1,9 @@
-//! The operator's evacuations of failure domains: which the store holds, told to the planner.
+//! The operator's evacuations of failure domains: follows them in the store and reports them to the
+//! planner.
 //!
-//! A new owner reads them before it owns the cell, so that it starts nothing that is forbidden, and follows them from
-//! that revision on. While the store can't be read what was known stays in force.
+//! A new owner reads them before it runs the cell, so that it starts nothing in an evacuated
+//! domain, and follows them from that revision on. While the store can't be read, the last known
+//! set stays in force.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -20,10 +22,10 @@
 use crate::watcher;
 use crate::watcher::Change;
 
-/// Pause before a read that did not come through is made again.
+/// Delay before a failed read is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The evacuations that the store holds, as of a revision.
+/// The evacuated failure domains as of a revision of the store.
 #[derive(Clone, Debug)]
 pub struct Evacuations {
     domains: BTreeSet<id::Domain>,
@@ -37,7 +39,7 @@
         Evacuations { domains: BTreeSet::new(), revision: 0, log }
     }
 
-    /// Reads them, again and again until the store answers.
+    /// Reads the evacuations, retrying until the store answers.
     pub async fn read<S: Store>(store: &S, log: &Log) -> Evacuations {
         loop {
             match store.read(operator::EVACUATIONS).await {
@@ -55,12 +57,12 @@
         }
     }
 
-    /// Returns what the planner is to be told of them.
+    /// Returns the planner event that reports the evacuations.
     pub fn event(&self) -> Event {
         Event::Evacuated { domains: self.domains.clone() }
     }
 
-    /// Tells of every change until the receiver is gone.
+    /// Sends an event to the planner after every change.
     pub async fn follow<S: Store>(mut self, store: S, events: mpsc::UnboundedSender<Event>) {
         let after = Some(self.revision);
         let prefix = operator::EVACUATIONS;
@@ -69,7 +71,7 @@
             for change in watcher::collect_ready(first, &mut changes) {
                 self.apply(change);
             }
-            // The receiver is gone only when the ownership is ending.
+            // The receiver is dropped only when the ownership ends.
             let _ = events.send(self.event());
         }
     }
@@ -93,7 +95,7 @@
         snapshot.entries.iter().for_each(|entry| self.insert(entry));
     }
 
-    /// Whatever the text says, the key asks that nothing be started there.
+    /// Adds an evacuation. The key alone puts it in force: an invalid value is only logged.
     fn insert(&mut self, entry: &kv::Entry) {
         let Some(domain) = operator::evacuated(&entry.key) else { return };
         if let Err(error) = operator::check_evacuation(&entry.value) {
--- a/bin/scheduler/src/health.rs
+++ b/bin/scheduler/src/health.rs
@@ -1,12 +1,11 @@
-//! Whether the store answers this process, so that clients are refused at once while it doesn't.
+//! Health of the store as this process sees it: a circuit breaker for clients' requests.
 //!
-//! Patterns answered: a store that is cut off shows only by calls that wait for their timeouts, and
-//! each client would be held for that long to be told the same; and a client whose write found the
-//! outage can't be told whether its job was taken in, so that it may not hand it in elsewhere. So
-//! after one call without an answer, or a watch that was cut, clients are refused, which is true and
-//! can be tried again; one of them now and then waits for a read that finds out, and is served if the
-//! store is back. The platform is told the same: an instance that doesn't reach the store wants no
-//! new clients, and where a whole failure domain is cut off its clients are sent to the others.
+//! An outage shows only by calls that time out. Clients would be held for as long, and one whose
+//! write is lost can't be told whether its job was accepted, so that it must not submit it
+//! elsewhere. So after one failed call or a broken watch, clients are refused, which they can
+//! safely retry; at an interval, one of them waits for a probing read and is served if the store is
+//! back. Readiness follows, so that the clients of a failure domain that is cut off go to the
+//! others.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -15,106 +14,109 @@
 
 use cowslipchute_base::id::Time;
 
-/// One read in so much time finds out whether the store is back.
-const PROBE_PAUSE: Duration = Duration::from_millis(250);
-/// A failure older than this tells nothing any more.
+/// Interval between probing reads during an outage.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Age at which a failure no longer indicates an outage.
 const OUTAGE_MAX_AGE: Duration = Duration::from_secs(3);
-/// An answer at most this old tells that the store is reached now: an owner renews its lease more
-/// often, and an outage is taken for one of a single instance for no longer.
+/// Age up to which an answer shows that the store is reachable now. An owner renews its lease more
+/// often, and an outage of the store is mistaken for that of a single instance for no longer than
+/// this.
 const REACHABLE_MAX_AGE: Duration = Duration::from_millis(400);
-/// An answer older than this doesn't tell that the store is still reached. The two waiting watches of
-/// an idle instance are answered more often, so that it makes no call for this.
+/// Age up to which an answer counts for readiness. The two pending watches of an idle instance are
+/// answered more often, so that it needs no probe.
 const READY_MAX_AGE: Duration = Duration::from_millis(1000);
 
 #[derive(Debug, Default)]
 struct State {
-    /// The last call that was answered.
-    answered: Option<Time>,
+    /// Time of the last answer.
+    answered_at: Option<Time>,
     outage: Option<Outage>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Outage {
-    /// When the last call that was not answered had been sent.
-    sent: Time,
-    /// The last call that was not answered.
-    failed: Time,
-    /// The last read that was to find out.
-    probed: Option<Time>,
+    /// Latest time at which a failed call was sent.
+    sent_at: Time,
+    /// Time of the last failure.
+    failed_at: Time,
+    /// Time of the last probe.
+    probed_at: Option<Time>,
 }
 
-/// What to do with a client.
+/// How to handle a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// Serve it.
     Serve,
-    /// Refuse it without a call.
+    /// Refuse it without a call to the store.
     Refuse,
-    /// Read first, and serve or refuse it by what becomes of that.
+    /// Read from the store first; serve it if the read succeeds, otherwise refuse it.
     Probe,
 }
 
-/// What is known of the store, shared by all who call it for clients.
+/// Health of the store, shared by all tasks that call it.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     state: Arc<Mutex<State>>,
 }
 
 impl Health {
-    /// The store answered a call that was sent then. An answer to a call from before an outage, as a waiting watch
-    /// gets, doesn't tell that calls reach the store again.
+    /// Records an answer to a call that was sent at `sent`. If the call was sent before an outage,
+    /// as a pending watch may be, its answer doesn't show that calls reach the store again.
     pub fn record_success(&self, sent: Time, now: Time) {
         let mut state = self.lock();
-        if state.outage.is_some_and(|outage| sent < outage.sent) {
+        if state.outage.is_some_and(|outage| sent < outage.sent_at) {
             return;
         }
-        state.answered = Some(now);
+        state.answered_at = Some(now);
         state.outage = None;
     }
 
-    /// The store did not answer a call that was sent then, or turned it away.
+    /// Records that the store rejected a call that was sent at `sent`, or did not answer it.
     pub fn record_failure(&self, sent: Time, now: Time) {
         let mut state = self.lock();
-        let probed = state.outage.and_then(|outage| outage.probed);
-        let sent = state.outage.map_or(sent, |outage| outage.sent.max(sent));
-        state.outage = Some(Outage { sent, failed: now, probed });
+        let probed_at = state.outage.and_then(|outage| outage.probed_at);
+        let sent_at = state.outage.map_or(sent, |outage| outage.sent_at.max(sent));
+        state.outage = Some(Outage { sent_at, failed_at: now, probed_at });
     }
 
-    /// Tells what to do with a client that comes now.
+    /// Returns how to handle a client that arrives now; returns [`Admission::Probe`] at most once
+    /// per interval.
     pub fn admission(&self, now: Time) -> Admission {
         let mut state = self.lock();
-        let Some(known) = state.outage.as_mut() else { return Admission::Serve };
-        if now >= known.failed + OUTAGE_MAX_AGE {
+        let Some(outage) = state.outage.as_mut() else { return Admission::Serve };
+        if now >= outage.failed_at + OUTAGE_MAX_AGE {
             state.outage = None;
             return Admission::Serve;
         }
-        if known.probed.is_some_and(|probed| now < probed + PROBE_PAUSE) {
+        if outage.probed_at.is_some_and(|probed_at| now < probed_at + PROBE_INTERVAL) {
             return Admission::Refuse;
         }
-        known.probed = Some(now);
+        outage.probed_at = Some(now);
         Admission::Probe
     }
 
-    /// Tells whether the store has surely been reached a moment ago.
+    /// Returns `true` if the store has answered recently and no outage is known.
     pub fn is_reachable(&self, now: Time) -> bool {
         let state = self.lock();
-        let fresh = state.answered.is_some_and(|answered| now < answered + REACHABLE_MAX_AGE);
-        fresh && state.outage.is_none()
+        let is_fresh =
+            state.answered_at.is_some_and(|answered_at| now < answered_at + REACHABLE_MAX_AGE);
+        is_fresh && state.outage.is_none()
     }
 
-    /// Tells what to say to the platform, which asks whether new clients are wanted: unlike for a
-    /// client, it isn't enough that nothing speaks against the store.
+    /// Returns how to handle a readiness check of the platform. Unlike for a client, the absence of
+    /// failures isn't enough: the last answer must be recent.
     pub fn readiness(&self, now: Time) -> Admission {
-        let verdict = self.admission(now);
-        let answered = self.lock().answered;
-        let fresh = answered.is_some_and(|answered| now < answered + READY_MAX_AGE);
-        match verdict {
-            Admission::Serve if !fresh => Admission::Probe,
-            verdict => verdict,
+        let admission = self.admission(now);
+        let answered_at = self.lock().answered_at;
+        let is_fresh = answered_at.is_some_and(|answered_at| now < answered_at + READY_MAX_AGE);
+        match admission {
+            Admission::Serve if !is_fresh => Admission::Probe,
+            admission => admission,
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("nobody panics while holding this")
+        self.state.lock().expect("no thread panics while it holds the lock on the health")
     }
 }
--- a/bin/scheduler/src/instrumented.rs
+++ b/bin/scheduler/src/instrumented.rs
@@ -1,5 +1,5 @@
-//! The store with every call counted and timed, and its health told, so that nobody else has to know
-//! of metrics, nor of who else calls it.
+//! A wrapper of the store that counts and times every call and records the store's health, so that
+//! callers need no code for either.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use crate::health::Health;
 use crate::metrics::Metrics;
 
-/// A store, measured.
+/// An instrumented store.
 #[derive(Clone, Debug)]
 pub struct Instrumented<S> {
     inner: S,
@@ -25,7 +25,7 @@
 }
 
 impl<S> Instrumented<S> {
-    /// Measures what is called through this from now on.
+    /// Wraps a store.
     pub fn open(inner: S, metrics: Metrics, health: Health) -> Instrumented<S> {
         Instrumented { inner, metrics, health }
     }
@@ -35,21 +35,21 @@
         name: &str,
         call: impl Future<Output = Result<V, kv::Error>>,
     ) -> Result<V, kv::Error> {
-        let since = clock::now();
+        let sent_at = clock::now();
         let outcome = call.await;
         let now = clock::now();
-        self.metrics.store_call(name, answer(&outcome), now.saturating_sub(since));
+        self.metrics.store_call(name, outcome_label(&outcome), now.saturating_sub(sent_at));
         match &outcome {
             Err(kv::Error::Unavailable(_) | kv::Error::Unknown(_)) => {
-                self.health.record_failure(since, now)
+                self.health.record_failure(sent_at, now)
             }
-            _ => self.health.record_success(since, now),
+            _ => self.health.record_success(sent_at, now),
         }
         outcome
     }
 }
 
-fn answer<V>(outcome: &Result<V, kv::Error>) -> &'static str {
+fn outcome_label<V>(outcome: &Result<V, kv::Error>) -> &'static str {
     match outcome {
         Ok(_) => "ok",
         Err(kv::Error::Unavailable(_)) => "unavailable",
@@ -86,11 +86,11 @@
         prefix: &str,
         after: Revision,
     ) -> Result<mpsc::Receiver<Update>, kv::Error> {
-        // It lasts, so only its beginning is timed; whoever follows it tells whether it is answered.
-        let since = clock::now();
+        // A watch lasts, so only its start is timed; its receiver records whether it is answered.
+        let sent_at = clock::now();
         let outcome = self.inner.watch(prefix, after).await;
-        let took = clock::now().saturating_sub(since);
-        self.metrics.store_call("watch", answer(&outcome), took);
+        let took = clock::now().saturating_sub(sent_at);
+        self.metrics.store_call("watch", outcome_label(&outcome), took);
         outcome
     }
 }
--- a/bin/scheduler/src/keys.rs
+++ b/bin/scheduler/src/keys.rs
@@ -1,18 +1,18 @@
-//! Keys of this system in the platform's store.
+//! Keys of the scheduler in the platform's store.
 
 use cowslipchute_ports::job::JobId;
 
-/// The key whose holder owns the cell.
+/// The owner key, whose value names the owner of the cell.
 pub const OWNER: &str = "cell/owner";
-/// What owners have learnt about the cell.
+/// Estimates of the cell, stored for later owners.
 pub const ESTIMATES: &str = "cell/learnt";
-/// Jobs that have not ended, each as it was accepted.
+/// Prefix of the accepted jobs that have not ended.
 pub const JOBS: &str = "job/";
-/// Records of jobs that have begun and not ended.
+/// Prefix of the records of jobs that have started and not ended.
 pub const RECORDS: &str = "run/";
-/// How far waves of upkeep are.
+/// Prefix of the statuses of maintenance rollouts.
 pub const ROLLOUTS: &str = "wave/";
-/// How jobs ended.
+/// Prefix of the final states of jobs.
 pub const FINAL_STATES: &str = "end/";
 
 /// Returns a job's key below a prefix.
@@ -20,7 +20,7 @@
     format!("{prefix}{job:016x}")
 }
 
-/// Returns the job whose key below a prefix this is.
+/// Returns the job that a key below a prefix belongs to.
 pub fn parse_job(prefix: &str, key: &str) -> Option<JobId> {
     JobId::from_str_radix(key.strip_prefix(prefix)?, 16).ok()
 }
--- a/bin/scheduler/src/lib.rs
+++ b/bin/scheduler/src/lib.rs
@@ -1,9 +1,10 @@
-//! The scheduler process on the users' platform: it takes clients' jobs in, and whichever of the
-//! equal processes owns the cell places their tasks on the workers.
+//! The scheduler process: accepts jobs from clients, and places their tasks on the workers while it
+//! owns the cell.
 //!
-//! Decisions are made by `cowslipchute-planner` and `cowslipchute-tenure`; what is called what on
-//! the platform is known to `cowslipchute-platform` alone. This crate joins them: one thread, one
-//! task for each duty, channels between them. `docs/design/platform.md` gives the reasons.
+//! All processes accept jobs; one of them at a time owns the cell. `cowslipchute-planner` and
+//! `cowslipchute-tenure` make the decisions, and only `cowslipchute-platform` knows the platform's
+//! names and protocols. This crate connects them on one main thread, with one task per duty and
+//! channels between the tasks. `docs/design/platform.md` gives the reasons.
 
 pub mod api;
 pub mod clock;
--- a/bin/scheduler/src/listing.rs
+++ b/bin/scheduler/src/listing.rs
@@ -1,7 +1,7 @@
-//! The workers' directory as the store holds it: who is in it, and which entries can't be read.
+//! The workers' directory as the store holds it: the listed workers, and the unreadable entries.
 //!
-//! Anybody may write there. An entry that can't be read names no worker, also where it replaced one
-//! that could, and the others hold.
+//! Other processes may write there too. An unreadable entry lists no worker, even if it replaced a
+//! readable one, and doesn't affect the other entries.
 
 use std::collections::HashSet;
 
@@ -13,37 +13,37 @@
 
 use crate::watcher::Change;
 
-/// Entries that can't be read, and why; few at a time.
+/// Unreadable entries, each with its error; few at a time.
 pub type Unreadable = SmallVec<[(id::Instance, directory::Error); 2]>;
 
-/// What is known of the directory.
+/// The known content of the directory.
 #[derive(Debug, Default)]
 pub struct Listing {
-    /// Workers that an entry names.
+    /// Workers with a readable entry.
     listed: HashSet<id::Instance>,
-    /// Names whose entry can't be read, once that was told.
+    /// Names whose entry has been reported as unreadable.
     unreadable: HashSet<id::Instance>,
 }
 
 impl Listing {
-    /// Takes a change in and appends what the planner is to be told. Returns the entries that can't be
-    /// read, each once however often its writer repeats it.
+    /// Applies a change and appends the resulting planner events. Returns the entries that have
+    /// become unreadable; an entry that is rewritten and stays unreadable is returned only once.
     pub fn apply(&mut self, change: Change, events: &mut Vec<Event>) -> Unreadable {
         let mut unreadable = Unreadable::new();
         match change {
             Change::Snapshot(snapshot) => {
-                let mut gone = self.listed.clone();
+                let mut removed = self.listed.clone();
                 for entry in snapshot.entries {
-                    if let Some(name) = self.entry(&entry, events, &mut unreadable) {
-                        gone.remove(&name);
+                    if let Some(name) = self.apply_entry(&entry, events, &mut unreadable) {
+                        removed.remove(&name);
                     }
                 }
-                for name in gone {
+                for name in removed {
                     self.unlist(name, events);
                 }
             }
             Change::Put(entry) => {
-                self.entry(&entry, events, &mut unreadable);
+                self.apply_entry(&entry, events, &mut unreadable);
             }
             Change::Deleted { key, .. } => {
                 if let Some(name) = directory::name(&key) {
@@ -55,8 +55,8 @@
         unreadable
     }
 
-    /// Takes an entry in; returns the worker that it names.
-    fn entry(
+    /// Applies an entry; returns the worker that it lists.
+    fn apply_entry(
         &mut self,
         entry: &kv::Entry,
         events: &mut Vec<Event>,
--- a/bin/scheduler/src/log.rs
+++ b/bin/scheduler/src/log.rs
@@ -1,8 +1,8 @@
-//! The log: JSON lines on standard output, written together a few times a second.
+//! The log: JSON lines on standard output, written in batches a few times a second.
 //!
 //! A line costs processor time and, on the smallest instances, a wake-up; and standard output may
-//! block. So lines are gathered in memory and handed to a thread of their own. When that falls
-//! behind, or an event comes more often than its budget allows, lines are left out and counted.
+//! block. So lines are buffered in memory and written by a separate thread. Lines are dropped if
+//! that thread falls behind; lines beyond the budget of their event are dropped and counted.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,16 +18,16 @@
 
 use crate::metrics::Metrics;
 
-/// How often gathered lines are written.
-const FLUSH: Duration = Duration::from_millis(300);
-/// Bytes that may wait to be written.
-const BUFFER: usize = 512 << 10;
-/// Most bytes of one write: a pipe takes so many as a whole, so that lines of several processes
-/// don't cut each other.
-const CHUNK: usize = 4096;
-/// Lines of one event a second; the busiest deployment known starts 880 tasks a second on many
-/// processes, and a log that told of each would take more of the processor than the starts.
-const BUDGET: u32 = 300;
+/// Interval at which buffered lines are written.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(300);
+/// Size of the buffer.
+const BUFFER_BYTES: usize = 512 << 10;
+/// Largest size of one write: a pipe takes this many bytes atomically, so that lines of several
+/// processes don't interleave.
+const MAX_WRITE_BYTES: usize = 4096;
+/// Budget of an event, in lines per second. The busiest known deployment starts 880 tasks a second
+/// on many processes; logging each start would take more processor time than the starts.
+const LINES_PER_SECOND: u32 = 300;
 
 #[derive(Clone, Debug, Default)]
 struct Buffer {
@@ -36,8 +36,9 @@
 
 impl Write for Buffer {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let mut bytes = self.bytes.lock().expect("nobody panics while holding the log's buffer");
-        if bytes.len() + line.len() > BUFFER {
+        let mut bytes =
+            self.bytes.lock().expect("no thread panics while it holds the lock on the buffer");
+        if bytes.len() + line.len() > BUFFER_BYTES {
             return Err(io::ErrorKind::WouldBlock.into());
         }
         bytes.extend_from_slice(line);
@@ -65,11 +66,12 @@
     metrics: Metrics,
 }
 
-/// Opens the log, whose events are counted. Lines reach standard output within a fraction of a second.
+/// Opens the log; its events are counted in `metrics`. Lines reach standard output within a
+/// fraction of a second.
 ///
 /// # Errors
 ///
-/// When the system refuses the thread that writes.
+/// Returns an error if the system refuses the writer thread.
 pub fn open(instance: &str, level: slog::Level, metrics: Metrics) -> io::Result<Log> {
     let buffer = Buffer::default();
     let json = slog_json::Json::new(buffer.clone())
@@ -83,7 +85,7 @@
     let writer = buffer.clone();
     std::thread::Builder::new().name(String::from("log")).spawn(move || {
         loop {
-            std::thread::sleep(FLUSH);
+            std::thread::sleep(FLUSH_INTERVAL);
             write_out(&writer);
         }
     })?;
@@ -92,38 +94,40 @@
 
 fn write_out(buffer: &Buffer) {
     let bytes = {
-        let mut bytes = buffer.bytes.lock().expect("nobody panics while holding the log's buffer");
+        let mut bytes =
+            buffer.bytes.lock().expect("no thread panics while it holds the lock on the buffer");
         std::mem::take(&mut *bytes)
     };
     let mut rest = bytes.as_slice();
     while !rest.is_empty() {
-        let end = rest.len().min(CHUNK);
+        let end = rest.len().min(MAX_WRITE_BYTES);
         let whole = rest[..end].iter().rposition(|&byte| byte == b'\n').map_or(end, |at| at + 1);
         let (lines, later) = rest.split_at(whole);
-        // Nobody is left to tell when standard output is gone.
+        // A failure of standard output can't be reported anywhere else.
         let _ = io::stdout().write_all(lines);
         rest = later;
     }
 }
 
 impl Log {
-    /// Returns the metrics that count beside this log.
+    /// Returns the metrics in which the events of this log are counted.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// Writes what is gathered, before the process ends.
+    /// Writes the buffered lines, before the process exits.
     pub fn flush(&self) {
         write_out(&self.buffer);
     }
 
-    /// Logs an event unless its budget for this second is spent. `fields` is called only if it is
-    /// logged.
+    /// Counts an event, and logs it unless its budget for this second is spent. `fields` is called
+    /// only if the event is logged.
     pub fn event(&self, event: Event, fields: impl FnOnce(&Logger)) {
         self.metrics.event(event);
         let second = crate::clock::now().as_secs();
         let dropped = {
-            let mut budget = self.budget.lock().expect("nobody panics while counting lines");
+            let mut budget =
+                self.budget.lock().expect("no thread panics while it holds the lock on the budget");
             if budget.second != second {
                 budget.second = second;
                 budget.written.clear();
@@ -133,7 +137,7 @@
             }
         };
         for (event, lines) in dropped.into_iter().flatten() {
-            self.dropped(event, lines);
+            self.log_dropped(event, lines);
         }
         if self.admit(event) {
             fields(&self.logger);
@@ -141,17 +145,18 @@
     }
 
     fn admit(&self, event: Event) -> bool {
-        let mut budget = self.budget.lock().expect("nobody panics while counting lines");
+        let mut budget =
+            self.budget.lock().expect("no thread panics while it holds the lock on the budget");
         let written = budget.written.entry(event).or_insert(0);
         *written += 1;
-        if *written <= BUDGET {
+        if *written <= LINES_PER_SECOND {
             return true;
         }
         *budget.dropped.entry(event).or_insert(0) += 1;
         false
     }
 
-    fn dropped(&self, event: Event, lines: u32) {
+    fn log_dropped(&self, event: Event, lines: u32) {
         cowslipchute_daemon::log::emit(
             &self.logger,
             Event::EventsDropped,
--- a/bin/scheduler/src/main.rs
+++ b/bin/scheduler/src/main.rs
@@ -1,4 +1,4 @@
-//! The scheduler process.
+//! Entry point of the scheduler process.
 
 use std::process::ExitCode;
 
--- a/bin/scheduler/src/metrics.rs
+++ b/bin/scheduler/src/metrics.rs
@@ -1,8 +1,8 @@
-//! Counters, gauges and histograms of this process, served as text for whoever scrapes them.
+//! Counters, gauges and histograms of this process, served as text for scraping.
 //!
-//! `docs/METRICS.md` lists them; a test holds it to [`FAMILIES`]. Whatever is logged is counted under
-//! its event, also where the log's budget left the line out. What the owner knows of its cell is
-//! counted when it is asked for, so that it costs nothing in between.
+//! `docs/METRICS.md` lists them; a test compares it with [`FAMILIES`]. Every event is counted, even
+//! if the log's budget dropped its line. The owner's gauges of its cell are computed when the
+//! metrics are rendered, so that they cost nothing in between.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,27 +24,28 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-/// Upper bounds of calls that should take milliseconds, in seconds.
-const CALL_BOUNDS: &[f64] = &[0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0];
-/// Upper bounds of what jobs wait for, in seconds: a start is expected within a tenth of a second, a
-/// job within some seconds.
-const JOB_BOUNDS: &[f64] = &[0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 60.0];
-/// Jobs whose times are followed at once; more than an owner of the size expected has open.
+/// Upper bounds of the buckets, in seconds, for calls that should take milliseconds.
+const CALL_BUCKETS_SECONDS: &[f64] = &[0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0];
+/// Upper bounds of the buckets, in seconds, for the times of jobs: a start is expected within a
+/// tenth of a second, the end of a job within some seconds.
+const JOB_BUCKETS_SECONDS: &[f64] = &[0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 60.0];
+/// Largest number of jobs whose times are tracked at once; more than are open in a cell of the
+/// expected size.
 const MAX_TRACKED_JOBS: usize = 20_000;
 
-/// What a metric is.
+/// The type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Rises.
+    /// A value that only rises.
     Counter,
-    /// Is what it is now.
+    /// A current value.
     Gauge,
-    /// Counts by size.
+    /// A distribution of observed values.
     Histogram,
 }
 
 impl Kind {
-    /// Returns the usual word for it.
+    /// Returns the name of the type.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Counter => "counter",
@@ -57,13 +58,13 @@
 /// One metric with its labels.
 #[derive(Clone, Copy, Debug)]
 pub struct Family {
-    /// Its name, with the unit.
+    /// Name, including the unit.
     pub name: &'static str,
-    /// What it is.
+    /// Type.
     pub kind: Kind,
-    /// What tells its series apart.
+    /// Names of the labels.
     pub labels: &'static [&'static str],
-    /// What it says.
+    /// Help text.
     pub help: &'static str,
 }
 
@@ -82,47 +83,47 @@
 
 families! {
     EVENTS Counter "cowslipchute_events_total" ["event"]
-        "Decisions and changes of what the process believes, by event of EVENTS.md, whether or not they were logged.";
+        "Events by name, as in EVENTS.md, whether or not they were logged.";
     REQUESTS Counter "cowslipchute_requests_total" ["request", "result"]
-        "Clients' requests by what was asked and by the name of the result, as in RESULTS.md.";
+        "Clients' requests by kind and by the name of the result, as in RESULTS.md.";
     REQUEST_SECONDS Histogram "cowslipchute_request_seconds" ["request"]
-        "Time from a client's request to its answer.";
+        "Time from a client's request to its response.";
     STORE_CALLS Counter "cowslipchute_store_calls_total" ["call", "answer"]
-        "Calls to the platform's store by kind and by how they were answered.";
+        "Calls to the platform's store by kind and outcome.";
     STORE_SECONDS Histogram "cowslipchute_store_call_seconds" ["call"]
-        "Time of a call to the platform's store, unanswered ones included.";
+        "Duration of a call to the platform's store, including calls without an answer.";
     START_SECONDS Histogram "cowslipchute_job_start_seconds" []
-        "Time from when the owner learnt of a job to its first start.";
+        "Time from when the owner learned of a job to its first start.";
     JOB_SECONDS Histogram "cowslipchute_job_seconds" ["state"]
-        "Time from when the owner learnt of a job until its end was in the store, by how it ended.";
+        "Time from when the owner learned of a job until the store held its final state, by final state.";
     START_AGE Histogram "cowslipchute_start_age_seconds" []
-        "How long a start that was decided on waited for its turn to be sent, for want of processor time.";
+        "Time from the decision on a start until it was sent, which is long if processor time is short.";
     LEASE_MARGIN Histogram "cowslipchute_lease_margin_seconds" []
-        "What was left of the owner's lease when it was renewed.";
+        "Time left of the owner's lease when it was renewed.";
     LAG Histogram "cowslipchute_loop_lag_seconds" []
-        "How late the process woke up after a pause, for want of processor time.";
+        "Delay of the process in waking up from a sleep, which is long if processor time is short.";
     OWNED Gauge "cowslipchute_cell_owned" []
         "Whether this process owns the cell.";
     JOBS Gauge "cowslipchute_jobs" ["state"]
         "Jobs of the cell that have not ended, at its owner.";
     TASKS Gauge "cowslipchute_tasks" ["kind", "state"]
-        "Tasks of the cell that wait or have a place, by kind, at its owner.";
+        "Waiting and placed tasks of the cell by kind, at its owner.";
     WORKERS Gauge "cowslipchute_workers" ["contact"]
         "Workers of the cell by whether they answer, at its owner.";
     EVACUATED Gauge "cowslipchute_evacuated_runs" ["domain"]
-        "Runs that are still in a failure domain which the operator has evacuated, at the owner.";
+        "Runs left in each evacuated failure domain, at the cell's owner.";
     RATINGS Gauge "cowslipchute_worker_ratings" []
-        "How often a worker was rated for a step that waits, since this process owns the cell; the most of an owner's work.";
+        "How often a worker was scored for a waiting step since this process became the owner of the cell; most of an owner's work.";
     CONFIG_VERSION Gauge "cowslipchute_config_version" []
         "Version of the operator's configuration in force.";
     CONFIG_AGE Gauge "cowslipchute_config_age_seconds" []
-        "Time since that version came into force here.";
+        "Time since that version came into force on this instance.";
 }
 
-/// When a job was learnt of, and whether one of its tasks has started.
+/// Times of a tracked job.
 #[derive(Clone, Copy, Debug)]
 struct Tracked {
-    since: Time,
+    learned_at: Time,
     started: bool,
 }
 
@@ -148,8 +149,8 @@
     ratings: IntGauge,
     config_version: IntGauge,
     config_age: IntGauge,
-    config_since: Arc<Mutex<Option<Time>>>,
-    followed: Arc<Mutex<HashMap<JobId, Tracked>>>,
+    config_applied_at: Arc<Mutex<Option<Time>>>,
+    tracked: Arc<Mutex<HashMap<JobId, Tracked>>>,
 }
 
 fn counters(registry: &Registry, family: Family) -> prometheus::Result<IntCounterVec> {
@@ -193,20 +194,20 @@
     ///
     /// # Errors
     ///
-    /// When two of them have one name, which a test rules out.
+    /// Returns an error if two metrics have the same name, which a test rules out.
     pub fn open() -> prometheus::Result<Metrics> {
         let registry = Registry::new();
         Ok(Metrics {
             events: counters(&registry, EVENTS)?,
             requests: counters(&registry, REQUESTS)?,
-            request_seconds: histograms(&registry, REQUEST_SECONDS, CALL_BOUNDS)?,
+            request_seconds: histograms(&registry, REQUEST_SECONDS, CALL_BUCKETS_SECONDS)?,
             store_calls: counters(&registry, STORE_CALLS)?,
-            store_seconds: histograms(&registry, STORE_SECONDS, CALL_BOUNDS)?,
-            start_seconds: histogram(&registry, START_SECONDS, JOB_BOUNDS)?,
-            job_seconds: histograms(&registry, JOB_SECONDS, JOB_BOUNDS)?,
-            start_age: histogram(&registry, START_AGE, CALL_BOUNDS)?,
-            lease_margin: histogram(&registry, LEASE_MARGIN, CALL_BOUNDS)?,
-            lag: histogram(&registry, LAG, CALL_BOUNDS)?,
+            store_seconds: histograms(&registry, STORE_SECONDS, CALL_BUCKETS_SECONDS)?,
+            start_seconds: histogram(&registry, START_SECONDS, JOB_BUCKETS_SECONDS)?,
+            job_seconds: histograms(&registry, JOB_SECONDS, JOB_BUCKETS_SECONDS)?,
+            start_age: histogram(&registry, START_AGE, CALL_BUCKETS_SECONDS)?,
+            lease_margin: histogram(&registry, LEASE_MARGIN, CALL_BUCKETS_SECONDS)?,
+            lag: histogram(&registry, LAG, CALL_BUCKETS_SECONDS)?,
             owned: gauge(&registry, OWNED)?,
             jobs: gauges(&registry, JOBS)?,
             tasks: gauges(&registry, TASKS)?,
@@ -215,8 +216,8 @@
             ratings: gauge(&registry, RATINGS)?,
             config_version: gauge(&registry, CONFIG_VERSION)?,
             config_age: gauge(&registry, CONFIG_AGE)?,
-            config_since: Arc::default(),
-            followed: Arc::default(),
+            config_applied_at: Arc::default(),
+            tracked: Arc::default(),
             registry,
         })
     }
@@ -238,44 +239,44 @@
         self.store_seconds.with_label_values(&[call]).observe(took.as_secs_f64());
     }
 
-    /// Notes what was left of the owner's lease when it was renewed.
+    /// Records the time left of the owner's lease when it was renewed.
     pub fn lease_renewed(&self, left: Duration) {
         self.lease_margin.observe(left.as_secs_f64());
     }
 
-    /// Notes how long a start waited for its turn to be sent.
+    /// Records the time from the decision on a start until it was sent.
     pub fn start_sent(&self, age: Duration) {
         self.start_age.observe(age.as_secs_f64());
     }
 
-    /// Notes how late the process woke up.
+    /// Records how late the process woke up.
     pub fn loop_lag(&self, late: Duration) {
         self.lag.observe(late.as_secs_f64());
     }
 
-    /// Notes a configuration that came into force.
+    /// Records that a configuration came into force.
     pub fn config_applied(&self, now: Time, version: u64) {
         self.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
-        *lock(&self.config_since) = Some(now);
+        *lock(&self.config_applied_at) = Some(now);
     }
 
-    /// Follows jobs through the owner's decisions.
-    pub fn note(&self, now: Time, note: &Note) {
+    /// Tracks the times of jobs from the owner's decisions.
+    pub fn track(&self, now: Time, note: &Note) {
         let Some(job) = note.job else { return };
-        let mut followed = lock(&self.followed);
+        let mut tracked = lock(&self.tracked);
         match note.event {
-            Event::JobKnown if followed.len() < MAX_TRACKED_JOBS => {
-                followed.insert(job, Tracked { since: now, started: false });
+            Event::JobKnown if tracked.len() < MAX_TRACKED_JOBS => {
+                tracked.insert(job, Tracked { learned_at: now, started: false });
             }
             Event::RunStarted => {
-                if let Some(known) = followed.get_mut(&job).filter(|known| !known.started) {
-                    known.started = true;
-                    self.start_seconds.observe(now.saturating_sub(known.since).as_secs_f64());
+                if let Some(times) = tracked.get_mut(&job).filter(|times| !times.started) {
+                    times.started = true;
+                    self.start_seconds.observe(now.saturating_sub(times.learned_at).as_secs_f64());
                 }
             }
             Event::JobEnded => {
-                if let Some(known) = followed.remove(&job) {
-                    let took = now.saturating_sub(known.since).as_secs_f64();
+                if let Some(times) = tracked.remove(&job) {
+                    let took = now.saturating_sub(times.learned_at).as_secs_f64();
                     self.job_seconds.with_label_values(&[&*note.detail]).observe(took);
                 }
             }
@@ -283,16 +284,16 @@
         }
     }
 
-    /// Forgets the jobs that were followed, which another owner goes on with.
+    /// Drops the tracked jobs, which another owner continues.
     pub fn ownership_lost(&self) {
-        lock(&self.followed).clear();
+        lock(&self.tracked).clear();
     }
 
-    /// Renders everything, with what the owner knows of its cell if this process owns it.
+    /// Renders all metrics, with the counts of the cell if this process owns it.
     ///
     /// # Errors
     ///
-    /// When the text can't be made.
+    /// Returns an error if the text can't be encoded.
     pub fn render(&self, now: Time, census: Option<Census>) -> prometheus::Result<String> {
         self.owned.set(census.is_some().into());
         self.jobs.reset();
@@ -313,7 +314,7 @@
         }
         let ratings = census.map_or(0, |census| census.scores());
         self.ratings.set(i64::try_from(ratings).unwrap_or(i64::MAX));
-        if let Some(since) = *lock(&self.config_since) {
+        if let Some(since) = *lock(&self.config_applied_at) {
             let age = now.saturating_sub(since).as_secs();
             self.config_age.set(i64::try_from(age).unwrap_or(i64::MAX));
         }
@@ -322,5 +323,5 @@
 }
 
 fn lock<T>(value: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    value.lock().expect("nobody panics while holding what the metrics follow")
+    value.lock().expect("no thread panics while it holds a lock of the metrics")
 }
--- a/bin/scheduler/src/owner.rs
+++ b/bin/scheduler/src/owner.rs
@@ -1,4 +1,4 @@
-//! What the owner of the cell does: it feeds the planner and carries its actions out.
+//! Runs the cell while this process owns it: passes events to the planner and executes its actions.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -7,7 +7,7 @@
 use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id::Revision;
 use cowslipchute_planner::action::Action;
-use cowslipchute_planner::action::Change as Record;
+use cowslipchute_planner::action::Change as RecordChange;
 use cowslipchute_planner::action::Note;
 use cowslipchute_planner::event::BatchNumber;
 use cowslipchute_planner::event::Event;
@@ -37,23 +37,23 @@
 use crate::writer::Fenced;
 use crate::writer::Writer;
 
-/// Pause before the records are read again when the store did not give them.
-const LOAD_PAUSE: Duration = Duration::from_millis(100);
-/// Pause between two writes of what was learnt: short against the time that learning takes.
-const LEARNT_PAUSE: Duration = Duration::from_secs(2);
+/// Delay before a failed read of the cell's state is retried.
+const RECOVERY_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Interval between writes of the estimates; short compared to the time that learning them takes.
+const ESTIMATES_INTERVAL: Duration = Duration::from_secs(2);
 /// Longest sleep of the planner when nothing is due.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
 
-/// The planner, shared with those who only ask it.
+/// The planner, shared with tasks that only query it.
 pub type SharedPlanner = Arc<Mutex<Planner>>;
 
-/// What an ownership needs.
+/// Dependencies of an ownership.
 pub struct Context<S, F, A, M> {
     /// The store.
     pub store: S,
-    /// The store, for watching the workers' directory: each of them writes there every second or
-    /// two, so its changes are gathered for longer. It shares no connections with the other, since it is
-    /// called on another thread.
+    /// Client of the store for watching the workers' directory. Each worker writes there every
+    /// second or two, so changes are batched for longer. It shares no connections with `store`,
+    /// since it is used on another thread.
     pub directory: S,
     /// The workers.
     pub fleet: F,
@@ -63,11 +63,11 @@
     pub machines: M,
     /// The configuration in force.
     pub config: Current,
-    /// How long ends of jobs are kept.
+    /// How long the final states of jobs are kept.
     pub final_state_retention: Duration,
     /// The planner.
     pub planner: SharedPlanner,
-    /// Words to the seat.
+    /// Sends notices to the election.
     pub notices: mpsc::UnboundedSender<Notice>,
     /// The log.
     pub log: Log,
@@ -94,115 +94,116 @@
 ///
 /// # Panics
 ///
-/// Panics if the planner has: what it believes can't be trusted any more.
+/// Panics if the planner has panicked before, since its state can't be trusted any more.
 pub fn lock(planner: &SharedPlanner) -> std::sync::MutexGuard<'_, Planner> {
-    planner.lock().expect("the planner has not failed")
+    planner.lock().expect("the planner has not panicked")
 }
 
 /// Runs the cell until the ownership is lost or `inbox` is closed.
 pub async fn run<S: Store, F: Fleet, A: Advisor, M: Machines>(
-    parts: Context<S, F, A, M>,
+    context: Context<S, F, A, M>,
     epoch: Revision,
     inbox: (mpsc::UnboundedSender<Event>, mpsc::UnboundedReceiver<Event>),
 ) {
-    let loaded = loop {
-        match recovery::read_cell(&parts.store).await {
-            Ok(loaded) => break loaded,
+    let cell = loop {
+        match recovery::read_cell(&context.store).await {
+            Ok(cell) => break cell,
             Err(error) => {
-                event!(parts.log, LogEvent::StoreLost, "reason" => error.to_string());
-                tokio::time::sleep(LOAD_PAUSE).await;
+                event!(context.log, LogEvent::StoreLost, "reason" => error.to_string());
+                tokio::time::sleep(RECOVERY_RETRY_DELAY).await;
             }
         }
     };
-    event!(parts.log, LogEvent::CellLoaded, "epoch" => epoch, "jobs" => loaded.jobs.len(),
-        "records" => loaded.records.len(), "revision" => loaded.revision);
-    let journal = Writer::open(parts.store.clone(), epoch, loaded.revisions, parts.log.clone());
-    let learnt = recovery::read_estimates(&parts.store, &parts.log).await;
-    let evacuations = Evacuations::read(&parts.store, &parts.log).await;
-    let mut known = vec![evacuations.event()];
+    event!(context.log, LogEvent::CellLoaded, "epoch" => epoch, "jobs" => cell.jobs.len(),
+        "records" => cell.records.len(), "revision" => cell.revision);
+    let writer = Writer::open(context.store.clone(), epoch, cell.revisions, context.log.clone());
+    let learnt = recovery::read_estimates(&context.store, &context.log).await;
+    let evacuations = Evacuations::read(&context.store, &context.log).await;
+    let mut initial_events = vec![evacuations.event()];
     let (sender, receiver) = inbox;
     let (writes, write_receiver) = mpsc::unbounded_channel();
     let mut tasks = JoinSet::new();
-    tasks.spawn(keep_learnt(journal.clone(), parts.planner.clone(), parts.notices.clone()));
-    let (store, log) = (parts.store.clone(), parts.log.clone());
-    tasks.spawn(retention::run(store.clone(), epoch, parts.final_state_retention, log.clone()));
+    tasks.spawn(store_estimates(writer.clone(), context.planner.clone(), context.notices.clone()));
+    let (store, log) = (context.store.clone(), context.log.clone());
+    tasks.spawn(retention::run(store.clone(), epoch, context.final_state_retention, log.clone()));
     tasks.spawn(evacuations.follow(store.clone(), sender.clone()));
-    let (reports, report_receiver) = mpsc::unbounded_channel();
+    let (rollout_updates, update_receiver) = mpsc::unbounded_channel();
     tasks.spawn(rollouts::follow(store.clone(), sender.clone(), log.clone()));
-    tasks.spawn(rollouts::write_statuses(store, epoch, report_receiver, log.clone()));
-    let machines = parts.machines.clone();
-    tasks.spawn(rollouts::list_machines(machines, parts.planner.clone(), sender.clone(), log));
-    tasks.spawn(write(journal, write_receiver, sender.clone(), parts.notices.clone()));
+    tasks.spawn(rollouts::write_statuses(store, epoch, update_receiver, log.clone()));
+    let machines = context.machines.clone();
+    tasks.spawn(rollouts::list_machines(machines, context.planner.clone(), sender.clone(), log));
+    tasks.spawn(write_batches(writer, write_receiver, sender.clone(), context.notices.clone()));
     let jobs = watcher::spawn(
-        parts.store.clone(),
+        context.store.clone(),
         keys::JOBS,
-        Some(loaded.revision),
+        Some(cell.revision),
         None,
-        parts.log.clone(),
+        context.log.clone(),
     );
-    follow_directory(&parts, &sender, &mut tasks);
-    let owner = Owner { parts, epoch, events: sender, writes, reports, tasks };
-    known.push(Event::OwnershipAcquired {
+    follow_directory(&context, &sender, &mut tasks);
+    let owner = Owner { context, epoch, events: sender, writes, rollout_updates, tasks };
+    initial_events.push(Event::OwnershipAcquired {
         epoch,
-        jobs: loaded.jobs,
-        records: loaded.records,
+        jobs: cell.jobs,
+        records: cell.records,
         learnt,
     });
-    owner.serve(known, receiver, jobs).await;
+    owner.serve(initial_events, receiver, jobs).await;
 }
 
-/// Follows the workers' directory, on the owner's own thread where the system refuses another.
+/// Follows the workers' directory on a separate thread, or on this one if the system refuses a
+/// thread.
 fn follow_directory<S: Store, F, A, M>(
-    parts: &Context<S, F, A, M>,
+    context: &Context<S, F, A, M>,
     events: &mpsc::UnboundedSender<Event>,
     tasks: &mut JoinSet<()>,
 ) {
-    let (store, log) = (parts.directory.clone(), parts.log.clone());
+    let (store, log) = (context.directory.clone(), context.log.clone());
     if let Err(error) = directory::spawn(store.clone(), events.clone(), log.clone()) {
         event!(log, LogEvent::ThreadRefused, "reason" => error.to_string());
         tasks.spawn(directory::follow(store, events.clone(), log));
     }
 }
 
-/// Hands on what is learnt, every few seconds.
-async fn keep_learnt<S: Store>(
-    journal: Writer<S>,
+/// Stores the estimates for the next owner every few seconds, if they have changed.
+async fn store_estimates<S: Store>(
+    writer: Writer<S>,
     planner: SharedPlanner,
-    words: mpsc::UnboundedSender<Notice>,
+    notices: mpsc::UnboundedSender<Notice>,
 ) {
-    let mut kept = None;
+    let mut stored = None;
     loop {
-        tokio::time::sleep(LEARNT_PAUSE).await;
-        let learnt = lock(&planner).learnt();
-        if kept.as_ref() == Some(&learnt) {
+        tokio::time::sleep(ESTIMATES_INTERVAL).await;
+        let estimates = lock(&planner).learnt();
+        if stored.as_ref() == Some(&estimates) {
             continue;
         }
-        if journal.write_estimates(&learnt).await.is_err() {
-            // The seat is gone only when the process is ending.
-            let _ = words.send(Notice::WriteFenced);
+        if writer.write_estimates(&estimates).await.is_err() {
+            // The receiver is dropped only when the process exits.
+            let _ = notices.send(Notice::WriteFenced);
             return;
         }
-        kept = Some(learnt);
+        stored = Some(estimates);
     }
 }
 
-/// Writes batches as they come; those that overlap are of different jobs.
-async fn write<S: Store>(
-    journal: Writer<S>,
-    mut batches: mpsc::UnboundedReceiver<(BatchNumber, Vec<Record>)>,
+/// Writes batches concurrently as they arrive; overlapping batches are about different jobs.
+async fn write_batches<S: Store>(
+    writer: Writer<S>,
+    mut batches: mpsc::UnboundedReceiver<(BatchNumber, Vec<RecordChange>)>,
     events: mpsc::UnboundedSender<Event>,
-    words: mpsc::UnboundedSender<Notice>,
+    notices: mpsc::UnboundedSender<Notice>,
 ) {
     let mut writes = JoinSet::new();
     while let Some((batch, changes)) = batches.recv().await {
-        let journal = journal.clone();
+        let writer = writer.clone();
         let events = events.clone();
-        let words = words.clone();
+        let notices = notices.clone();
         writes.spawn(async move {
-            // The receivers are gone only when the ownership or the process is ending.
-            match journal.write(&changes).await {
+            // The receivers are dropped only when the ownership or the process ends.
+            match writer.write(&changes).await {
                 Ok(()) => drop(events.send(Event::Written { batch })),
-                Err(Fenced) => drop(words.send(Notice::WriteFenced)),
+                Err(Fenced) => drop(notices.send(Notice::WriteFenced)),
             }
         });
         while writes.try_join_next().is_some() {}
@@ -210,28 +211,28 @@
 }
 
 struct Owner<S, F, A, M> {
-    parts: Context<S, F, A, M>,
+    context: Context<S, F, A, M>,
     epoch: Revision,
     events: mpsc::UnboundedSender<Event>,
-    writes: mpsc::UnboundedSender<(BatchNumber, Vec<Record>)>,
-    reports: mpsc::UnboundedSender<rollouts::Update>,
-    /// Orders on their way; they end with this ownership.
+    writes: mpsc::UnboundedSender<(BatchNumber, Vec<RecordChange>)>,
+    rollout_updates: mpsc::UnboundedSender<rollouts::Update>,
+    /// Commands in flight and background tasks; aborted when the ownership ends.
     tasks: JoinSet<()>,
 }
 
 impl<S: Store, F: Fleet, A: Advisor, M: Machines> Owner<S, F, A, M> {
     async fn serve(
         mut self,
-        known: Vec<Event>,
+        initial_events: Vec<Event>,
         mut inbox: mpsc::UnboundedReceiver<Event>,
         mut jobs: mpsc::Receiver<Change>,
     ) {
-        let mut config = self.parts.config.clone();
+        let mut config = self.context.config.clone();
         let mut events = Vec::new();
         if let Some(config) = config.borrow_and_update().clone() {
             events.push(Event::Config { config });
         }
-        events.extend(known);
+        events.extend(initial_events);
         loop {
             let pause = self.step(&mut events);
             tokio::select! {
@@ -258,12 +259,12 @@
         }
     }
 
-    /// Lets the planner take events in and carries out what it decides; returns how long nothing
-    /// else is due.
+    /// Passes events to the planner and executes its actions; returns the time until more work is
+    /// due.
     fn step(&mut self, events: &mut Vec<Event>) -> Duration {
         let mut actions = Vec::new();
         let pause = {
-            let mut planner = lock(&self.parts.planner);
+            let mut planner = lock(&self.context.planner);
             let now = clock::now();
             planner.step(now, Event::WallClock { wall: clock::wall() }, &mut actions);
             for event in events.drain(..) {
@@ -273,7 +274,7 @@
             planner.next_due().map_or(MAX_SLEEP, |due| due.saturating_sub(now)).min(MAX_SLEEP)
         };
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
         pause
     }
@@ -282,7 +283,7 @@
         let entries = match change {
             Change::Snapshot(snapshot) => snapshot.entries,
             Change::Put(entry) => vec![entry],
-            // Ours alone remove jobs, when they have ended.
+            // Only scheduler processes remove jobs, once they have ended.
             Change::Deleted { .. } => return,
         };
         for entry in entries {
@@ -290,25 +291,25 @@
                 Ok(Some((job, accepted))) => events.push(Event::Job { job, accepted }),
                 Ok(None) => {}
                 Err(error) => {
-                    event!(self.parts.log, LogEvent::ConfigInvalid, "reason" => error.to_string());
+                    event!(self.context.log, LogEvent::ConfigInvalid, "reason" => error.to_string());
                 }
             }
         }
     }
 
-    fn act(&mut self, action: Action) {
-        let fleet = self.parts.fleet.clone();
+    fn execute(&mut self, action: Action) {
+        let fleet = self.context.fleet.clone();
         let events = self.events.clone();
-        // An answer that finds the channel closed belongs to an ownership that has ended.
+        // If the channel is closed, the result belongs to an ownership that has ended.
         match action {
             Action::Start { target, start } => {
-                let planner = self.parts.planner.clone();
-                let metrics = self.parts.log.metrics().clone();
-                let decided = clock::now();
+                let planner = self.context.planner.clone();
+                let metrics = self.context.log.metrics().clone();
+                let decided_at = clock::now();
                 self.tasks.spawn(async move {
                     let run = start.run;
                     let wanted = lock(&planner).is_start_wanted(&target, run);
-                    metrics.start_sent(clock::now().saturating_sub(decided));
+                    metrics.start_sent(clock::now().saturating_sub(decided_at));
                     let outcome = match wanted {
                         true => fleet.start(&target, start).await,
                         false => Err(Failure::Unsent),
@@ -335,14 +336,14 @@
                 });
             }
             Action::Advise { step, workers, timeout } => {
-                let advisor = self.parts.advisor.clone();
+                let advisor = self.context.advisor.clone();
                 self.tasks.spawn(async move {
                     let outcome = advisor.advise(step, workers, timeout).await;
                     let _ = events.send(Event::AdviceResult { step, outcome });
                 });
             }
             Action::StartMaintenance { rollout, machine } => {
-                let machines = self.parts.machines.clone();
+                let machines = self.context.machines.clone();
                 let epoch = self.epoch;
                 self.tasks.spawn(async move {
                     let outcome = machines.upkeep(&machine, rollout, epoch).await;
@@ -350,16 +351,16 @@
                 });
             }
             Action::SaveRollout { rollout, progress, started } => {
-                // The writer ends only with this ownership.
-                let _ = self.reports.send((rollout, Status { progress, started }));
+                // The receiver is dropped only when this ownership ends.
+                let _ = self.rollout_updates.send((rollout, Status { progress, started }));
             }
             Action::Write { batch, changes } => {
-                // The writer is gone only after it has said that the ownership is lost.
+                // The receiver is dropped only when this ownership ends or is lost.
                 let _ = self.writes.send((batch, changes));
             }
             Action::Note(note) => {
-                self.parts.log.metrics().note(clock::now(), &note);
-                log_note(&self.parts.log, note);
+                self.context.log.metrics().track(clock::now(), &note);
+                log_note(&self.context.log, note);
             }
         }
     }
--- a/bin/scheduler/src/precedence.rs
+++ b/bin/scheduler/src/precedence.rs
@@ -1,49 +1,52 @@
-//! Who claims a vacant cell first: the larger instances, since the owner has the most to do.
+//! Delay of a claim by the size of the instance: larger instances claim a vacant cell first, since
+//! the owner has the most work.
 //!
-//! Pattern answered: instances of very different size, of which a small one serves hundreds of workers
-//! with seconds of delay, and equal ones, which lose time if they wait for larger ones that don't
-//! exist. After an outage of the store each instance sees the vacancy at another time, within half a
-//! second; so a small one has to wait for longer than that, and an equal one not at all. Every owner
-//! says how large it is, and the largest that was seen is what others compare with. Before any is
-//! known, as at the first start, an instance waits by its own size alone.
+//! A small owner serves hundreds of workers with seconds of delay, but instances of equal size must
+//! not lose time waiting for larger ones that don't exist. After an outage of the store, instances
+//! see the vacancy within half a second of each other, so a small one waits for longer than that.
+//! Each owner publishes its size, and others compare theirs with the largest seen; until one is
+//! known, as at the first start, the delay depends on the own size alone.
 
 use std::time::Duration;
 
-/// What a full core waits before any owner was seen; a smaller part waits proportionally longer.
-const FIRST_DELAY: Duration = Duration::from_millis(25);
-/// What an instance waits for each time that the largest owner seen is larger than it, beyond once.
-/// The smallest instances known are a seventh of the largest, and come half a second later.
-const SMALLER_DELAY: Duration = Duration::from_millis(80);
-/// The longest wait: the cell has no owner meanwhile if the larger ones are gone.
-const MOST_DELAY: Duration = Duration::from_millis(600);
-/// The least part of a core that is counted.
-const LEAST_SHARE: f64 = 0.01;
+/// Delay of an instance with a full core until an owner is known; a smaller CPU share waits
+/// proportionally longer.
+const INITIAL_DELAY: Duration = Duration::from_millis(25);
+/// Delay for each multiple by which the largest owner seen exceeds this instance, beyond the first.
+/// The smallest known instances have a seventh of the largest's share, and wait half a second.
+const DELAY_PER_MULTIPLE: Duration = Duration::from_millis(80);
+/// Longest delay; the cell has no owner meanwhile if the larger instances are gone.
+const MAX_DELAY: Duration = Duration::from_millis(600);
+/// Smallest CPU share that the delay accounts for.
+const MIN_SHARE: f64 = 0.01;
 
-/// What is known of the sizes of instances.
+/// Sizes of this instance and of the largest owner seen.
 #[derive(Clone, Copy, Debug)]
 pub struct Precedence {
-    own: f64,
-    largest: Option<f64>,
+    own_share: f64,
+    largest_share: Option<f64>,
 }
 
 impl Precedence {
-    /// Opens with this instance's part of a core.
-    pub fn open(own: f64) -> Precedence {
-        Precedence { own: own.clamp(LEAST_SHARE, 1.0), largest: None }
+    /// Opens with the CPU share of this instance, as a fraction of a core.
+    pub fn open(own_share: f64) -> Precedence {
+        Precedence { own_share: own_share.clamp(MIN_SHARE, 1.0), largest_share: None }
     }
 
-    /// An owner was seen that has this part of a core.
+    /// Records the CPU share of an owner.
     pub fn observe_owner(&mut self, share: f64) {
-        let largest = self.largest.unwrap_or(0.0).max(share);
-        self.largest = Some(largest);
+        let largest_share = self.largest_share.unwrap_or(0.0).max(share);
+        self.largest_share = Some(largest_share);
     }
 
-    /// Returns how long to wait before a claim.
+    /// Returns the delay before a claim.
     pub fn delay(self) -> Duration {
-        let delay = match self.largest {
-            None => FIRST_DELAY.div_f64(self.own),
-            Some(largest) => SMALLER_DELAY.mul_f64((largest / self.own - 1.0).max(0.0)),
+        let delay = match self.largest_share {
+            None => INITIAL_DELAY.div_f64(self.own_share),
+            Some(largest_share) => {
+                DELAY_PER_MULTIPLE.mul_f64((largest_share / self.own_share - 1.0).max(0.0))
+            }
         };
-        delay.min(MOST_DELAY)
+        delay.min(MAX_DELAY)
     }
 }
--- a/bin/scheduler/src/process.rs
+++ b/bin/scheduler/src/process.rs
@@ -1,4 +1,4 @@
-//! The whole process: its duties on one thread, and how it stops.
+//! Starts the tasks of the process on one thread, and stops them on SIGTERM.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,9 +7,9 @@
 
 use anyhow::Context as _;
 use cowslipchute_base::event::Event;
-use cowslipchute_planner::event::Event as Fact;
+use cowslipchute_planner::event::Event as PlannerEvent;
 use cowslipchute_planner::planner::Planner;
-use cowslipchute_planner::settings::Settings as Figures;
+use cowslipchute_planner::settings::Settings as PlannerSettings;
 use cowslipchute_platform::advisor::Advice;
 use cowslipchute_platform::client::Client;
 use cowslipchute_platform::executor::Executors;
@@ -39,27 +39,27 @@
 use crate::rpc;
 use crate::submission;
 
-/// Part of the time for a planned stop in which clients are still served as ever: the platform
-/// needs two looks, a second apart, to send new connections elsewhere.
-const SERVE_PART: f64 = 0.6;
-/// Part of that time after which the process ends, whatever is left.
-const END_PART: f64 = 0.85;
+/// Fraction of the grace period during which clients are still served: the platform needs two
+/// readiness checks, a second apart, before it routes new connections elsewhere.
+const SERVE_FRACTION: f64 = 0.6;
+/// Fraction of the grace period after which the process exits, even with work in progress.
+const EXIT_FRACTION: f64 = 0.85;
 
-/// How much longer than clients may ask for it a job's end is kept.
-const KEEP_SLACK: Duration = Duration::from_secs(10);
-/// Where metrics are served.
+/// Margin by which a job's final state is kept beyond the time that clients may query it.
+const RETENTION_MARGIN: Duration = Duration::from_secs(10);
+/// Path of the metrics page.
 const METRICS_PATH: &str = "/metrics";
-/// How long changes of the workers' directory are gathered: a leaving worker has to get nothing new
-/// after two seconds, and each look is a call that the platform counts.
-const DIRECTORY_GAP: Duration = Duration::from_millis(350);
-/// Connections for watching it.
+/// Interval at which changes of the workers' directory are batched. A draining worker must get no
+/// new tasks after two seconds, and the platform counts each call.
+const DIRECTORY_INTERVAL: Duration = Duration::from_millis(350);
+/// Connections of the client that watches the directory.
 const DIRECTORY_CONNECTIONS: usize = 1;
 
-/// Serves until a stop is asked for.
+/// Runs the process until SIGTERM.
 ///
 /// # Errors
 ///
-/// When an address of the settings can't be bound.
+/// Returns an error if an address of the settings can't be bound.
 pub async fn run(settings: Settings, metrics_port: Option<u16>, log: Log) -> anyhow::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
@@ -67,56 +67,56 @@
     let keys = Keys::open(client.clone(), settings.platform.address);
     let health = Health::default();
     let store = Instrumented::open(keys, log.metrics().clone(), health.clone());
-    let in_force = config::spawn(store.clone(), health.clone(), log.clone());
-    let planner = Arc::new(Mutex::new(Planner::open(figures(&settings))));
-    let own = SocketAddr::new(settings.ip, settings.internal_ports.0);
-    let link = rpc::bind(own, planner.clone(), health.clone())
+    let current_config = config::spawn(store.clone(), health.clone(), log.clone());
+    let planner = Arc::new(Mutex::new(Planner::open(planner_settings(&settings))));
+    let rpc_address = SocketAddr::new(settings.ip, settings.internal_ports.0);
+    let endpoint = rpc::bind(rpc_address, planner.clone(), health.clone())
         .await
-        .with_context(|| format!("can't bind {own}"))?;
+        .with_context(|| format!("can't bind {rpc_address}"))?;
     let holder = Holder {
         instance: settings.node_name.clone(),
-        address: own,
+        address: rpc_address,
         incarnation: rand::random(),
         cpu_share: settings.limits.cpu_share,
     };
-    let seat = election::spawn(store.clone(), holder, health.clone(), log.clone());
-    let intake = submission::spawn(store.clone(), log.clone());
-    let desk = Api::open(
+    let election = election::spawn(store.clone(), holder, health.clone(), log.clone());
+    let submissions = submission::spawn(store.clone(), log.clone());
+    let api = Api::open(
         store.clone(),
-        in_force.clone(),
-        intake,
-        link,
+        current_config.clone(),
+        submissions,
+        endpoint,
         health.clone(),
-        seat.holder,
+        election.holder,
         log.clone(),
     );
     let (stop, stopping) = watch::channel(false);
-    let (wanted, want) = watch::channel(true);
+    let (accepting_sender, accepting) = watch::channel(true);
     let clients = settings.listen.clients;
-    front::serve(clients, desk.clone(), stopping.clone())
+    front::serve(clients, api.clone(), stopping.clone())
         .await
         .with_context(|| format!("can't bind {clients}"))?;
     let readiness = settings.listen.readiness;
-    let wanted_now = move || {
-        let (want, desk) = (want.clone(), desk.clone());
-        async move { *want.borrow() && desk.is_ready().await }
+    let is_ready = move || {
+        let (accepting, api) = (accepting.clone(), api.clone());
+        async move { *accepting.borrow() && api.is_ready().await }
     };
-    front::serve_readiness(readiness, wanted_now, stopping.clone())
+    front::serve_readiness(readiness, is_ready, stopping.clone())
         .await
         .with_context(|| format!("can't bind {readiness}"))?;
     if let Some(port) = metrics_port {
         let address = SocketAddr::new(settings.ip, port);
-        let text = text(planner.clone(), log.clone());
+        let text = render_metrics(planner.clone(), log.clone());
         front::serve_text(address, METRICS_PATH, text, stopping)
             .await
             .with_context(|| format!("can't bind {address}"))?;
     }
-    event!(log, Event::Started, "clients" => clients.to_string(), "peers" => own.to_string());
+    event!(log, Event::Started, "clients" => clients.to_string(), "peers" => rpc_address.to_string());
     let cloud = settings.cloud.as_ref().and_then(|cloud| cloud.address);
-    let parts = Context {
+    let context = Context {
         directory: Instrumented::open(
             Keys::open(Client::open(DIRECTORY_CONNECTIONS), settings.platform.address)
-                .with_watch_gap(DIRECTORY_GAP),
+                .with_watch_gap(DIRECTORY_INTERVAL),
             log.metrics().clone(),
             health.clone(),
         ),
@@ -124,36 +124,40 @@
         fleet: Executors::open(client.clone()),
         advisor: Advice::open(client.clone(), settings.advisor),
         machines: Cloud::open(client, cloud, settings.node_name.clone()),
-        config: in_force,
-        final_state_retention: kept(&settings),
+        config: current_config,
+        final_state_retention: final_state_retention(&settings),
         planner,
-        notices: seat.notices.clone(),
+        notices: election.notices.clone(),
         log: log.clone(),
     };
-    let tenure = tokio::spawn(hold_seat(parts, seat.transitions));
+    let ownerships = tokio::spawn(run_ownerships(context, election.transitions));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            // Everything that may change in the settings is read from the store; the rest is told
-            // at the start.
+            // What may change at run time is read from the store; the settings are read once, at
+            // the start.
             _ = reload.recv() => event!(log, Event::ReloadAsked),
         }
     }
     event!(log, Event::Stopping);
-    wanted.send_replace(false);
-    // The seat is gone only when the process is ending.
-    let _ = seat.notices.send(Notice::Drain);
+    accepting_sender.send_replace(false);
+    // The receiver is dropped only when the process exits.
+    let _ = election.notices.send(Notice::Drain);
     let grace = settings.bounds.grace;
-    tokio::time::sleep(grace.mul_f64(SERVE_PART)).await;
+    tokio::time::sleep(grace.mul_f64(SERVE_FRACTION)).await;
     stop.send_replace(true);
-    tokio::time::sleep(grace.mul_f64(END_PART - SERVE_PART)).await;
-    tenure.abort();
+    tokio::time::sleep(grace.mul_f64(EXIT_FRACTION - SERVE_FRACTION)).await;
+    ownerships.abort();
     event!(log, Event::Stopped);
     Ok(())
 }
 
-/// Renders the metrics; with what is known of the cell where this process owns it.
-fn text(planner: owner::SharedPlanner, log: Log) -> impl Fn() -> Option<String> + Clone + Send {
+/// Returns a function that renders the metrics, with the counts of the cell while this process owns
+/// it.
+fn render_metrics(
+    planner: owner::SharedPlanner,
+    log: Log,
+) -> impl Fn() -> Option<String> + Clone + Send {
     move || {
         let now = clock::now();
         let census = {
@@ -170,17 +174,17 @@
     }
 }
 
-/// Returns how long a job's end is kept: as long as clients may ask for it, and a little longer.
-fn kept(settings: &Settings) -> Duration {
-    settings.bounds.status + KEEP_SLACK
+/// Returns how long a job's final state is kept.
+fn final_state_retention(settings: &Settings) -> Duration {
+    settings.bounds.status + RETENTION_MARGIN
 }
 
-fn figures(settings: &Settings) -> Figures {
+fn planner_settings(settings: &Settings) -> PlannerSettings {
     let bounds = &settings.bounds;
-    let defaults = Figures::default();
-    Figures {
+    let defaults = PlannerSettings::default();
+    PlannerSettings {
         max_lease: bounds.max_hold_ms,
-        ended_job_retention: kept(settings),
+        ended_job_retention: final_state_retention(settings),
         checkpoint_interval: bounds.checkpoint_interval,
         remote_slowdown: bounds.remote_factor,
         max_interference_time: bounds.impact_ms,
@@ -190,58 +194,58 @@
     }
 }
 
-/// The ownership in progress.
+/// The current ownership of the cell.
 struct Ownership {
-    facts: mpsc::UnboundedSender<Fact>,
+    events: mpsc::UnboundedSender<PlannerEvent>,
     task: JoinHandle<()>,
 }
 
-/// Runs the cell whenever this process owns it.
-async fn hold_seat(
-    parts: Context<Instrumented<Keys>, Executors, Advice, Cloud>,
-    mut turns: mpsc::UnboundedReceiver<Transition>,
+/// Runs the cell while this process owns it.
+async fn run_ownerships(
+    context: Context<Instrumented<Keys>, Executors, Advice, Cloud>,
+    mut transitions: mpsc::UnboundedReceiver<Transition>,
 ) {
-    let mut tenure: Option<Ownership> = None;
+    let mut ownership: Option<Ownership> = None;
     let mut lease_until = cowslipchute_base::id::Time::ZERO;
-    while let Some(turn) = turns.recv().await {
-        match turn {
+    while let Some(transition) = transitions.recv().await {
+        match transition {
             Transition::Own { epoch, until } => {
-                event!(parts.log, Event::SeatTaken, "epoch" => epoch);
+                event!(context.log, Event::SeatTaken, "epoch" => epoch);
                 lease_until = until;
-                tenure = Some(begin(&parts, epoch, until));
+                ownership = Some(start_ownership(&context, epoch, until));
             }
             Transition::Extend { until } => {
-                parts.log.metrics().lease_renewed(lease_until.saturating_sub(clock::now()));
+                context.log.metrics().lease_renewed(lease_until.saturating_sub(clock::now()));
                 lease_until = until;
-                if let Some(tenure) = &tenure {
-                    // Its task ends only with the ownership.
-                    let _ = tenure.facts.send(Fact::LeaseRenewed { until });
+                if let Some(ownership) = &ownership {
+                    // The receiver is dropped only when the ownership ends.
+                    let _ = ownership.events.send(PlannerEvent::LeaseRenewed { until });
                 }
             }
             Transition::Disown => {
-                if let Some(tenure) = tenure.take() {
-                    tenure.task.abort();
+                if let Some(ownership) = ownership.take() {
+                    ownership.task.abort();
                 }
-                owner::lock(&parts.planner).step(
+                owner::lock(&context.planner).step(
                     clock::now(),
-                    Fact::OwnershipLost,
+                    PlannerEvent::OwnershipLost,
                     &mut Vec::new(),
                 );
-                parts.log.metrics().ownership_lost();
-                event!(parts.log, Event::SeatLost);
+                context.log.metrics().ownership_lost();
+                event!(context.log, Event::SeatLost);
             }
         }
     }
 }
 
-fn begin(
-    parts: &Context<Instrumented<Keys>, Executors, Advice, Cloud>,
+fn start_ownership(
+    context: &Context<Instrumented<Keys>, Executors, Advice, Cloud>,
     epoch: cowslipchute_base::id::Revision,
     until: cowslipchute_base::id::Time,
 ) -> Ownership {
-    let (facts, receiver) = mpsc::unbounded_channel();
-    // Only after `OwnershipAcquired`, which the run itself says first, does it matter.
-    let _ = facts.send(Fact::LeaseRenewed { until });
-    let task = tokio::spawn(owner::run(parts.clone(), epoch, (facts.clone(), receiver)));
-    Ownership { facts, task }
+    let (events, receiver) = mpsc::unbounded_channel();
+    // The planner receives this after `OwnershipAcquired`, which `owner::run` passes to it first.
+    let _ = events.send(PlannerEvent::LeaseRenewed { until });
+    let task = tokio::spawn(owner::run(context.clone(), epoch, (events.clone(), receiver)));
+    Ownership { events, task }
 }
--- a/bin/scheduler/src/recovery.rs
+++ b/bin/scheduler/src/recovery.rs
@@ -1,4 +1,5 @@
-//! What a new owner reads before it decides anything: jobs, records, and what earlier owners learnt.
+//! Reads the state that a new owner needs before it decides anything: the jobs, their records, and
+//! the estimates of previous owners.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,27 +18,27 @@
 use crate::keys;
 use crate::log::Log;
 
-/// What the store holds of the cell.
+/// The state of the cell in the store.
 pub struct Cell {
-    /// The revision of the jobs.
+    /// Revision at which the jobs were read.
     pub revision: Revision,
-    /// Jobs that have not ended, by rising age.
+    /// Jobs that have not ended, by rising revision.
     pub jobs: Vec<(JobId, Arc<Accepted>)>,
-    /// Records of those that have begun.
+    /// Records of the jobs that have started.
     pub records: Vec<(JobId, Record)>,
-    /// The revision of each record.
+    /// Revision of each record.
     pub revisions: HashMap<JobId, Revision>,
 }
 
-/// Reads the cell.
+/// Reads the state of the cell.
 ///
 /// # Errors
 ///
-/// When the store doesn't answer, or holds something else than jobs and records there.
+/// Returns an error if the store doesn't answer, or if a job or a record can't be decoded.
 pub async fn read_cell<S: Store>(store: &S) -> Result<Cell, kv::Error> {
     let jobs = store.read(keys::JOBS).await?;
     let records = store.read(keys::RECORDS).await?;
-    let mut loaded = Cell {
+    let mut cell = Cell {
         revision: jobs.revision,
         jobs: Vec::with_capacity(jobs.entries.len()),
         records: Vec::with_capacity(records.entries.len()),
@@ -47,20 +48,20 @@
     entries.sort_by_key(|entry| entry.revision);
     for entry in entries {
         if let Some((job, accepted)) = decode_job(&entry)? {
-            loaded.jobs.push((job, accepted));
+            cell.jobs.push((job, accepted));
         }
     }
     for entry in records.entries {
         let Some(job) = keys::parse_job(keys::RECORDS, &entry.key) else { continue };
         let value = Record::decode(&entry.value)
             .map_err(|error| kv::Error::Protocol(format!("{}: {error}", entry.key)))?;
-        loaded.revisions.insert(job, entry.revision);
-        loaded.records.push((job, value));
+        cell.revisions.insert(job, entry.revision);
+        cell.records.push((job, value));
     }
-    Ok(loaded)
+    Ok(cell)
 }
 
-/// Reads what earlier owners have learnt; without it the cell is only learnt anew.
+/// Reads the estimates of previous owners. Without them, the owner learns them anew.
 pub async fn read_estimates<S: Store>(store: &S, log: &Log) -> Option<Estimates> {
     let entry = match store.read(keys::ESTIMATES).await {
         Ok(snapshot) => snapshot.entries.into_iter().find(|entry| entry.key == keys::ESTIMATES)?,
@@ -70,7 +71,7 @@
         }
     };
     match record::decode(&entry.value) {
-        Ok(learnt) => Some(learnt),
+        Ok(estimates) => Some(estimates),
         Err(error) => {
             event!(log, LogEvent::ConfigInvalid, "reason" => error.to_string());
             None
@@ -78,11 +79,11 @@
     }
 }
 
-/// Reads a job's entry.
+/// Decodes a job's entry; returns `None` if the key is not that of a job.
 ///
 /// # Errors
 ///
-/// When it holds something else than a job.
+/// Returns an error if the value can't be decoded.
 pub fn decode_job(entry: &kv::Entry) -> Result<Option<(JobId, Arc<Accepted>)>, kv::Error> {
     let Some(job) = keys::parse_job(keys::JOBS, &entry.key) else { return Ok(None) };
     let accepted = record::decode::<Accepted>(&entry.value)
--- a/bin/scheduler/src/retention.rs
+++ b/bin/scheduler/src/retention.rs
@@ -1,9 +1,9 @@
-//! Removes the ends of jobs that nobody asks for any more, so that the store does not grow for ever.
+//! Removes old final states of jobs, so that the store doesn't grow without bound.
 //!
-//! An end tells how a job ended, and keeps a repeated submission from running it again; clients ask
-//! for it for a bounded time. Its age isn't stored: a key that is found unchanged in two looks which
-//! lie that time apart is old enough. That needs no state beyond one owner's, costs one read of the
-//! prefix a period, and begins anew with each owner.
+//! A final state records how a job ended, and keeps a repeated submission from running it again;
+//! clients query it for a bounded time. Its age isn't stored: a key is old enough if two scans that
+//! are this time apart find it unchanged. This needs no state beyond that of one owner, costs one
+//! read of the prefix per period, and starts over with each owner.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -20,17 +20,17 @@
 use crate::keys;
 use crate::log::Log;
 
-/// Entries of a transaction for one end: its guard and its removal.
-const END_ENTRIES: usize = 2;
+/// Entries that one final state adds to a transaction: its guard and its removal.
+const ENTRIES_PER_STATE: usize = 2;
 
-/// Ends as the last look found them.
+/// Revisions found by the last scan, to detect unchanged entries.
 #[derive(Clone, Debug, Default)]
 pub struct Scanner {
     revisions: HashMap<String, Revision>,
 }
 
 impl Scanner {
-    /// Takes in a look; returns the entries that were there unchanged at the one before.
+    /// Records a scan; returns the entries that are unchanged since the previous one.
     pub fn scan(&mut self, entries: Vec<Entry>) -> Vec<Entry> {
         let before = std::mem::take(&mut self.revisions);
         self.revisions = entries.iter().map(|entry| (entry.key.clone(), entry.revision)).collect();
@@ -41,32 +41,33 @@
     }
 }
 
-/// Removes old ends for as long as an ownership lasts, which its caller ends.
+/// Removes old final states until the caller aborts the task at the end of the ownership.
 pub async fn run<S: Store>(store: S, epoch: Revision, period: Duration, log: Log) {
-    let mut seen = Scanner::default();
+    let mut scanner = Scanner::default();
     loop {
         tokio::time::sleep(period).await;
         let snapshot = match store.read(keys::FINAL_STATES).await {
             Ok(snapshot) => snapshot,
             Err(error) => {
-                // The next look will do as well.
+                // Removal may wait for the next scan.
                 event!(log, Event::StoreLost, "prefix" => keys::FINAL_STATES, "reason" => error.to_string());
                 continue;
             }
         };
-        let old = seen.scan(snapshot.entries);
+        let old = scanner.scan(snapshot.entries);
         let mut removed = 0;
-        for part in old.chunks((TXN_ENTRIES - 1) / END_ENTRIES) {
+        for part in old.chunks((TXN_ENTRIES - 1) / ENTRIES_PER_STATE) {
             match store.commit(removal(epoch, part)).await {
                 Ok(verdict) if verdict.applied => removed += part.len(),
-                // One has changed or is gone, or the cell has another owner, who sweeps anew.
+                // An entry has changed or is gone, or the cell has another owner, which runs scans
+                // of its own.
                 Ok(_) => {}
                 Err(error) => {
                     event!(log, Event::StoreUnsettled, "reason" => error.to_string());
                 }
             }
         }
-        event!(log, Event::EndsRemoved, "removed" => removed, "kept" => seen.revisions.len() - removed);
+        event!(log, Event::EndsRemoved, "removed" => removed, "kept" => scanner.revisions.len() - removed);
     }
 }
 
--- a/bin/scheduler/src/retry.rs
+++ b/bin/scheduler/src/retry.rs
@@ -1,10 +1,10 @@
-//! When writes that did not come through are made again.
+//! Rate limit of retried writes.
 //!
-//! Pattern answered: an owner that the store turns away, or doesn't answer, has a dozen writes of
-//! different jobs under way. Each made again for itself is some two hundred calls a second for
-//! as long as the outage lasts, all of them refused, and the platform counts them. One of them is
-//! enough to find out whether the store is back, so while calls fail one write at a time is made
-//! again, each [`INTERVAL`]; as soon as one comes through, so do all others.
+//! While the store rejects or doesn't answer calls, an owner has a dozen writes of different jobs
+//! in flight. Retried each on its own, they would make some two hundred calls a second for the
+//! whole outage, and the platform counts them. One is enough to find out whether the store is back,
+//! so one write is retried per [`INTERVAL`] while calls fail, and all others as soon as one
+//! succeeds.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -13,62 +13,62 @@
 
 use tokio::time::Instant;
 
-/// Pause between two tries while calls fail: what it may take longer after an outage until the first
-/// write is made, a few times as long as one takes.
+/// Interval between retries while calls fail. It may delay the first write after an outage by as
+/// much, which is a few times the duration of a write.
 pub const INTERVAL: Duration = Duration::from_millis(60);
 
 #[derive(Debug)]
 struct State {
     failing: bool,
-    /// When a write was last made again.
-    tried: Instant,
+    /// Time of the last retry.
+    retried_at: Instant,
 }
 
-/// Shared by writes that may overlap.
+/// A limiter shared by writes that may overlap.
 #[derive(Clone, Debug)]
 pub struct Limiter {
     state: Arc<Mutex<State>>,
 }
 
 impl Limiter {
-    /// Opens with a store that is taken to answer.
+    /// Opens a limiter that assumes that the store answers.
     pub fn open() -> Limiter {
-        let state = State { failing: false, tried: Instant::now() };
+        let state = State { failing: false, retried_at: Instant::now() };
         Limiter { state: Arc::new(Mutex::new(state)) }
     }
 
-    /// A call was answered.
+    /// Records that a call was answered.
     pub fn record_success(&self) {
         self.lock().failing = false;
     }
 
-    /// A call was not answered, or was turned away.
+    /// Records that a call was rejected or not answered.
     pub fn record_failure(&self) {
         self.lock().failing = true;
     }
 
-    /// Waits until a write that did not come through may be made again.
+    /// Waits until a failed write may be retried.
     pub async fn wait(&self) {
         loop {
             tokio::time::sleep(INTERVAL).await;
-            if self.takes_turn() {
+            if self.try_acquire() {
                 return;
             }
         }
     }
 
-    /// Tells whether a write may be made now; while calls fail, one in each pause may.
-    fn takes_turn(&self) -> bool {
+    /// Returns `true` if a write may be retried now; while calls fail, one per interval may.
+    fn try_acquire(&self) -> bool {
         let now = Instant::now();
         let mut state = self.lock();
-        if state.failing && now < state.tried + INTERVAL {
+        if state.failing && now < state.retried_at + INTERVAL {
             return false;
         }
-        state.tried = now;
+        state.retried_at = now;
         true
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("nobody panics while holding this")
+        self.state.lock().expect("no thread panics while it holds the lock on the limiter")
     }
 }
--- a/bin/scheduler/src/rollouts.rs
+++ b/bin/scheduler/src/rollouts.rs
@@ -1,5 +1,5 @@
-//! Waves of upkeep between the store, the machines and the planner: demands are followed, machines are
-//! listed while one is open, and how far each is goes back to the store.
+//! Maintenance rollouts: follows the operator's requests in the store, lists the machines while the
+//! planner needs them, and stores the status of each rollout.
 
 use std::time::Duration;
 
@@ -28,40 +28,41 @@
 use crate::watcher;
 use crate::watcher::Change;
 
-/// How often machines are listed while a wave is open, or a worker is silent that runs something; an upkeep takes two
-/// seconds or more, and a lost worker's tasks wait meanwhile.
-const LIST_PAUSE: Duration = Duration::from_millis(300);
-/// A list that takes long, since it has many pages or its server is slow, is followed by a pause of
-/// this many times as long: pages are limited in number a second.
-const LIST_SHARE: u32 = 3;
-/// Pause before a write that did not come through is made again.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Interval at which machines are listed while a rollout is active, or a worker with runs is
+/// silent. The maintenance of a machine takes two seconds or more, and the tasks of a lost worker
+/// wait until the machine is seen to be gone.
+const LIST_INTERVAL: Duration = Duration::from_millis(300);
+/// Pause after a listing, as a multiple of its duration. A listing takes long if it has many pages
+/// or its server is slow, and the number of pages per second is limited.
+const LIST_PAUSE_FACTOR: u32 = 3;
+/// Delay before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How far a wave is, as the store holds it for later owners.
+/// Status of a rollout, stored for later owners.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Status {
-    /// What the operator was told.
+    /// Progress as reported to the operator.
     pub progress: Progress,
-    /// The machines whose upkeep has begun.
+    /// Machines whose maintenance has started.
     pub started: Vec<Name>,
 }
 
-/// A wave's number with how far it is.
+/// The number of a rollout with its new status.
 pub type Update = (WaveNumber, Status);
 
-fn key(wave: WaveNumber) -> String {
-    format!("{}{wave}", keys::ROLLOUTS)
+fn key(rollout: WaveNumber) -> String {
+    format!("{}{rollout}", keys::ROLLOUTS)
 }
 
-/// Tells the planner of every wave that isn't completed.
+/// Reports every rollout that isn't completed to the planner.
 pub async fn follow<S: Store>(store: S, events: mpsc::UnboundedSender<Event>, log: Log) {
     let mut changes = watcher::spawn(store.clone(), operator::WAVES, None, None, log.clone());
     while let Some(change) = changes.recv().await {
         let entries = match change {
             Change::Snapshot(snapshot) => snapshot.entries,
             Change::Put(entry) => vec![entry],
-            // A wave that was taken back is carried on with: what it asked for may have begun.
+            // A withdrawn rollout continues, since its maintenance may have started.
             Change::Deleted { .. } => Vec::new(),
         };
         for entry in entries {
@@ -72,18 +73,18 @@
                     continue;
                 }
             };
-            let kept = read_status(&store, rollout.number, &log).await;
-            if kept.progress != Progress::Completed {
-                // The receiver is gone only when the ownership is ending.
-                let _ = events.send(Event::Rollout { rollout, started: kept.started });
+            let status = read_status(&store, rollout.number, &log).await;
+            if status.progress != Progress::Completed {
+                // The receiver is dropped only when the ownership ends.
+                let _ = events.send(Event::Rollout { rollout, started: status.started });
             }
         }
     }
 }
 
-/// Reads how far earlier owners came with a wave, again and again until the store tells.
-async fn read_status<S: Store>(store: &S, wave: WaveNumber, log: &Log) -> Status {
-    let key = key(wave);
+/// Reads the status that previous owners stored, retrying until the store answers.
+async fn read_status<S: Store>(store: &S, rollout: WaveNumber, log: &Log) -> Status {
+    let key = key(rollout);
     loop {
         match store.read(&key).await {
             Ok(snapshot) => {
@@ -94,16 +95,17 @@
             }
             Err(error) => {
                 event!(log, LogEvent::StoreLost, "prefix" => keys::ROLLOUTS, "reason" => error.to_string());
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Without what earlier owners kept every upkeep is asked for once more, which is harmless.
+/// Decodes a stored status. If it is unreadable, all maintenance is requested once more, which is
+/// harmless.
 fn decode(entry: &kv::Entry, log: &Log) -> Option<Status> {
     match record::decode(&entry.value) {
-        Ok(kept) => Some(kept),
+        Ok(status) => Some(status),
         Err(error) => {
             let key = entry.key.clone();
             event!(log, LogEvent::ConfigInvalid, "key" => key, "reason" => error.to_string());
@@ -112,7 +114,7 @@
     }
 }
 
-/// Lists the machines while the planner wants to know of them.
+/// Lists the machines while the planner needs them.
 pub async fn list_machines<M: Machines>(
     machines: M,
     planner: SharedPlanner,
@@ -120,7 +122,7 @@
     log: Log,
 ) {
     let mut failing = false;
-    let mut pause = LIST_PAUSE;
+    let mut pause = LIST_INTERVAL;
     loop {
         tokio::time::sleep(pause).await;
         if !owner::lock(&planner).needs_machine_list() {
@@ -128,11 +130,11 @@
         }
         let requested_at = clock::now();
         let listed = machines.list().await;
-        pause = LIST_PAUSE.max(clock::now().saturating_sub(requested_at) * LIST_SHARE);
+        pause = LIST_INTERVAL.max(clock::now().saturating_sub(requested_at) * LIST_PAUSE_FACTOR);
         match listed {
             Ok(machines) => {
                 failing = false;
-                // The receiver is gone only when the ownership is ending.
+                // The receiver is dropped only when the ownership ends.
                 let _ = events.send(Event::Machines { machines, requested_at });
             }
             Err(error) if !failing => {
@@ -144,15 +146,15 @@
     }
 }
 
-/// Writes how far waves are, one after the other, so that none replaces a later one.
+/// Writes status updates one after the other, so that none overwrites a later one.
 pub async fn write_statuses<S: Store>(
     store: S,
     epoch: Revision,
-    mut reports: mpsc::UnboundedReceiver<Update>,
+    mut updates: mpsc::UnboundedReceiver<Update>,
     log: Log,
 ) {
-    while let Some((wave, kept)) = reports.recv().await {
-        let (status, text) = match operator::wave_status(wave, kept.progress) {
+    while let Some((rollout, status)) = updates.recv().await {
+        let (status_key, status_value) = match operator::wave_status(rollout, status.progress) {
             Ok(status) => status,
             Err(error) => {
                 event!(log, LogEvent::ConfigInvalid, "reason" => error.to_string());
@@ -162,15 +164,18 @@
         let put = |key: String, value: Vec<u8>| kv::Change::Put { key, value, lease: 0 };
         let txn = kv::Txn {
             guards: vec![Guard::Unchanged(keys::OWNER.to_owned(), epoch)],
-            changes: vec![put(key(wave), record::encode(&kept)), put(status, text)],
+            changes: vec![
+                put(key(rollout), record::encode(&status)),
+                put(status_key, status_value),
+            ],
         };
         loop {
             match store.commit(txn.clone()).await {
-                // Refused: another owner has the cell and goes on with the wave.
+                // If the write was rejected, another owner has the cell and continues the rollout.
                 Ok(_) => break,
                 Err(error) => {
                     event!(log, LogEvent::StoreUnsettled, "reason" => error.to_string());
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
--- a/bin/scheduler/src/rpc.rs
+++ b/bin/scheduler/src/rpc.rs
@@ -1,8 +1,9 @@
-//! Questions between our processes, as single datagrams: how far a job is, how many wait.
+//! Requests between scheduler processes, as single datagrams: the state of a job, the numbers of
+//! pending jobs, and whether the store is reachable.
 //!
-//! The owner of the cell knows both without a call to the store, whose calls are counted and
-//! limited. A lost datagram costs a timeout and a read of the store; a connection would cost more,
-//! and could hang. `docs/design/platform.md` gives the comparison.
+//! The owner of the cell knows states and numbers without a call to the store, whose calls are
+//! counted and limited. A lost datagram costs a timeout and a read of the store; a connection would
+//! cost more, and could hang. `docs/design/platform.md` gives the comparison.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,99 +24,101 @@
 use crate::owner;
 use crate::owner::SharedPlanner;
 
-/// How long an answer is waited for: a few round trips between failure domains, and an owner that
-/// is busy for a moment.
-const ANSWER_TIME: Duration = Duration::from_millis(120);
-/// Largest datagram; counts of some hundred queues fit.
-const DATAGRAM: usize = 16 << 10;
-/// Pause after a failed receive, so that a broken socket doesn't spin.
-const RECEIVE_PAUSE: Duration = Duration::from_millis(20);
+/// Timeout of a request: a few round trips between failure domains, plus the delay of an owner that
+/// is briefly busy.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(120);
+/// Size of the largest datagram; the counts of some hundred queues fit.
+const MAX_DATAGRAM_BYTES: usize = 16 << 10;
+/// Delay after a failed receive, so that a broken socket doesn't cause a busy loop.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What is asked.
+/// A request to another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Request {
-    /// How far a job is.
+    /// Asks for the state of a job.
     State(JobId),
-    /// How many jobs of each queue wait.
+    /// Asks for the number of pending jobs of each queue.
     Pending,
-    /// Whether the one asked reaches the store.
+    /// Asks whether the receiver reaches the store.
     StoreReachable,
 }
 
-/// What the owner answers.
+/// The response to a [`Request`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub enum Response {
-    /// The state, or nothing for a job that the owner doesn't know.
+    /// State of the job, or `None` if the owner doesn't know it.
     State(Option<State>),
-    /// Queues with jobs that wait, and their numbers.
+    /// Queues that have pending jobs, with their numbers.
     Pending(Vec<(Arc<str>, u32)>),
-    /// Whether the store answered the one asked a moment ago, whoever owns the cell.
+    /// Whether the store answered the receiver recently, whether or not it owns the cell.
     StoreReachable(bool),
-    /// The process asked doesn't own the cell now.
+    /// The receiver doesn't own the cell.
     NotOwner,
 }
 
 #[derive(Debug)]
 #[derive(Serialize, Deserialize)]
 enum Datagram {
-    Request { number: u64, question: Request },
-    Response { number: u64, answer: Response },
+    Request { id: u64, request: Request },
+    Response { id: u64, response: Response },
 }
 
-type Waiting = Arc<Mutex<HashMap<u64, oneshot::Sender<Response>>>>;
+type Calls = Arc<Mutex<HashMap<u64, oneshot::Sender<Response>>>>;
 
-/// This process's end of the link.
+/// The RPC endpoint of this process.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
     socket: Arc<UdpSocket>,
-    waiting: Waiting,
+    calls: Calls,
     planner: SharedPlanner,
     health: Health,
 }
 
-/// Binds the link at an address and starts answering.
+/// Binds the endpoint to an address and starts responding to requests.
 ///
 /// # Errors
 ///
-/// When the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn bind(
     address: SocketAddr,
     planner: SharedPlanner,
     health: Health,
 ) -> std::io::Result<Endpoint> {
     let socket = Arc::new(UdpSocket::bind(address).await?);
-    let link = Endpoint { socket, waiting: Waiting::default(), planner, health };
-    tokio::spawn(link.clone().receive());
-    Ok(link)
+    let endpoint = Endpoint { socket, calls: Calls::default(), planner, health };
+    tokio::spawn(endpoint.clone().receive());
+    Ok(endpoint)
 }
 
 impl Endpoint {
-    /// Asks the process at an address; nothing if no answer comes in time.
-    pub async fn call(&self, address: SocketAddr, question: Request) -> Option<Response> {
+    /// Sends a request to the process at an address; returns `None` if no response arrives in time.
+    pub async fn call(&self, address: SocketAddr, request: Request) -> Option<Response> {
         if self.socket.local_addr().is_ok_and(|own| own == address) {
-            return Some(self.answer(question));
+            return Some(self.respond(request));
         }
-        let number = rand::random();
+        let id = rand::random();
         let (sender, receiver) = oneshot::channel();
-        self.lock().insert(number, sender);
-        let datagram = record::encode(&Datagram::Request { number, question });
+        self.lock().insert(id, sender);
+        let datagram = record::encode(&Datagram::Request { id, request });
         let sent = self.socket.send_to(&datagram, address).await;
-        let answer = match sent {
-            Ok(_) => tokio::time::timeout(ANSWER_TIME, receiver).await.ok().and_then(Result::ok),
+        let response = match sent {
+            Ok(_) => {
+                tokio::time::timeout(RESPONSE_TIMEOUT, receiver).await.ok().and_then(Result::ok)
+            }
             // The caller reads the store instead.
             Err(_) => None,
         };
-        self.lock().remove(&number);
-        answer
+        self.lock().remove(&id);
+        response
     }
 
-    /// Answers from what this process knows.
-    pub fn answer(&self, question: Request) -> Response {
+    /// Returns the response of this process.
+    pub fn respond(&self, request: Request) -> Response {
         let planner = owner::lock(&self.planner);
         let owns = planner.owns(clock::now());
-        match question {
+        match request {
             Request::StoreReachable => {
                 Response::StoreReachable(self.health.is_reachable(clock::now()))
             }
@@ -126,25 +129,25 @@
     }
 
     async fn receive(self) {
-        let mut buffer = vec![0; DATAGRAM];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
-                tokio::time::sleep(RECEIVE_PAUSE).await;
+                tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                 continue;
             };
-            // Whatever is not ours is left alone; the port is open to the network.
+            // Ignores datagrams of other senders; the port is open to the network.
             let Ok(datagram) = record::decode(&buffer[..length]) else { continue };
             match datagram {
-                Datagram::Request { number, question } => {
-                    let answer = self.answer(question);
-                    let reply = record::encode(&Datagram::Response { number, answer });
-                    // The one who asked goes on without an answer.
+                Datagram::Request { id, request } => {
+                    let response = self.respond(request);
+                    let reply = record::encode(&Datagram::Response { id, response });
+                    // If the response is lost, the caller times out.
                     let _ = self.socket.send_to(&reply, from).await;
                 }
-                Datagram::Response { number, answer } => {
-                    if let Some(waiting) = self.lock().remove(&number) {
-                        // It may have given up a moment ago.
-                        let _ = waiting.send(answer);
+                Datagram::Response { id, response } => {
+                    if let Some(call) = self.lock().remove(&id) {
+                        // The caller may have timed out just now.
+                        let _ = call.send(response);
                     }
                 }
             }
@@ -152,6 +155,6 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<u64, oneshot::Sender<Response>>> {
-        self.waiting.lock().expect("nobody panics while holding the table of questions")
+        self.calls.lock().expect("no thread panics while it holds the lock on the calls")
     }
 }
--- a/bin/scheduler/src/settings.rs
+++ b/bin/scheduler/src/settings.rs
@@ -1,22 +1,22 @@
-//! Settings of the scheduler: where the platform's settings file is, and what is our own.
+//! Settings of the scheduler: the path of the platform's settings file, and the scheduler's own.
 
 use std::path::PathBuf;
 
 use bpaf::Bpaf;
 use cowslipchute_platform::settings::PATH_VARIABLE;
 
-/// Takes jobs in and runs their tasks on the workers of the users' platform
+/// Accepts jobs and runs their tasks on the workers of the users' platform
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(options, version)]
 pub struct Settings {
-    /// The settings file that the platform writes
+    /// Path of the settings file that the platform writes
     #[bpaf(long("settings"), env(PATH_VARIABLE), argument("PATH"))]
     pub settings: PathBuf,
-    /// The port at which metrics are served, under /metrics; none without it
+    /// Port at which metrics are served, under /metrics; without it they are not served
     #[bpaf(long("metrics-port"), env("COWSLIPCHUTE_METRICS_PORT"), argument("PORT"), optional)]
     pub metrics_port: Option<u16>,
-    /// Least level of log lines: debug, info, warning or error
+    /// Minimum level of log lines: debug, info, warning or error
     #[bpaf(
         long("log-level"),
         env("COWSLIPCHUTE_LOG_LEVEL"),
--- a/bin/scheduler/src/watcher.rs
+++ b/bin/scheduler/src/watcher.rs
@@ -1,4 +1,5 @@
-//! Follows a prefix of the store: a read, then a watch from there, again and again.
+//! Follows a prefix of the store: reads it, watches it from that revision on, and starts over after
+//! a failure.
 
 use std::time::Duration;
 
@@ -15,19 +16,20 @@
 use crate::health::Health;
 use crate::log::Log;
 
-/// First pause after a failed call. Short, since a configuration has to be in force soon after the
-/// store is back.
-const FIRST_PAUSE: Duration = Duration::from_millis(80);
-/// Longest pause. All processes together then make a few calls a second to a store that is down.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+/// First delay after a failed call. It is short since a configuration must be in force soon after
+/// the store is back.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(80);
+/// Longest delay between failed calls. All processes together then make a few calls a second to a
+/// store that is down.
+const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// Changes that may wait for whoever follows them. Some thousand workers make that many in half a second.
-const QUEUE: usize = 1024;
+/// Changes that may wait for the receiver. A few thousand workers make that many in half a second.
+const QUEUE_CAPACITY: usize = 1024;
 
-/// What a watcher tells.
+/// A change of the prefix.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// All keys below the prefix, in place of whatever was known.
+    /// All keys below the prefix; replaces what was known before.
     Snapshot(kv::Snapshot),
     /// A key was written.
     Put(kv::Entry),
@@ -40,8 +42,8 @@
     },
 }
 
-/// Returns a change with all that wait behind it, in order. Whoever takes one change a turn falls behind
-/// those who make them as soon as there are more changes than turns.
+/// Returns a change and all changes that wait behind it, in order. A receiver that handles one
+/// change per iteration of its loop falls behind as soon as changes arrive faster than it iterates.
 pub fn collect_ready(first: Change, changes: &mut mpsc::Receiver<Change>) -> Vec<Change> {
     let mut all = vec![first];
     while let Ok(change) = changes.try_recv() {
@@ -50,9 +52,9 @@
     all
 }
 
-/// Starts following a prefix until the receiver is dropped. With `after`, what the prefix held at
-/// that revision is known already. With `health`, it is told there whether the store
-/// answers: a waiting watch is often the first to be cut.
+/// Starts following a prefix until the receiver is dropped. With `after`, the caller knows the
+/// prefix as of that revision already. With `health`, answers and failures are recorded there: a
+/// pending watch is often the first call to fail.
 pub fn spawn<S: Store>(
     store: S,
     prefix: &'static str,
@@ -60,9 +62,17 @@
     health: Option<Health>,
     log: Log,
 ) -> mpsc::Receiver<Change> {
-    let (sender, receiver) = mpsc::channel(QUEUE);
-    let watcher =
-        Watcher { store, prefix, after, sender, health, log, failing: false, asked: clock::now() };
+    let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
+    let watcher = Watcher {
+        store,
+        prefix,
+        after,
+        sender,
+        health,
+        log,
+        failing: false,
+        sent_at: clock::now(),
+    };
     tokio::spawn(watcher.run());
     receiver
 }
@@ -70,19 +80,19 @@
 struct Watcher<S> {
     store: S,
     prefix: &'static str,
-    /// The revision up to which everything was told.
+    /// Revision up to which all changes were sent.
     after: Option<Revision>,
     sender: mpsc::Sender<Change>,
     health: Option<Health>,
     log: Log,
     failing: bool,
-    /// The next answer is to a call that was sent then, or later.
-    asked: Time,
+    /// Earliest time at which the call that is answered next was sent.
+    sent_at: Time,
 }
 
 impl<S: Store> Watcher<S> {
     async fn run(mut self) {
-        let mut pause = FIRST_PAUSE;
+        let mut backoff = INITIAL_BACKOFF;
         let sender = self.sender.clone();
         loop {
             let before = self.after;
@@ -96,10 +106,10 @@
                 Err(error) => self.failed(&error),
             }
             if self.after != before {
-                pause = FIRST_PAUSE;
+                backoff = INITIAL_BACKOFF;
             }
-            tokio::time::sleep(pause.mul_f64(rand::random_range(0.7..1.3))).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            tokio::time::sleep(backoff.mul_f64(rand::random_range(0.7..1.3))).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
 
@@ -107,7 +117,7 @@
         if !self.failing {
             self.failing = true;
             if let Some(health) = &self.health {
-                health.record_failure(self.asked, clock::now());
+                health.record_failure(self.sent_at, clock::now());
             }
             let reason = error.to_string();
             event!(self.log, Event::StoreLost, "prefix" => self.prefix, "reason" => reason);
@@ -117,18 +127,18 @@
     fn answered(&mut self) {
         let now = clock::now();
         if let Some(health) = &self.health {
-            health.record_success(self.asked, now);
+            health.record_success(self.sent_at, now);
         }
-        self.asked = now;
+        self.sent_at = now;
         if self.failing {
             self.failing = false;
             event!(self.log, Event::StoreBack, "prefix" => self.prefix);
         }
     }
 
-    /// Follows until the watch ends; without an error only when the receiver is gone.
+    /// Follows the prefix until the watch ends; returns `Ok` only if the receiver is dropped.
     async fn follow(&mut self) -> Result<(), kv::Error> {
-        self.asked = clock::now();
+        self.sent_at = clock::now();
         let after = match self.after {
             Some(after) => after,
             None => {
--- a/bin/scheduler/src/writer.rs
+++ b/bin/scheduler/src/writer.rs
@@ -1,8 +1,8 @@
-//! Writes what a planner wants the store to hold: as the owner only, and each record only in place
-//! of the one that this owner knows to be there.
+//! Writes the planner's changes to the store. Each write is guarded by the owner key, and each
+//! record by the revision at which this owner knows the one that it replaces.
 //!
-//! The second guard is for writes whose answer was lost: the store may carry one out seconds later,
-//! when a newer record is in its place.
+//! The second guard is for writes whose answer was lost: the store may apply one seconds later,
+//! when a newer record has taken its place.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,24 +25,24 @@
 use crate::log::Log;
 use crate::retry::Limiter;
 
-/// The ownership was lost: another owner's key stands where ours was.
+/// The error of a write that was fenced off, since another process owns the cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fenced;
 
-/// Writes for one ownership.
+/// The writer of one ownership.
 #[derive(Clone, Debug)]
 pub struct Writer<S> {
     store: S,
-    /// Revision of the seat's key, which guards every write.
+    /// Revision of the owner key, which guards every write.
     epoch: Revision,
-    /// Revisions of the records in the store. Writes that overlap are of different jobs.
+    /// Revisions of the records in the store. Overlapping writes are about different jobs.
     revisions: Arc<Mutex<HashMap<JobId, Revision>>>,
     retry: Limiter,
     log: Log,
 }
 
 impl<S: Store> Writer<S> {
-    /// Opens the journal of an ownership over the records found at its beginning.
+    /// Opens the writer of an ownership with the revisions of the records found at its start.
     pub fn open(
         store: S,
         epoch: Revision,
@@ -53,11 +53,12 @@
         Writer { store, epoch, revisions, retry: Limiter::open(), log }
     }
 
-    /// Writes changes until they are surely in the store.
+    /// Writes changes, retrying until the store surely holds them.
     ///
     /// # Errors
     ///
-    /// [`Fenced`] when the cell has another owner; then some may be in the store.
+    /// Returns [`Fenced`] if the cell has another owner; the store may then hold some of the
+    /// changes.
     pub async fn write(&self, changes: &[Change]) -> Result<(), Fenced> {
         let mut rest = changes;
         while !rest.is_empty() {
@@ -68,13 +69,13 @@
         Ok(())
     }
 
-    /// Writes what was learnt, once: a later write replaces it anyway.
+    /// Writes the estimates, without a retry: a later write replaces them anyway.
     ///
     /// # Errors
     ///
-    /// [`Fenced`] when the cell has another owner.
-    pub async fn write_estimates(&self, learnt: &Estimates) -> Result<(), Fenced> {
-        let value = record::encode(learnt);
+    /// Returns [`Fenced`] if the cell has another owner.
+    pub async fn write_estimates(&self, estimates: &Estimates) -> Result<(), Fenced> {
+        let value = record::encode(estimates);
         let txn = kv::Txn {
             guards: vec![Guard::Unchanged(keys::OWNER.to_owned(), self.epoch)],
             changes: vec![kv::Change::Put { key: keys::ESTIMATES.to_owned(), value, lease: 0 }],
@@ -102,14 +103,14 @@
             }
             match outcome {
                 Ok(verdict) if verdict.applied => {
-                    self.applied(changes, verdict.revision);
+                    self.record_revisions(changes, verdict.revision);
                     return Ok(());
                 }
                 Ok(verdict) => {
-                    let ours = |entry: &kv::Entry| {
+                    let owner_unchanged = |entry: &kv::Entry| {
                         entry.key == keys::OWNER && entry.revision == self.epoch
                     };
-                    if !verdict.current.iter().any(ours) {
+                    if !verdict.current.iter().any(owner_unchanged) {
                         return Err(Fenced);
                     }
                     if unsettled && self.is_already_applied(changes, &wanted, &verdict.current) {
@@ -128,7 +129,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<JobId, Revision>> {
-        self.revisions.lock().expect("nobody panics while holding the revisions")
+        self.revisions.lock().expect("no thread panics while it holds the lock on the revisions")
     }
 
     fn txn(&self, changes: &[Change]) -> kv::Txn {
@@ -148,9 +149,9 @@
                     txn.changes.push(kv::Change::Put { key, value, lease: 0 });
                 }
                 Change::End { state, .. } => {
-                    let end = keys::for_job(keys::FINAL_STATES, *job);
+                    let final_state_key = keys::for_job(keys::FINAL_STATES, *job);
                     let value = record::encode(state);
-                    txn.changes.push(kv::Change::Put { key: end, value, lease: 0 });
+                    txn.changes.push(kv::Change::Put { key: final_state_key, value, lease: 0 });
                     txn.changes.push(kv::Change::Delete { key: keys::for_job(keys::JOBS, *job) });
                     if known.is_some() {
                         txn.changes.push(kv::Change::Delete { key });
@@ -161,7 +162,7 @@
         txn
     }
 
-    fn applied(&self, changes: &[Change], revision: Revision) {
+    fn record_revisions(&self, changes: &[Change], revision: Revision) {
         for change in changes {
             match change {
                 Change::Progress { job, .. } => self.lock().insert(*job, revision),
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Tells whether an earlier try, whose answer was lost, was carried out: then every record is
-    /// as this try would have left it.
+    /// Returns `true`, and takes over the revisions, if an earlier attempt whose answer was lost
+    /// was applied: every record is then as this attempt would have left it.
     fn is_already_applied(
         &self,
         changes: &[Change],
@@ -183,7 +184,7 @@
             Change::Progress { job, .. } => Some(keys::for_job(keys::RECORDS, *job)),
             Change::End { .. } => None,
         });
-        let same = progress.into_iter().all(|key| {
+        let records_match = progress.into_iter().all(|key| {
             let value = wanted.iter().find_map(|change| match change {
                 kv::Change::Put { key: other, value, .. } if *other == key => Some(value),
                 _ => None,
@@ -194,13 +195,13 @@
             Change::End { job, .. } => found(&keys::for_job(keys::RECORDS, *job)).is_none(),
             Change::Progress { .. } => true,
         });
-        if same && ended {
+        if records_match && ended {
             self.refresh_revisions(changes, current);
         }
-        same && ended
+        records_match && ended
     }
 
-    /// Takes over the revisions that the store shows.
+    /// Takes over the revisions that the store returned.
     fn refresh_revisions(&self, changes: &[Change], current: &[kv::Entry]) {
         for change in changes {
             let (Change::Progress { job, .. } | Change::End { job, .. }) = change;
@@ -213,14 +214,15 @@
     }
 }
 
-/// Returns how many of the first changes one transaction can hold beside the guard of the seat.
+/// Returns how many of the first changes fit into one transaction next to the guard of the owner
+/// key.
 fn batch_len(changes: &[Change]) -> usize {
     let mut entries = 1;
     let fitting = changes.iter().take_while(|change| {
         entries += match change {
             // A guard and the record.
             Change::Progress { .. } => 2,
-            // A guard, the end, and the job and its record to be removed.
+            // A guard, the final state, and the removals of the job and its record.
             Change::End { .. } => 4,
         };
         entries <= TXN_ENTRIES
--- a/bin/scheduler/tests/directory.rs
+++ b/bin/scheduler/tests/directory.rs
@@ -1,5 +1,5 @@
-//! What of the workers' directory the owner is told. Load pattern: thousands of workers refresh entries that say
-//! nothing new.
+//! Which entries of the workers' directory are sent to the owner, while thousands of workers
+//! refresh entries without a change.
 
 use std::time::Duration;
 
@@ -32,15 +32,15 @@
 
 #[test]
 fn a_refresh_that_says_nothing_new_is_told_once_in_a_while() {
-    let mut news = Filter::default();
-    let told = |news: &mut Filter, millis| {
-        news.should_forward(START + Duration::from_millis(millis), &listed(registration()))
+    let mut known = Filter::default();
+    let forwards = |known: &mut Filter, millis| {
+        known.should_forward(START + Duration::from_millis(millis), &listed(registration()))
     };
-    assert!(told(&mut news, 0));
-    assert!(!told(&mut news, 1500));
-    assert!(!told(&mut news, 3000));
-    assert!(told(&mut news, 4500), "its worker may have been forgotten meanwhile");
-    assert!(!told(&mut news, 6000));
+    assert!(forwards(&mut known, 0));
+    assert!(!forwards(&mut known, 1500));
+    assert!(!forwards(&mut known, 3000));
+    assert!(forwards(&mut known, 4500), "the owner may have forgotten the worker meanwhile");
+    assert!(!forwards(&mut known, 6000));
 }
 
 #[parameterized(
@@ -51,16 +51,16 @@
     warmed_up = { Registration { cold: Duration::from_secs(1), ..registration() } },
 )]
 fn whatever_changes_is_told_at_once(changed: Registration) {
-    let mut news = Filter::default();
-    assert!(news.should_forward(START, &listed(registration())));
-    assert!(news.should_forward(START, &listed(changed.clone())));
-    assert!(!news.should_forward(START, &listed(changed)));
+    let mut known = Filter::default();
+    assert!(known.should_forward(START, &listed(registration())));
+    assert!(known.should_forward(START, &listed(changed.clone())));
+    assert!(!known.should_forward(START, &listed(changed)));
 }
 
 #[test]
 fn a_worker_that_is_listed_again_is_told() {
-    let mut news = Filter::default();
-    assert!(news.should_forward(START, &listed(registration())));
-    assert!(news.should_forward(START, &Event::Unlisted { name: "w1".into() }));
-    assert!(news.should_forward(START, &listed(registration())));
+    let mut known = Filter::default();
+    assert!(known.should_forward(START, &listed(registration())));
+    assert!(known.should_forward(START, &Event::Unlisted { name: "w1".into() }));
+    assert!(known.should_forward(START, &listed(registration())));
 }
--- a/bin/scheduler/tests/evacuations.rs
+++ b/bin/scheduler/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! The operator's evacuations on their way from the store to the planner.
+//! Evacuations in the store are reported to the planner.
 
 use cowslipchute_planner::event::Event;
 use cowslipchute_ports::kv;
@@ -21,8 +21,8 @@
     Change::Deleted { key: format!("op/evacuate/{domain}"), revision: 2 }
 }
 
-/// Applies changes; returns what the planner is told after each.
-fn told(changes: Vec<Change>) -> Vec<Vec<String>> {
+/// Applies changes; returns the evacuated domains that are reported to the planner after each.
+fn reported(changes: Vec<Change>) -> Vec<Vec<String>> {
     let log = log::open("test", Level::Error, Metrics::open().unwrap()).unwrap();
     let mut evacuations = Evacuations::open(log);
     let mut domains = |change| {
@@ -44,22 +44,25 @@
         Change::Put(entry("a", "{}")),
         removed("b"),
     ];
-    assert_eq!(told(changes), [vec!["a"], vec!["a", "b"], vec!["b"], vec!["a", "b"], vec!["a"]]);
+    assert_eq!(
+        reported(changes),
+        [vec!["a"], vec!["a", "b"], vec!["b"], vec!["a", "b"], vec!["a"]]
+    );
 }
 
 #[test]
 fn a_history_that_was_forgotten_is_replaced_by_what_the_store_holds() {
     let changes = vec![all(vec![entry("a", "{}"), entry("b", "{}")]), all(vec![entry("b", "{}")])];
-    assert_eq!(told(changes), [vec!["a", "b"], vec!["b"]]);
+    assert_eq!(reported(changes), [vec!["a", "b"], vec!["b"]]);
 }
 
 #[test]
 fn a_text_that_cannot_be_read_evacuates_all_the_same() {
     let changes = vec![all(vec![entry("a", "{")]), Change::Put(entry("b", "\u{1}\u{2}"))];
-    assert_eq!(told(changes), [vec!["a"], vec!["a", "b"]]);
+    assert_eq!(reported(changes), [vec!["a"], vec!["a", "b"]]);
 }
 
 #[test]
 fn a_key_that_names_no_domain_evacuates_none() {
-    assert_eq!(told(vec![all(vec![entry("", "{}")])]), [Vec::<String>::new()]);
+    assert_eq!(reported(vec![all(vec![entry("", "{}")])]), [Vec::<String>::new()]);
 }
--- a/bin/scheduler/tests/health.rs
+++ b/bin/scheduler/tests/health.rs
@@ -1,4 +1,5 @@
-//! Clients are refused without a call while the store doesn't answer, and served as soon as it does.
+//! Clients are refused without a call while the store doesn't answer, and served as soon as it
+//! does.
 
 use std::time::Duration;
 
@@ -21,11 +22,15 @@
 fn after_a_call_without_an_answer_a_read_finds_out_and_no_write() {
     let health = Health::default();
     health.record_failure(at(0), at(0));
-    assert_eq!(health.admission(at(1)), Admission::Probe, "the first one finds out by a read");
+    assert_eq!(health.admission(at(1)), Admission::Probe, "the first client probes with a read");
     assert_eq!(health.admission(at(2)), Admission::Refuse);
     health.record_failure(at(3), at(3));
     assert_eq!(health.admission(at(200)), Admission::Refuse);
-    assert_eq!(health.admission(at(300)), Admission::Probe, "another after a quarter of a second");
+    assert_eq!(
+        health.admission(at(300)),
+        Admission::Probe,
+        "another probes after a quarter of a second"
+    );
     assert_eq!(health.admission(at(301)), Admission::Refuse);
     health.record_success(at(302), at(302));
     assert_eq!(health.admission(at(302)), Admission::Serve);
@@ -38,20 +43,20 @@
     assert_eq!(health.admission(at(1)), Admission::Probe);
     assert_eq!(health.admission(at(4000)), Admission::Serve);
     health.record_failure(at(4100), at(4100));
-    assert_eq!(health.admission(at(4100)), Admission::Probe, "it is another outage");
+    assert_eq!(health.admission(at(4100)), Admission::Probe, "this is another outage");
 }
 
 #[test]
 fn new_clients_are_wanted_while_the_store_is_surely_reached() {
     let health = Health::default();
-    assert_eq!(health.readiness(at(0)), Admission::Probe, "nothing was heard of it yet");
+    assert_eq!(health.readiness(at(0)), Admission::Probe, "the store has not answered yet");
     health.record_success(at(5), at(5));
     assert_eq!(health.readiness(at(900)), Admission::Serve);
-    assert_eq!(health.readiness(at(1100)), Admission::Probe, "its last answer is too old");
+    assert_eq!(health.readiness(at(1100)), Admission::Probe, "the last answer is too old");
     assert_eq!(
         health.admission(at(1100)),
         Admission::Serve,
-        "a client that comes all the same is served"
+        "a client that connects anyway is served"
     );
     health.record_failure(at(1500), at(1500));
     assert_eq!(health.readiness(at(2100)), Admission::Probe);
@@ -60,8 +65,9 @@
     assert_eq!(health.readiness(at(3200)), Admission::Serve);
 }
 
-/// A member whose calls to the store were lost told a client that nobody knows whether its job was taken in, in place
-/// of refusing it: the answer to a watch that had been waiting since before the cut ended the outage.
+/// Guards against an outage that ends too early: the answer to a watch that was sent before the
+/// outage ended it, and a client was then told that the outcome of its submission is unknown
+/// instead of being refused.
 #[test]
 fn an_answer_to_a_call_from_before_an_outage_does_not_end_it() {
     let health = Health::default();
--- a/bin/scheduler/tests/journal.rs
+++ b/bin/scheduler/tests/journal.rs
@@ -1,4 +1,4 @@
-//! Records are written as the owner only, and each once, whatever becomes of the answers.
+//! Records are written only by the owner, and each exactly once even if answers are lost.
 
 mod support;
 
@@ -45,12 +45,12 @@
         vec![Fate::Refused, Fate::AnswerLost, Fate::Refused],
     ] {
         let fake = Fake::default();
-        let journal = open(&fake);
-        journal.write(&[progress(1, 1)]).await.unwrap();
+        let writer = open(&fake);
+        writer.write(&[progress(1, 1)]).await.unwrap();
         fake.0.lock().unwrap().fates = fates.clone();
-        journal.write(&[progress(1, 2), progress(2, 1)]).await.unwrap();
+        writer.write(&[progress(1, 2), progress(2, 1)]).await.unwrap();
         assert_eq!((stored(&fake, 1), stored(&fake, 2)), (Some(2), Some(1)), "{fates:?}");
-        journal.write(&[progress(1, 3)]).await.unwrap();
+        writer.write(&[progress(1, 3)]).await.unwrap();
         assert_eq!(stored(&fake, 1), Some(3), "{fates:?}");
     }
 }
@@ -58,11 +58,11 @@
 #[tokio::test(start_paused = true)]
 async fn an_end_takes_the_job_and_its_record_with_it() {
     let fake = Fake::default();
-    let journal = open(&fake);
+    let writer = open(&fake);
     fake.put(&keys::for_job(keys::JOBS, 1), Vec::new());
-    journal.write(&[progress(1, 1)]).await.unwrap();
+    writer.write(&[progress(1, 1)]).await.unwrap();
     fake.0.lock().unwrap().fates = vec![Fate::AnswerLost];
-    journal.write(&[Change::End { job: 1, state: State::Completed }]).await.unwrap();
+    writer.write(&[Change::End { job: 1, state: State::Completed }]).await.unwrap();
     assert!(!fake.has(&keys::for_job(keys::JOBS, 1)));
     assert!(!fake.has(&keys::for_job(keys::RECORDS, 1)));
     assert!(fake.has(&keys::for_job(keys::FINAL_STATES, 1)));
@@ -71,22 +71,22 @@
 #[tokio::test(start_paused = true)]
 async fn nothing_is_written_once_another_owner_has_the_cell() {
     let fake = Fake::default();
-    let journal = open(&fake);
-    journal.write(&[progress(1, 1)]).await.unwrap();
+    let writer = open(&fake);
+    writer.write(&[progress(1, 1)]).await.unwrap();
     fake.put(keys::OWNER, b"theirs".to_vec());
-    assert_eq!(journal.write(&[progress(1, 2)]).await, Err(Fenced));
+    assert_eq!(writer.write(&[progress(1, 2)]).await, Err(Fenced));
     assert_eq!(stored(&fake, 1), Some(1));
 }
 
 #[tokio::test(start_paused = true)]
 async fn many_changes_are_divided_as_the_store_demands() {
     let fake = Fake::default();
-    let journal = open(&fake);
+    let writer = open(&fake);
     let changes: Vec<Change> = (0..100).map(|job| progress(job, 1)).collect();
-    journal.write(&changes).await.unwrap();
+    writer.write(&changes).await.unwrap();
     let ends: Vec<Change> =
         (0..100).map(|job| Change::End { job, state: State::Completed }).collect();
-    journal.write(&ends).await.unwrap();
+    writer.write(&ends).await.unwrap();
     let inner = fake.0.lock().unwrap();
     assert!(inner.entries <= 32, "{} entries", inner.entries);
     assert!(inner.commits <= 7 + 15, "{} commits", inner.commits);
@@ -94,27 +94,30 @@
 
 #[tokio::test(start_paused = true)]
 async fn overlapping_writes_take_turns_while_the_store_is_away() {
-    /// Writes under way as the outage begins.
+    /// Writes in flight when the outage starts.
     const WRITES: usize = 12;
-    /// Calls that the store turns away; each write is made once before it is made again.
+    /// Calls that the store rejects; each write is attempted once before any is retried.
     const REFUSED: usize = 60;
     let fake = Fake::default();
-    let journal = open(&fake);
+    let writer = open(&fake);
     fake.0.lock().unwrap().fates = vec![Fate::Refused; REFUSED];
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut writes = JoinSet::new();
     for job in 0..WRITES as u64 {
-        let journal = journal.clone();
-        writes.spawn(async move { journal.write(&[progress(job, 1)]).await });
+        let writer = writer.clone();
+        writes.spawn(async move { writer.write(&[progress(job, 1)]).await });
     }
     while let Some(write) = writes.join_next().await {
         write.unwrap().unwrap();
     }
-    let took = begun.elapsed();
-    let again = (REFUSED - WRITES) as u32;
-    assert!(took >= retry::INTERVAL * again, "refused {REFUSED} times within {took:?}");
-    // Whatever was held up follows the first that comes through.
-    assert!(took <= retry::INTERVAL * (again + 3), "{took:?} for an outage of {again} tries");
+    let elapsed = started.elapsed();
+    let retries = (REFUSED - WRITES) as u32;
+    assert!(elapsed >= retry::INTERVAL * retries, "refused {REFUSED} times within {elapsed:?}");
+    // All other writes follow the first that succeeds.
+    assert!(
+        elapsed <= retry::INTERVAL * (retries + 3),
+        "{elapsed:?} for an outage of {retries} retries"
+    );
     assert!((0..WRITES as u64).all(|job| stored(&fake, job) == Some(1)));
     assert_eq!(fake.0.lock().unwrap().commits, REFUSED + WRITES);
 }
--- a/bin/scheduler/tests/listing.rs
+++ b/bin/scheduler/tests/listing.rs
@@ -1,4 +1,4 @@
-//! The workers' directory, with entries of other writers among the workers' own.
+//! The workers' directory with entries of other writers among those of workers.
 
 use cowslipchute_planner::event::Event;
 use cowslipchute_ports::kv;
@@ -17,19 +17,19 @@
     Change::Snapshot(kv::Snapshot { revision: 1, entries })
 }
 
-/// Takes a change in; what the planner is told, and how many entries are told to be unreadable.
-fn take(listing: &mut Listing, change: Change) -> (Vec<String>, usize) {
+/// Applies a change; returns the planner events, and the number of entries reported as unreadable.
+fn apply(listing: &mut Listing, change: Change) -> (Vec<String>, usize) {
     let mut events = Vec::new();
     let unreadable = listing.apply(change, &mut events).len();
-    let told = events.into_iter().map(|event| match event {
+    let reported = events.into_iter().map(|event| match event {
         Event::Listed { registration } => format!("+{}", registration.name),
         Event::Unlisted { name } => format!("-{name}"),
         other => panic!("{other:?}"),
     });
-    (told.collect(), unreadable)
+    (reported.collect(), unreadable)
 }
 
-fn told(words: &[&str]) -> Vec<String> {
+fn names(words: &[&str]) -> Vec<String> {
     words.iter().map(|word| (*word).to_owned()).collect()
 }
 
@@ -37,27 +37,35 @@
 fn an_unreadable_entry_among_others_leaves_them_as_they_are() {
     let mut listing = Listing::default();
     let first = all(vec![entry("a", ENTRY), entry("x", "{"), entry("b", ENTRY)]);
-    assert_eq!(take(&mut listing, first), (told(&["+a", "+b"]), 1));
+    assert_eq!(apply(&mut listing, first), (names(&["+a", "+b"]), 1));
     let second = all(vec![entry("b", ENTRY), entry("x", "{")]);
-    assert_eq!(take(&mut listing, second), (told(&["+b", "-a"]), 0), "it is told once");
+    assert_eq!(
+        apply(&mut listing, second),
+        (names(&["+b", "-a"]), 0),
+        "the unreadable entry is reported once"
+    );
 }
 
 #[test]
 fn an_entry_that_is_overwritten_names_no_worker_until_it_can_be_read_again() {
     let mut listing = Listing::default();
-    take(&mut listing, all(vec![entry("a", ENTRY)]));
+    apply(&mut listing, all(vec![entry("a", ENTRY)]));
     let over = Change::Put(entry("a", "\u{1}"));
-    assert_eq!(take(&mut listing, over.clone()), (told(&["-a"]), 1));
-    assert_eq!(take(&mut listing, over.clone()), (told(&[]), 0), "it is repeated");
-    assert_eq!(take(&mut listing, Change::Put(entry("a", ENTRY))), (told(&["+a"]), 0));
-    assert_eq!(take(&mut listing, over), (told(&["-a"]), 1), "it is told anew");
+    assert_eq!(apply(&mut listing, over.clone()), (names(&["-a"]), 1));
+    assert_eq!(
+        apply(&mut listing, over.clone()),
+        (names(&[]), 0),
+        "the entry was reported already"
+    );
+    assert_eq!(apply(&mut listing, Change::Put(entry("a", ENTRY))), (names(&["+a"]), 0));
+    assert_eq!(apply(&mut listing, over), (names(&["-a"]), 1), "the entry is reported again");
 }
 
 #[test]
 fn an_entry_that_goes_is_told_once_and_one_that_named_nobody_is_not() {
     let mut listing = Listing::default();
-    take(&mut listing, all(vec![entry("a", ENTRY), entry("x", "{")]));
+    apply(&mut listing, all(vec![entry("a", ENTRY), entry("x", "{")]));
     let gone = |name: &str| Change::Deleted { key: format!("servers/{name}"), revision: 2 };
-    assert_eq!(take(&mut listing, gone("a")), (told(&["-a"]), 0));
-    assert_eq!(take(&mut listing, gone("x")), (told(&[]), 0));
+    assert_eq!(apply(&mut listing, gone("a")), (names(&["-a"]), 0));
+    assert_eq!(apply(&mut listing, gone("x")), (names(&[]), 0));
 }
--- a/bin/scheduler/tests/metrics.rs
+++ b/bin/scheduler/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Holds `docs/METRICS.md` to the code, and the metrics to what happens.
+//! Checks `docs/METRICS.md` against the code, and the metrics against the events that they record.
 //!
 //! `COWSLIPCHUTE_UPDATE_DOCS=1 cargo test -p cowslipchute-scheduler --test metrics` rewrites the table.
 
@@ -31,7 +31,7 @@
             family.kind.name(),
             family.help
         )
-        .expect("a string takes any text");
+        .expect("writing to a string can't fail");
     }
     text
 }
@@ -44,10 +44,11 @@
     let (found, tail) = rest.split_once(END).expect("the page marks where its table ends");
     let expected = table();
     if std::env::var_os("COWSLIPCHUTE_UPDATE_DOCS").is_some() {
-        fs::write(&path, format!("{head}{BEGIN}{expected}{END}{tail}")).expect("it can be written");
+        fs::write(&path, format!("{head}{BEGIN}{expected}{END}{tail}"))
+            .expect("the page can be written");
         return;
     }
-    assert_eq!(found, expected, "docs/METRICS.md lags behind the code");
+    assert_eq!(found, expected, "docs/METRICS.md differs from the code");
 }
 
 #[test]
@@ -80,10 +81,10 @@
 fn a_job_is_followed_from_its_arrival_to_its_end() {
     let metrics = Metrics::open().unwrap();
     let at = Duration::from_millis;
-    metrics.note(at(1000), &note(Event::JobKnown, "queue"));
-    metrics.note(at(1080), &note(Event::RunStarted, ""));
-    metrics.note(at(1300), &note(Event::RunStarted, ""));
-    metrics.note(at(4000), &note(Event::JobEnded, "completed"));
+    metrics.track(at(1000), &note(Event::JobKnown, "queue"));
+    metrics.track(at(1080), &note(Event::RunStarted, ""));
+    metrics.track(at(1300), &note(Event::RunStarted, ""));
+    metrics.track(at(4000), &note(Event::JobEnded, "completed"));
     let text = metrics.render(at(5000), None).unwrap();
     assert_eq!(value(&text, "cowslipchute_job_start_seconds_count"), Some(1.0));
     assert_eq!(value(&text, "cowslipchute_job_start_seconds_sum"), Some(0.08));
@@ -95,9 +96,9 @@
 fn jobs_of_an_earlier_ownership_are_not_timed() {
     let metrics = Metrics::open().unwrap();
     let at = Duration::from_millis;
-    metrics.note(at(1000), &note(Event::JobKnown, "queue"));
+    metrics.track(at(1000), &note(Event::JobKnown, "queue"));
     metrics.ownership_lost();
-    metrics.note(at(90_000), &note(Event::JobEnded, "completed"));
+    metrics.track(at(90_000), &note(Event::JobEnded, "completed"));
     let text = metrics.render(at(90_000), None).unwrap();
     assert_eq!(value(&text, "cowslipchute_job_seconds_sum"), None);
 }
--- a/bin/scheduler/tests/precedence.rs
+++ b/bin/scheduler/tests/precedence.rs
@@ -5,10 +5,10 @@
 use cowslipchute_scheduler::precedence::Precedence;
 use yare::parameterized;
 
-/// Within so long all instances see a vacancy after an outage of the store.
-const NOTICED: Duration = Duration::from_millis(400);
+/// Time within which all instances see a vacancy after an outage of the store.
+const VACANCY_NOTICE_TIME: Duration = Duration::from_millis(400);
 
-fn seen(own: f64, owners: &[f64]) -> Precedence {
+fn after_owners(own: f64, owners: &[f64]) -> Precedence {
     let mut precedence = Precedence::open(own);
     for share in owners {
         precedence.observe_owner(*share);
@@ -24,13 +24,16 @@
     a_hundredth = { 0.005, &[1.0], Duration::from_millis(600) },
 )]
 fn an_instance_waits_by_how_much_smaller_it_is(own: f64, owners: &[f64], delay: Duration) {
-    assert_eq!(seen(own, owners).delay(), delay);
+    assert_eq!(after_owners(own, owners).delay(), delay);
 }
 
 #[test]
 fn the_smallest_comes_after_every_larger_one_has_noticed() {
-    assert!(seen(0.069, &[0.5]).delay() > NOTICED);
-    assert!(seen(0.5, &[0.5]).delay() + NOTICED < seen(0.069, &[0.5]).delay());
+    assert!(after_owners(0.069, &[0.5]).delay() > VACANCY_NOTICE_TIME);
+    assert!(
+        after_owners(0.5, &[0.5]).delay() + VACANCY_NOTICE_TIME
+            < after_owners(0.069, &[0.5]).delay()
+    );
 }
 
 #[test]
--- a/bin/scheduler/tests/support/mod.rs
+++ b/bin/scheduler/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A store in memory whose answers get lost as a test says.
+//! An in-memory store that fails calls as a test demands.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "no test file uses all of it")]
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,14 +12,14 @@
 use cowslipchute_ports::kv::Update;
 use tokio::sync::mpsc;
 
-/// What becomes of the next transactions.
+/// The fate of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It is decided, and the answer gets lost.
+    /// The store decides it, and the answer is lost.
     AnswerLost,
-    /// It never arrives, and the caller can't tell.
+    /// It never reaches the store; the caller sees the same as for a lost answer.
     Dropped,
-    /// The store turns it away.
+    /// The store rejects it.
     Refused,
 }
 
--- a/bin/scheduler/tests/watcher.rs
+++ b/bin/scheduler/tests/watcher.rs
@@ -1,4 +1,4 @@
-//! Changes of the store on their way to those who follow them.
+//! Changes of the store are collected in order.
 
 use cowslipchute_ports::kv::Entry;
 use cowslipchute_scheduler::watcher::Change;
