--- a/bin/entry/src/keys.rs
+++ b/bin/entry/src/keys.rs
@@ -10,14 +10,14 @@
 
 use cowslipchute_base::id;
 use cowslipchute_claim::action::Action;
-use cowslipchute_claim::event::Ask;
 use cowslipchute_claim::event::Claimant;
 use cowslipchute_claim::event::Event;
+use cowslipchute_claim::event::RequestId;
 use cowslipchute_claim::handover::Handover;
 use cowslipchute_claim::owner;
 use cowslipchute_claim::owner::Owner;
-use cowslipchute_claim::roster::Life;
 use cowslipchute_claim::roster::Member;
+use cowslipchute_claim::roster::StartTime;
 use cowslipchute_claim::slot::Key;
 use cowslipchute_daemon::clock::Clock;
 use cowslipchute_daemon::log;
@@ -101,14 +101,14 @@
     owner: Owner,
     me: Member,
     /// Which start of this process. Its owner may have later lives, its requests are counted on.
-    life: Life,
+    life: StartTime,
     clock: Clock,
     store: S,
     node: Option<Node>,
     logger: Logger,
     outcomes: mpsc::Sender<Outcome>,
-    askers: HashMap<Ask, Asker>,
-    asks: Ask,
+    askers: HashMap<RequestId, Asker>,
+    asks: RequestId,
 }
 
 impl<S: Store> Keys<S> {
@@ -122,7 +122,7 @@
     ) -> Keys<S> {
         Keys {
             owner: Owner::open(settings(&me)),
-            life: me.life,
+            life: me.started_at,
             me,
             clock: Clock::start(),
             store,
@@ -158,7 +158,7 @@
             self.act(action, words);
         }
         if self.owner.is_ended() {
-            self.me.life += 1;
+            self.me.started_at += 1;
             self.owner = Owner::open(settings(&self.me));
         }
     }
@@ -169,7 +169,7 @@
             return words.push(Word::Claimed { request, verdict: Claimed::NotOwner });
         };
         let owner = roster.owner_of(&key.service, &key.key);
-        if owner.is(&self.me) {
+        if owner.is_same(&self.me) {
             let ask = self.asked(Asker::Request(request));
             let claimant = self.claimant(request);
             self.step(Event::Claim { ask, claimant, key, roster: roster.version }, words);
@@ -200,7 +200,7 @@
         }
         let Some(roster) = self.owner.roster().cloned() else { return };
         let owner = roster.owner_of(&told.key.service, &told.key.key);
-        if owner.is(&self.me) {
+        if owner.is_same(&self.me) {
             let (key, settlement) = (told.key.clone(), told.settlement.clone());
             let claimant = self.claimant(told.request);
             let ask = self.asked(Asker::Settlement(told));
@@ -240,7 +240,7 @@
                     incoming.answer(Reply::Misdirected);
                     return None;
                 };
-                Event::Adopt { ask: self.asks, handover }
+                Event::HandoverReceived { ask: self.asks, handover }
             }
             _ => return Some(incoming),
         };
@@ -249,7 +249,7 @@
         None
     }
 
-    fn asked(&mut self, asker: Asker) -> Ask {
+    fn asked(&mut self, asker: Asker) -> RequestId {
         let ask = self.asks;
         self.asks += 1;
         self.askers.insert(ask, asker);
@@ -293,11 +293,11 @@
                 Some(Asker::Peer(incoming)) => incoming.answer(Reply::Claimed(verdict)),
                 _ => {}
             },
-            Action::Acknowledge { ask, taken } => match self.askers.remove(&ask) {
+            Action::Acknowledge { ask, accepted } => match self.askers.remove(&ask) {
                 Some(Asker::Peer(incoming)) => {
-                    incoming.answer(if taken { Reply::Noted } else { Reply::Misdirected });
+                    incoming.answer(if accepted { Reply::Noted } else { Reply::Misdirected });
                 }
-                Some(Asker::Settlement(told)) if !taken => {
+                Some(Asker::Settlement(told)) if !accepted => {
                     let outcomes = self.outcomes.clone();
                     tokio::spawn(async move { tell_again(told, &outcomes).await });
                 }
@@ -313,14 +313,14 @@
                 self.spawn(async move { Outcome::Event(proposing.await) });
             }
             Action::HandOver { to, handover } => {
-                let (stamp, part) = (handover.stamp, handover.part);
+                let (transfer, message_number) = (handover.transfer, handover.message_number);
                 let call = Call::Adopt { handover: handover.to_bytes() };
                 let reply = self.ask_peer(to.address, call);
                 self.spawn(async move {
                     // One whose answer got lost may be held there, but is used only if the slots
                     // are given up with it.
-                    let held = matches!(reply.await, Ok(Reply::Noted));
-                    Outcome::Event(Event::HandedOver { stamp, part, held })
+                    let accepted = matches!(reply.await, Ok(Reply::Noted));
+                    Outcome::Event(Event::HandedOver { transfer, message_number, accepted })
                 });
             }
             Action::Note { event, subject, reason } => {
@@ -341,13 +341,13 @@
 
 fn settings(me: &Member) -> owner::Settings {
     owner::Settings {
-        me: me.clone(),
+        member: me.clone(),
         retention: RETENTION,
         lease: LEASE,
-        patience: PATIENCE,
-        stagger: STAGGER,
-        claims: CLAIMS,
-        answer_bytes: ANSWER_BYTES,
-        answers_bytes: ANSWERS_BYTES,
+        handover_timeout: PATIENCE,
+        takeover_delay: STAGGER,
+        max_claims: CLAIMS,
+        max_answer_bytes: ANSWER_BYTES,
+        max_total_answer_bytes: ANSWERS_BYTES,
     }
 }
--- a/bin/entry/src/roster.rs
+++ b/bin/entry/src/roster.rs
@@ -6,7 +6,7 @@
 
 use cowslipchute_base::id::Revision;
 use cowslipchute_claim::event::Event;
-use cowslipchute_claim::event::Read;
+use cowslipchute_claim::event::ReadId;
 use cowslipchute_claim::roster;
 use cowslipchute_claim::roster::Roster;
 use cowslipchute_ports::kv;
@@ -31,12 +31,12 @@
 }
 
 /// Reads the roster once and says how that ended.
-pub async fn read<S: Store>(store: S, read: Read) -> Event {
+pub async fn read<S: Store>(store: S, read: ReadId) -> Event {
     match tokio::time::timeout(CALL_WITHIN, find(&store)).await {
         Ok(Ok((_, found))) => {
             Event::RosterRead { read, revision: found.revision, roster: found.roster }
         }
-        _ => Event::StoreLost,
+        _ => Event::StoreFailed,
     }
 }
 
@@ -51,7 +51,7 @@
     let txn = Txn { guards: vec![guard], changes: vec![Change::Put { key, value, lease: 0 }] };
     match tokio::time::timeout(CALL_WITHIN, store.commit(txn)).await {
         Ok(Ok(_)) => Event::Proposed,
-        _ => Event::StoreLost,
+        _ => Event::StoreFailed,
     }
 }
 
@@ -69,7 +69,7 @@
                 down = None;
                 if let Some(roster) = found.roster {
                     heard
-                        .send(Event::RosterHeard { revision: found.revision, roster })
+                        .send(Event::RosterReceived { revision: found.revision, roster })
                         .await
                         .ok()?;
                 }
@@ -101,7 +101,7 @@
             Some(Update::Put(entry)) => {
                 let revision = entry.revision;
                 if let Some(roster) = decode(&entry) {
-                    heard.send(Event::RosterHeard { revision, roster }).await.ok()?;
+                    heard.send(Event::RosterReceived { revision, roster }).await.ok()?;
                 }
             }
             // Owners go on by the last roster; an operator has to put the removed one back.
--- a/bin/entry/src/settings.rs
+++ b/bin/entry/src/settings.rs
@@ -211,10 +211,10 @@
         Member {
             instance: self.common.instance(),
             incarnation: self.common.incarnation,
-            life: since.as_micros() as u64,
+            started_at: since.as_micros() as u64,
             domain: self.common.domain(),
             address: NO_LINKS,
-            listed: 0,
+            list_version: 0,
         }
     }
 }
--- a/bin/entry/tests/key_handover.rs
+++ b/bin/entry/tests/key_handover.rs
@@ -76,7 +76,7 @@
     /// Counts the members that own slots.
     fn owners(&self) -> usize {
         let Some(roster) = self.roster() else { return 0 };
-        let owns = |member: &&Member| slot::all().any(|slot| roster.owner_at(slot).is(member));
+        let owns = |member: &&Member| slot::all().any(|slot| roster.owner_at(slot).is_same(member));
         roster.members.iter().filter(owns).count()
     }
 
@@ -263,10 +263,10 @@
         let member = Member {
             instance: name.into(),
             incarnation: 1,
-            life: 1,
+            started_at: 1,
             domain: "north".into(),
             address: node.address(),
-            listed: view.version,
+            list_version: view.version,
         };
         let joining = |roster: &Roster| roster.revised(&member, |_| false).expect("it is new");
         self.change_roster(joining).await;
@@ -294,7 +294,7 @@
     }
 
     fn owns(&self, roster: &Roster, key: &str) -> bool {
-        roster.owner_of(SERVICE, key).is(&self.member)
+        roster.owner_of(SERVICE, key).is_same(&self.member)
     }
 }
 
@@ -313,7 +313,7 @@
     world.assert_each_ran_once();
     // The played member takes the slots when the owner stops, whatever it was told of them.
     a.stop().await;
-    assert!(world.roster().unwrap().members.iter().all(|member| member.is(&played.member)));
+    assert!(world.roster().unwrap().members.iter().all(|member| member.is_same(&played.member)));
     drop(played.node);
 }
 
@@ -328,14 +328,14 @@
     let handover = played.adopt(Some(Reply::Noted)).await;
     support::until("it owns its share", || world.owners() == 2).await;
     let before = world.roster().unwrap();
-    let sent = handover.parcels.iter().flat_map(|parcel| &parcel.kept);
+    let sent = handover.slots.iter().flat_map(|parcel| &parcel.grants);
     let sent: Vec<_> = sent.map(|kept| kept.key.key.to_string()).collect();
     assert!(sent.iter().all(|key| played.owns(&before, key)));
 
     world
         .change_roster(|roster| {
-            let to = roster.members.iter().find(|member| !member.is(&played.member)).unwrap();
-            let slots = slot::all().filter(|slot| roster.owner_at(*slot).is(&played.member));
+            let to = roster.members.iter().find(|member| !member.is_same(&played.member)).unwrap();
+            let slots = slot::all().filter(|slot| roster.owner_at(*slot).is_same(&played.member));
             let moves: Vec<_> =
                 slots.map(|slot| Move { slot, to: to.clone(), number: 7 }).collect();
             roster.released(&moves, Some(&played.member))
--- a/bin/entry/tests/two_entries.rs
+++ b/bin/entry/tests/two_entries.rs
@@ -48,7 +48,8 @@
 fn are_slots_shared(store: &Store) -> bool {
     let is_last = |roster: &Roster, owner: u16| usize::from(owner) + 1 == roster.members.len();
     roster(store).is_some_and(|roster| {
-        roster.members.len() == 2 && roster.shares.iter().any(|share| is_last(&roster, share.owner))
+        roster.members.len() == 2
+            && roster.assignments.iter().any(|share| is_last(&roster, share.owner))
     })
 }
 
--- a/bin/measure/src/capacity/config.rs
+++ b/bin/measure/src/capacity/config.rs
@@ -2,7 +2,7 @@
 
 use cowslipchute_spread::batch::Batch;
 use cowslipchute_spread::batch::Scope;
-use cowslipchute_spread::held::Held;
+use cowslipchute_spread::replica::Replica;
 
 use crate::capacity::slope::Slope;
 use crate::capacity::wire;
@@ -41,8 +41,8 @@
     }
 }
 
-fn filled(resources: usize) -> Held {
-    let mut held = Held::default();
+fn filled(resources: usize) -> Replica {
+    let mut held = Replica::default();
     let items = (0..resources).map(|number| wire::item(number, number as u64 + 1)).collect();
     held.apply(Batch { items, revision: resources as u64, scope: Scope::Whole });
     held
--- a/bin/measure/src/capacity/load.rs
+++ b/bin/measure/src/capacity/load.rs
@@ -4,7 +4,7 @@
 
 use cowslipchute_resource::policy;
 use cowslipchute_spread::gossip::FANOUT;
-use cowslipchute_spread::gossip::PULL_EVERY;
+use cowslipchute_spread::gossip::PULL_INTERVAL;
 
 use crate::capacity::cell::Cell;
 use crate::capacity::config::Config;
@@ -234,7 +234,7 @@
     fn follower(&self) -> Role {
         let links = 1.0 + FANOUT as f64;
         let change = self.wire.push.line.at(1.0) + QUIC_CALL;
-        let pull = (self.wire.pull + QUIC_CALL) / PULL_EVERY.as_secs_f64();
+        let pull = (self.wire.pull + QUIC_CALL) / PULL_INTERVAL.as_secs_f64();
         let decided = changes_a_second() * self.config.change.line.at(resources());
         Role {
             name: "follower",
--- a/bin/measure/src/capacity/report.rs
+++ b/bin/measure/src/capacity/report.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 
 use cowslipchute_spread::gossip::FANOUT;
-use cowslipchute_spread::gossip::PULL_EVERY;
+use cowslipchute_spread::gossip::PULL_INTERVAL;
 
 use crate::capacity::digits::megabytes;
 use crate::capacity::digits::number;
@@ -297,7 +297,7 @@
 
 fn times(out: &mut String, urgent: &Figures) {
     let levels = levels();
-    let pull = PULL_EVERY.as_secs_f64() * PULL_JITTER;
+    let pull = PULL_INTERVAL.as_secs_f64() * PULL_JITTER;
     line(
         out,
         format_args!(
--- a/bin/measure/src/tasks/baseline.rs
+++ b/bin/measure/src/tasks/baseline.rs
@@ -328,7 +328,7 @@
 impl Policy for Baseline {
     fn step(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Owned { epoch, .. } => self.epoch = epoch,
+            Event::OwnershipAcquired { epoch, .. } => self.epoch = epoch,
             Event::Policy { spec } => self.spec = spec,
             Event::Job { name, spec } => self.job(name, spec),
             Event::Listed { view } => self.listed(now, &view),
--- a/bin/measure/src/tasks/world.rs
+++ b/bin/measure/src/tasks/world.rs
@@ -118,7 +118,11 @@
         for team in hidden::teams() {
             self.step(Event::Share { team, amount: None });
         }
-        self.step(Event::Owned { epoch: 1, former: Former::Released, records: Vec::new() });
+        self.step(Event::OwnershipAcquired {
+            epoch: 1,
+            former: Former::Released,
+            records: Vec::new(),
+        });
         self.publish();
         for service in self.fleet.services {
             let job = self.nature.service(service);
@@ -172,9 +176,9 @@
             Next::Reported { sequence, report } => self.step(Event::Reported { sequence, report }),
             Next::Failed { worker, sequence } => {
                 let worker = worker_name(worker);
-                self.step(Event::Failed { sequence, worker, unknown: true });
+                self.step(Event::Failed { sequence, worker, maybe_received: true });
             }
-            Next::Recorded(batch) => self.step(Event::Recorded { batch }),
+            Next::Recorded(batch) => self.step(Event::BatchStored { batch }),
             Next::Tick => self.tick(),
             Next::Grid(worker) => self.grid(worker),
             Next::Death(worker) => self.death(worker),
--- a/bin/operator/src/ask.rs
+++ b/bin/operator/src/ask.rs
@@ -33,7 +33,8 @@
     me: &Instance,
     members: &[Member],
 ) -> Vec<Answer> {
-    let others = members.iter().filter(|member| rank::follows(member) && member.instance != *me);
+    let others =
+        members.iter().filter(|member| rank::is_follower(member) && member.instance != *me);
     let calls: Vec<_> =
         others.map(|member| one(peers.clone(), call.clone(), member.clone())).collect();
     stream::iter(calls).buffered(CALLED_AT_ONCE).collect().await
--- a/bin/placer/src/decide.rs
+++ b/bin/placer/src/decide.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
 use cowslipchute_daemon::admin::Readiness;
@@ -23,10 +23,10 @@
 use cowslipchute_daemon::stop::Stop;
 use cowslipchute_follow::Change;
 use cowslipchute_ports::list;
-use cowslipchute_tenure::board::Board;
+use cowslipchute_tenure::directory::Directory;
 use cowslipchute_tenure::event::Event;
-use cowslipchute_tenure::keeper;
-use cowslipchute_tenure::keeper::Keeper;
+use cowslipchute_tenure::ownership;
+use cowslipchute_tenure::ownership::Manager;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 use tokio::sync::watch;
@@ -89,7 +89,7 @@
 #[derive(Debug)]
 pub struct Context {
     /// Settings of the keeper.
-    pub keeper: keeper::Settings,
+    pub keeper: ownership::Settings,
     /// The process's clock.
     pub clock: Clock,
     /// Takes notes for operators.
@@ -111,8 +111,8 @@
 pub struct Decide {
     context: Context,
     outputs: Outputs,
-    keeper: Keeper,
-    board: Board,
+    keeper: Manager,
+    board: Directory,
     catalogue: Catalogue,
     view: Option<list::View>,
     hosts: BTreeMap<Term, Host>,
@@ -127,8 +127,8 @@
     /// Opens the duty's state.
     pub fn open(context: Context, outputs: Outputs) -> Decide {
         Decide {
-            keeper: Keeper::open(context.keeper.clone()),
-            board: Board::open(context.keeper.rank_delay),
+            keeper: Manager::open(context.keeper.clone()),
+            board: Directory::open(context.keeper.rank_delay),
             context,
             outputs,
             catalogue: Catalogue::default(),
@@ -178,7 +178,7 @@
         more |= drain(&mut inputs.link, |heard| self.on_heard(heard));
         more |= drain(&mut inputs.config, |change| self.on_config(change));
         more |= drain(&mut inputs.watch, |sighting| self.on_sighting(sighting));
-        if self.keeper.is_holding() {
+        if self.keeper.is_suspended() {
             return more;
         }
         more |= drain(&mut inputs.workers, |back| self.on_return(back));
@@ -195,7 +195,7 @@
     fn next_due(&self) -> Time {
         let now = self.now();
         let mut due = self.keeper.next_due(now);
-        if self.keeper.is_holding() {
+        if self.keeper.is_suspended() {
             return due;
         }
         due = due.min(self.cells_due);
@@ -208,8 +208,8 @@
 
     fn on_heard(&mut self, heard: Heard) {
         self.tell_keeper(match heard {
-            Heard::Release { call, cell, epoch } => Event::Asked { call, cell, epoch },
-            Heard::Released { cell, epoch, owner } => Event::Confirmed { cell, epoch, owner },
+            Heard::Release { call, cell, epoch } => Event::StoppedQueried { call, cell, epoch },
+            Heard::Released { cell, epoch, owner } => Event::StopConfirmed { cell, epoch, owner },
         });
     }
 
@@ -237,11 +237,11 @@
         if !self.list_stale {
             self.list_stale = true;
             let instance = self.context.keeper.instance.clone();
-            self.note(Number::ListStale, Subject::plain(instance), error);
+            self.note(LogEvent::ListStale, Subject::plain(instance), error);
         }
     }
 
-    fn note(&self, event: Number, subject: Subject, reason: String) {
+    fn note(&self, event: LogEvent, subject: Subject, reason: String) {
         self.context.metrics.event(event);
         self.context.journal.note(self.now(), event, subject, reason);
     }
@@ -260,7 +260,7 @@
         members.filter(move |member| {
             member.role == list::Role::Worker
                 && member.domain == self.context.keeper.domain
-                && self.keeper.plan().slice(&member.rack) == slice
+                && self.keeper.plan().cell_index(&member.rack) == slice
                 && slice.is_some()
         })
     }
--- a/bin/placer/src/decide/cells.rs
+++ b/bin/placer/src/decide/cells.rs
@@ -1,7 +1,7 @@
 //! Carries out what cells want, and tells them what became of it.
 
 use cowslipchute_base::amount::Amount;
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_cell::action::Action;
 use cowslipchute_cell::event::Event;
@@ -62,7 +62,7 @@
                 self.write_records(term, batch, &records, &removed);
             }
             // The keeper has told it.
-            Action::Note { event: Number::CellOwned, .. } => {}
+            Action::Note { event: LogEvent::CellOwned, .. } => {}
             Action::Note { event, subject, run, reason } => {
                 self.heed_parking(term, event, &subject, run.is_some());
                 self.note(event, Subject::run(subject, run), reason);
@@ -71,8 +71,8 @@
     }
 
     /// Remembers a job that was parked as a whole: it may be able to run in another cell.
-    fn heed_parking(&mut self, term: &Term, event: Number, subject: &id::Instance, run: bool) {
-        if event == Number::TaskParked
+    fn heed_parking(&mut self, term: &Term, event: LogEvent, subject: &id::Instance, run: bool) {
+        if event == LogEvent::TaskParked
             && !run
             && let Some(host) = self.hosts.get_mut(term)
         {
@@ -106,7 +106,7 @@
         if self.outputs.workers.send(errand).is_err() {
             host.exchanges -= 1;
             self.context.metrics.exchange("refused", std::time::Duration::ZERO);
-            self.tell_cell(term, Event::Failed { sequence, worker, unknown: false });
+            self.tell_cell(term, Event::Failed { sequence, worker, maybe_received: false });
         }
     }
 
@@ -121,10 +121,10 @@
                 self.tell_cell(&term, Event::Reported { sequence, report });
             }
             Err(error) => {
-                let unknown = matches!(error, worker::Error::Unknown(_));
-                let outcome = if unknown { "unknown" } else { "unsent" };
+                let maybe_received = matches!(error, worker::Error::Unknown(_));
+                let outcome = if maybe_received { "unknown" } else { "unsent" };
                 self.context.metrics.exchange(outcome, back.took);
-                self.tell_cell(&term, Event::Failed { sequence, worker, unknown });
+                self.tell_cell(&term, Event::Failed { sequence, worker, maybe_received });
             }
         }
         self.settle_host(&term);
@@ -133,7 +133,7 @@
     /// A worker that obeys a higher epoch shows that the cell has another owner.
     fn heed_epoch(&mut self, term: &Term, epoch: id::Epoch) {
         if epoch > term.epoch {
-            self.tell_keeper(Tenure::Outranked { cell: term.cell.clone(), epoch });
+            self.tell_keeper(Tenure::HigherEpoch { cell: term.cell.clone(), epoch });
         }
     }
 
@@ -153,7 +153,7 @@
         let former = host.former;
         let spec = self.catalogue.policy.clone();
         self.tell_cell(term, Event::Policy { spec });
-        let owned = Event::Owned { epoch: term.epoch, former, records: loaded.records };
+        let owned = Event::OwnershipAcquired { epoch: term.epoch, former, records: loaded.records };
         self.tell_cell(term, owned);
         self.tell_shares(term);
         self.tell_list(term);
@@ -189,7 +189,7 @@
     pub(super) fn share(&self, spec: &team::Spec) -> Amount {
         let domain = &*self.context.keeper.domain;
         let share = spec.shares.get(domain).copied().unwrap_or(Amount::ZERO);
-        let slices = self.keeper.plan().slices().max(1);
+        let slices = self.keeper.plan().cell_count().max(1);
         Amount {
             cpu_milli: share.cpu_milli / slices,
             memory_mib: share.memory_mib / slices,
@@ -212,7 +212,7 @@
         }
         for job in gone {
             let depart = host.departing.contains(job);
-            let along = self.board.leaving(job, &term.cell, depart).unwrap_or_default();
+            let along = self.board.begin_removal(job, &term.cell, depart).unwrap_or_default();
             let revision = host.revisions.get(job).copied();
             edits.push(Edit { job: job.clone(), revision, value: None, along });
         }
@@ -232,7 +232,7 @@
         }
         let leaving = std::mem::take(&mut host.leaving);
         if written.complete {
-            self.tell_cell(term, Event::Recorded { batch: number });
+            self.tell_cell(term, Event::BatchStored { batch: number });
             self.on_left(term, &leaving);
         } else {
             self.on_write_failed(term, number, written.deposed, written.error);
@@ -243,7 +243,7 @@
     fn on_left(&mut self, term: &Term, jobs: &[id::Job]) {
         let mut actions = Vec::new();
         for job in jobs {
-            self.board.left(job, &mut actions);
+            self.board.removal_written(job, &mut actions);
             if let Some(host) = self.hosts.get_mut(term) {
                 host.departing.remove(job);
             }
@@ -261,14 +261,14 @@
         if deposed {
             let reason = format!("epoch {} no longer stands in the store", term.epoch);
             let subject = Subject::plain(term.cell.clone());
-            self.note(Number::RecordRefused, subject, reason);
+            self.note(LogEvent::RecordRefused, subject, reason);
             self.tell_keeper(Tenure::Changed);
         }
         if let Some(error) = error {
             let subject = Subject::plain(term.cell.clone());
-            self.note(Number::StoreUnsettled, subject, error.to_string());
+            self.note(LogEvent::StoreUnsettled, subject, error.to_string());
         }
-        self.tell_cell(term, Event::RecordFailed { batch: number });
+        self.tell_cell(term, Event::BatchFailed { batch: number });
     }
 
     pub(super) fn tick_cells(&mut self) {
--- a/bin/placer/src/decide/homes.rs
+++ b/bin/placer/src/decide/homes.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_cell::event::Event;
 use cowslipchute_cell::status::Phase;
@@ -14,7 +14,7 @@
 use cowslipchute_resource::job;
 use cowslipchute_resource::key::HOME;
 use cowslipchute_resource::policy;
-use cowslipchute_tenure::board;
+use cowslipchute_tenure::directory;
 
 use crate::journal::Subject;
 use crate::message::Request;
@@ -59,7 +59,7 @@
         match kind {
             Kind::Job => {
                 let mut actions = Vec::new();
-                self.board.withdrawn(name, &mut actions);
+                self.board.undeclared(name, &mut actions);
                 self.carry_out_homes(actions);
             }
             Kind::Team => {
@@ -79,13 +79,13 @@
 
     fn on_in_force(&mut self, revision: id::Revision) {
         let mut actions = Vec::new();
-        self.board.learn_in_force(revision, &mut actions);
+        self.board.set_declared_revision(revision, &mut actions);
         self.carry_out_homes(actions);
         if !self.catalogue.read {
             self.catalogue.read = true;
             let instance = self.context.keeper.instance.clone();
             let reason = format!("revision {revision}");
-            self.note(Number::ConfigApplied, Subject::plain(instance), reason);
+            self.note(LogEvent::ConfigApplied, Subject::plain(instance), reason);
         }
     }
 
@@ -100,29 +100,29 @@
         let mut actions = Vec::new();
         match step {
             Step::Whole { snapshot } => {
-                self.board.learn_homes(now, &snapshot.entries, &mut actions);
+                self.board.load_homes(now, &snapshot.entries, &mut actions);
             }
-            Step::Put { entry } => self.board.learn_home(now, entry, &mut actions),
+            Step::Put { entry } => self.board.update_home(now, entry, &mut actions),
             Step::Deleted { key, revision } => {
                 if let Some(name) = key.strip_prefix(HOME) {
-                    self.board.forget_home(now, name, *revision);
+                    self.board.remove_home(now, name, *revision);
                 }
             }
         }
         self.carry_out_homes(actions);
     }
 
-    pub(super) fn carry_out_homes(&mut self, actions: Vec<board::Action>) {
+    pub(super) fn carry_out_homes(&mut self, actions: Vec<directory::Action>) {
         for action in actions {
             match action {
-                board::Action::Claim { txn } => self.request(Request::Claim { txn }),
-                board::Action::Job { cell, name, spec } => {
+                directory::Action::Claim { txn } => self.request(Request::Claim { txn }),
+                directory::Action::Assigned { cell, name, spec } => {
                     if let Some(term) = self.active_term(&cell) {
                         self.remember(&term, &name, true);
                         self.tell_cell(&term, Event::Job { name, spec });
                     }
                 }
-                board::Action::Gone { cell, name } => {
+                directory::Action::Removed { cell, name } => {
                     if let Some(term) = self.active_term(&cell) {
                         self.withdraw(&term, name);
                     }
@@ -145,7 +145,7 @@
         }
         if ready {
             self.remember(term, &name, false);
-            self.tell_cell(term, Event::JobGone { name });
+            self.tell_cell(term, Event::JobRemoved { name });
         } else if let Some(host) = self.hosts.get_mut(term) {
             host.withdrawn.insert(name);
         }
@@ -181,7 +181,7 @@
     /// Tells a cell just loaded which jobs it has.
     pub(super) fn tell_jobs(&mut self, term: &Term) {
         let mut actions = Vec::new();
-        self.board.own(&term.cell, &mut actions);
+        self.board.add_owned_cell(&term.cell, &mut actions);
         self.carry_out_homes(actions);
     }
 
@@ -198,14 +198,14 @@
 
     pub(super) fn on_cells(&mut self, outcome: Result<Vec<id::Cell>, kv::Error>) {
         match outcome {
-            Ok(cells) => self.board.learn_cells(cells),
+            Ok(cells) => self.board.set_cells(cells),
             Err(_) => self.cells_due = self.now() + RETRY,
         }
     }
 
     pub(super) fn on_claimed(&mut self, txn: &kv::Txn, outcome: Result<kv::Verdict, kv::Error>) {
         let mut actions = Vec::new();
-        self.board.claimed(self.now(), outcome, txn, RETRY, &mut actions);
+        self.board.claim_ended(self.now(), outcome, txn, RETRY, &mut actions);
         self.carry_out_homes(actions);
     }
 
@@ -221,7 +221,7 @@
             self.withdraw_waiting(&term);
             for job in self.departing(&term) {
                 self.remember(&term, &job, false);
-                self.tell_cell(&term, Event::JobGone { name: job });
+                self.tell_cell(&term, Event::JobRemoved { name: job });
             }
         }
     }
@@ -243,7 +243,7 @@
         let mut departing = Vec::new();
         for job in parked {
             let recorded = host.revisions.contains_key(&job) || host.writing.is_some();
-            if unstarted(&job) && !recorded && self.board.can_depart(&job) {
+            if unstarted(&job) && !recorded && self.board.can_move(&job) {
                 host.departing.insert(job.clone());
                 departing.push(job);
             } else {
--- a/bin/placer/src/decide/publish.rs
+++ b/bin/placer/src/decide/publish.rs
@@ -40,7 +40,7 @@
     }
 
     fn status(&self) -> Status {
-        let cells = self.keeper.standings().map(|standing| {
+        let cells = self.keeper.cell_statuses().map(|standing| {
             let host = self.hosts.values().find(|host| host.is_current(&standing.cell));
             status::Cell {
                 workers: self.cell_workers(&standing.cell).count(),
--- a/bin/placer/src/decide/tenure.rs
+++ b/bin/placer/src/decide/tenure.rs
@@ -34,12 +34,12 @@
     }
 
     fn carry_out(&mut self, action: Action) {
-        if matches!(action, Action::Own { .. } | Action::Quiesce { .. } | Action::Disown { .. }) {
+        if matches!(action, Action::Own { .. } | Action::Quiesce { .. } | Action::Stop { .. }) {
             // Who owns what is shown at once.
             self.published = Time::ZERO;
         }
         match action {
-            Action::Look { ticket } => self.request(Request::Look { ticket }),
+            Action::ReadDomain { ticket } => self.request(Request::Look { ticket }),
             Action::Commit { ticket, txn } => self.request(Request::Commit { ticket, txn }),
             Action::Grant { ticket, ttl } => self.request(Request::Grant { ticket, ttl }),
             Action::Renew { ticket, lease } => self.request(Request::Renew { ticket, lease }),
@@ -47,10 +47,10 @@
             Action::Own { cell, epoch, revision, former } => {
                 self.open_host(Term { cell, epoch }, revision, former);
             }
-            Action::Former { cell, former } => self.tell_former(&cell, former),
+            Action::PreviousOwners { cell, former } => self.tell_former(&cell, former),
             Action::Quiesce { cell, epoch } => self.quiesce(&Term { cell, epoch }),
-            Action::Disown { cell, epoch } => self.end_host(&Term { cell, epoch }),
-            Action::Ask { cell, epoch, owner } => {
+            Action::Stop { cell, epoch } => self.end_host(&Term { cell, epoch }),
+            Action::QueryStopped { cell, epoch, owner } => {
                 self.speak(Speech::Ask { cell, epoch, owner });
             }
             Action::Answer { call, reply } => self.speak(Speech::Reply { call, reply }),
@@ -106,7 +106,7 @@
             host.permit.withdraw();
             host.phase = Phase::Ended;
         }
-        self.board.disown(&term.cell);
+        self.board.remove_owned_cell(&term.cell);
         self.settle_host(term);
     }
 
@@ -118,7 +118,7 @@
             return;
         }
         if host.phase == Phase::Quiescing {
-            self.board.disown(&term.cell);
+            self.board.remove_owned_cell(&term.cell);
         }
         host.permit.withdraw();
         self.hosts.remove(term);
--- a/bin/placer/src/process.rs
+++ b/bin/placer/src/process.rs
@@ -16,7 +16,7 @@
 use cowslipchute_ports::kv::Store;
 use cowslipchute_ports::list::List;
 use cowslipchute_ports::worker::Worker;
-use cowslipchute_tenure::keeper;
+use cowslipchute_tenure::ownership;
 use slog::Logger;
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Parts<S, L, W, P> {
     /// Settings of the keeper.
-    pub keeper: keeper::Settings,
+    pub keeper: ownership::Settings,
     /// The key-value service.
     pub store: S,
     /// The platform's list.
--- a/bin/placer/src/settings.rs
+++ b/bin/placer/src/settings.rs
@@ -7,7 +7,7 @@
 use bpaf::Bpaf;
 use cowslipchute_daemon::settings::Common;
 use cowslipchute_daemon::settings::common;
-use cowslipchute_tenure::keeper;
+use cowslipchute_tenure::ownership;
 
 /// Runs jobs' tasks on the workers of a failure domain
 #[derive(Clone, Debug)]
@@ -134,17 +134,17 @@
     }
 
     /// Returns the keeper's part.
-    pub fn keeper(&self) -> keeper::Settings {
-        keeper::Settings {
+    pub fn keeper(&self) -> ownership::Settings {
+        ownership::Settings {
             instance: self.common.instance(),
             incarnation: self.common.incarnation,
             address: self.peer_listen,
             domain: self.common.domain(),
             lease: Duration::from_millis(self.lease_ttl),
-            cell_workers: self.cell_workers,
+            max_cell_workers: self.cell_workers,
             rank_delay: Duration::from_millis(self.rank_delay),
-            settle: Duration::from_millis(self.settle),
-            ask_every: Duration::from_secs(1),
+            handover_delay: Duration::from_millis(self.settle),
+            query_interval: Duration::from_secs(1),
         }
     }
 }
--- a/bin/placer/src/store.rs
+++ b/bin/placer/src/store.rs
@@ -53,7 +53,7 @@
         Request::Look { ticket } => {
             let prefix = key::domain(&context.domain);
             let outcome = read_within(limit, store.read(&prefix)).await;
-            Answer::Keeper(Event::Looked { ticket, outcome })
+            Answer::Keeper(Event::DomainRead { ticket, outcome })
         }
         Request::Commit { ticket, txn } => {
             let outcome = write_within(limit, store.commit(txn)).await;
@@ -93,7 +93,7 @@
 }
 
 fn cells(snapshot: kv::Snapshot) -> Vec<id::Cell> {
-    snapshot.entries.iter().filter_map(|entry| key::cell_at(&entry.key)).collect()
+    snapshot.entries.iter().filter_map(|entry| key::parse_cell(&entry.key)).collect()
 }
 
 async fn read_within<T>(
--- a/bin/placer/tests/bench/mod.rs
+++ b/bin/placer/tests/bench/mod.rs
@@ -49,7 +49,7 @@
 use cowslipchute_standin::fault;
 use cowslipchute_standin::fault::Fault;
 use cowslipchute_standin::fault::Target;
-use cowslipchute_tenure::keeper;
+use cowslipchute_tenure::ownership;
 use gate::Gate;
 use prometheus::Registry;
 
@@ -161,16 +161,16 @@
         let store = kv::Client::open(&self.standin.store_url(), CALL);
         let origin = Origin { domain: DOMAIN.into(), instance: name.into() };
         let parts = Parts {
-            keeper: keeper::Settings {
+            keeper: ownership::Settings {
                 instance: name.into(),
                 incarnation,
                 address,
                 domain: DOMAIN.into(),
                 lease: LEASE,
-                cell_workers: 250,
+                max_cell_workers: 250,
                 rank_delay: Duration::from_millis(50),
-                settle: Duration::from_secs(30),
-                ask_every: Duration::from_millis(200),
+                handover_delay: Duration::from_secs(30),
+                query_interval: Duration::from_millis(200),
             },
             store: gate.guard(store.with_origin(origin.clone())),
             list: list::Client::open(&self.standin.list_url()).with_origin(origin.clone()),
--- a/crates/cell/examples/speed.rs
+++ b/crates/cell/examples/speed.rs
@@ -124,7 +124,7 @@
             self.step(Event::Reported { sequence, report });
         }
         if let Some(batch) = self.batch.take() {
-            self.step(Event::Recorded { batch });
+            self.step(Event::BatchStored { batch });
         }
     }
 
@@ -183,7 +183,11 @@
         in_flight: Vec::new(),
     };
     bench.step(Event::Listed { view });
-    bench.step(Event::Owned { epoch: 1, former: Former::Released, records: Vec::new() });
+    bench.step(Event::OwnershipAcquired {
+        epoch: 1,
+        former: Former::Released,
+        records: Vec::new(),
+    });
     bench.answer(0);
     bench.answer(0);
     bench.show("fence");
--- a/crates/cell/src/action.rs
+++ b/crates/cell/src/action.rs
@@ -23,7 +23,8 @@
         exchange: worker::Exchange,
     },
     /// Write records in one transaction that is conditional on the cell's ownership. At most one
-    /// batch is in flight under an epoch; [`crate::event::Event::Disowned`] ends the wait for it.
+    /// batch is in flight under an epoch; [`crate::event::Event::OwnershipLost`] ends the wait for
+    /// it.
     Record {
         /// The batch.
         batch: u64,
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -10,7 +10,7 @@
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::entity::Table;
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::worker::Run;
@@ -20,22 +20,22 @@
 
 use crate::account::Totals;
 use crate::action::Action;
-use crate::census::Membership;
 use crate::event::Event;
 use crate::event::Sequence;
 use crate::evict::Budget;
-use crate::interfere::Model;
+use crate::interference::Model;
 use crate::job::Job;
 use crate::job::JobId;
 use crate::jobs::Undeclared;
-use crate::ledger::Writer;
-use crate::life::Ownership;
-use crate::life::Unowned;
+use crate::membership::Membership;
 use crate::queue::Queue;
 use crate::quota::Team;
 use crate::quota::TeamNames;
+use crate::stage::Ownership;
+use crate::stage::Unowned;
 use crate::worker::Worker;
 use crate::worker::WorkerId;
+use crate::writer::Writer;
 
 /// Settings of a cell that are fixed while it runs.
 #[derive(Clone, Debug)]
@@ -149,20 +149,22 @@
 
     fn take(&mut self, event: Event) {
         match event {
-            Event::Owned { epoch, former, records } => self.acquire(epoch, former, &records),
+            Event::OwnershipAcquired { epoch, former, records } => {
+                self.acquire(epoch, former, &records)
+            }
             Event::Former { former } => self.update_former(former),
-            Event::Disowned => self.lose_ownership("the ownership was given up or lost"),
+            Event::OwnershipLost => self.lose_ownership("the ownership was given up or lost"),
             Event::Policy { spec } => self.set_policy(spec),
             Event::Share { team, amount } => self.set_share(&team, amount),
             Event::Job { name, spec } => self.declare_job(name, spec),
-            Event::JobGone { name } => self.remove_job(&name),
+            Event::JobRemoved { name } => self.remove_job(&name),
             Event::Listed { view } => self.apply_list(&view),
             Event::Reported { sequence, report } => self.handle_report(sequence, &report),
-            Event::Failed { sequence, worker, unknown } => {
-                self.handle_failed_exchange(sequence, &worker, unknown)
+            Event::Failed { sequence, worker, maybe_received } => {
+                self.handle_failed_exchange(sequence, &worker, maybe_received)
             }
-            Event::Recorded { batch } => self.handle_recorded_batch(batch),
-            Event::RecordFailed { batch } => self.handle_failed_batch(batch),
+            Event::BatchStored { batch } => self.handle_recorded_batch(batch),
+            Event::BatchFailed { batch } => self.handle_failed_batch(batch),
             Event::Tick => {}
         }
     }
@@ -200,7 +202,7 @@
     /// Reports a log event about a job, a worker or the cell.
     pub(crate) fn note(
         &mut self,
-        event: Number,
+        event: LogEvent,
         subject: &id::Instance,
         reason: impl Into<String>,
     ) {
@@ -211,7 +213,7 @@
     /// Reports a log event about one run.
     pub(crate) fn note_run(
         &mut self,
-        event: Number,
+        event: LogEvent,
         worker: &id::Instance,
         run: Run,
         reason: impl Into<String>,
@@ -221,7 +223,7 @@
     }
 
     /// Reports a log event about the cell.
-    pub(crate) fn note_cell(&mut self, event: Number, reason: impl Into<String>) {
+    pub(crate) fn note_cell(&mut self, event: LogEvent, reason: impl Into<String>) {
         let cell = self.settings.cell.clone();
         self.note(event, &cell, reason);
     }
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The cell's ownership was taken in the store, under a new epoch.
-    Owned {
+    OwnershipAcquired {
         /// The epoch.
         epoch: id::Epoch,
         /// What is known about the former owner.
@@ -43,7 +43,7 @@
         former: Former,
     },
     /// The ownership was lost to a higher epoch, or given up.
-    Disowned,
+    OwnershipLost,
     /// The policy now in force.
     Policy {
         /// The policy.
@@ -64,7 +64,7 @@
         spec: Arc<job::Spec>,
     },
     /// A job is no longer declared: its tasks are cancelled and its record removed.
-    JobGone {
+    JobRemoved {
         /// The job's name.
         name: id::Job,
     },
@@ -87,15 +87,15 @@
         /// The worker.
         worker: id::Instance,
         /// Whether the worker may have received the exchange and executed its commands.
-        unknown: bool,
+        maybe_received: bool,
     },
     /// A batch of records is in the store.
-    Recorded {
+    BatchStored {
         /// The batch.
         batch: u64,
     },
     /// The outcome of writing a batch is unknown or it failed; it has to be written again.
-    RecordFailed {
+    BatchFailed {
         /// The batch.
         batch: u64,
     },
--- a/crates/cell/src/evict.rs
+++ b/crates/cell/src/evict.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use cowslipchute_base::class::Class;
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id::Time;
 
 use crate::cell::Cell;
-use crate::life::Stage;
+use crate::stage::Stage;
 use crate::worker::Allocation;
 use crate::worker::WorkerId;
 
@@ -60,7 +60,7 @@
         let run = self.run(&self.workers[id].allocations[index]);
         let name = self.workers[id].name.clone();
         self.eviction_budget.evictions.push_back(self.now);
-        self.note_run(Number::TaskEvicting, &name, run, reason);
+        self.note_run(LogEvent::TaskEvicting, &name, run, reason);
         self.touch(id);
         true
     }
@@ -87,7 +87,7 @@
         let name = self.workers[id].name.clone();
         self.eviction_budget.evictions.push_back(self.now);
         let reason = format!("{reason}; checkpoints take too long, so it starts again");
-        self.note_run(Number::TaskEvicting, &name, run, reason);
+        self.note_run(LogEvent::TaskEvicting, &name, run, reason);
         self.touch(id);
     }
 
--- a/crates/cell/src/exchange.rs
+++ b/crates/cell/src/exchange.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::worker;
@@ -19,7 +19,7 @@
 use crate::event::Sequence;
 use crate::job::JobId;
 use crate::lease;
-use crate::life::Stage;
+use crate::stage::Stage;
 use crate::worker::Allocation;
 use crate::worker::Fence;
 use crate::worker::Flight;
@@ -118,7 +118,7 @@
         let name = worker.name.clone();
         self.fencing_changed = true;
         self.update_free_capacity(id);
-        self.note(Number::WorkerSuspect, &name, "every lease that it may hold has lapsed");
+        self.note(LogEvent::WorkerSuspect, &name, "every lease that it may hold has lapsed");
     }
 
     fn send(&mut self, id: WorkerId, epoch: id::Epoch) {
@@ -178,14 +178,14 @@
         &mut self,
         sequence: Sequence,
         name: &id::Instance,
-        unknown: bool,
+        maybe_received: bool,
     ) {
         let Some((id, flight)) = self.finish_exchange(sequence, name) else { return };
         if flight.stale {
             return;
         }
         self.workers[id].acks.extend(flight.acks);
-        self.resend_failed(id, unknown);
+        self.resend_failed(id, maybe_received);
         let worker = &mut self.workers[id];
         worker.failed_exchanges += 1;
         let backoff = RETRY_DELAY * 2u32.saturating_pow(worker.failed_exchanges.min(10) - 1);
@@ -196,7 +196,7 @@
         if worker.failed_exchanges == SUSPECT_FAILURES && worker.fence == Fence::Fenced {
             worker.health = Health::Suspect;
             self.note(
-                Number::WorkerSuspect,
+                LogEvent::WorkerSuspect,
                 name,
                 "it does not answer; its tasks are maybe running",
             );
@@ -221,7 +221,7 @@
 
     /// Marks the commands of a failed exchange to be sent again; a start that certainly never
     /// arrived is cancelled.
-    fn resend_failed(&mut self, id: WorkerId, unknown: bool) {
+    fn resend_failed(&mut self, id: WorkerId, maybe_received: bool) {
         let worker = &mut self.workers[id];
         // The worker ignores a start that arrives after the lease granted with it has expired.
         let lease_expiry = worker.lease_expiry;
@@ -231,7 +231,7 @@
             allocation.command_in_flight = false;
             allocation.command_pending = true;
             let was_start = std::mem::take(&mut allocation.start_in_flight);
-            if !unknown {
+            if !maybe_received {
                 allocation.sends -= 1;
             } else if was_start {
                 allocation.late_start_until = lease_expiry;
--- a/crates/cell/src/blame.rs
+++ b/crates/cell/src/failure.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id::TaskIndex;
 use cowslipchute_base::id::Time;
 use smallvec::SmallVec;
@@ -161,7 +161,7 @@
         let name = worker.name.clone();
         let reason =
             format!("{} of its runs failed that its jobs are not to blame for", failures.len());
-        self.note(Number::WorkerQuarantined, &name, reason);
+        self.note(LogEvent::WorkerQuarantined, &name, reason);
         for failure in failures {
             self.revert_failure(id, failure);
         }
@@ -185,7 +185,7 @@
         let name = worker.name.clone();
         if is_worker_fault {
             let reason = format!("a probe failed; the next one comes in {} s", wait.as_secs());
-            self.note(Number::WorkerQuarantined, &name, reason);
+            self.note(LogEvent::WorkerQuarantined, &name, reason);
         }
         self.update_free_capacity(id);
         self.touch(id);
@@ -200,7 +200,7 @@
         if std::mem::take(&mut job.fails_everywhere) {
             job.parked = None;
             let name = job.name.clone();
-            self.note(Number::TaskUnparked, &name, "its worker was at fault");
+            self.note(LogEvent::TaskUnparked, &name, "its worker was at fault");
             self.enqueue(failure.job);
         }
         let job = &mut self.jobs[failure.job];
@@ -256,7 +256,7 @@
         worker.history.score = Score::default();
         worker.health = Health::Healthy;
         let name = worker.name.clone();
-        self.note(Number::WorkerHealthy, &name, reason);
+        self.note(LogEvent::WorkerHealthy, &name, reason);
         self.mark_freed(id);
         self.update_free_capacity(id);
     }
@@ -267,7 +267,7 @@
         if let Some(quarantine) = &mut worker.history.quarantine {
             quarantine.probe = Some(key);
             let name = worker.name.clone();
-            self.note(Number::WorkerProbed, &name, "one task is tried on it");
+            self.note(LogEvent::WorkerProbed, &name, "one task is tried on it");
         }
     }
 
@@ -292,6 +292,6 @@
         job.parked = Some(reason.clone());
         job.fails_everywhere = true;
         self.dequeue(id);
-        self.note(Number::TaskParked, &name, reason);
+        self.note(LogEvent::TaskParked, &name, reason);
     }
 }
--- a/crates/cell/src/fit.rs
+++ b/crates/cell/src/fit.rs
@@ -1,7 +1,7 @@
 //! Parking of jobs whose tasks are too large for every worker of the cell.
 
 use cowslipchute_base::amount::Amount;
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 
 use crate::cell::Cell;
 use crate::job::JobId;
@@ -36,11 +36,11 @@
         let name = job.name.clone();
         if fits {
             self.jobs[id].parked = None;
-            self.note(Number::TaskUnparked, &name, "a worker is large enough for it");
+            self.note(LogEvent::TaskUnparked, &name, "a worker is large enough for it");
         } else {
             let reason = self.unfit_reason(amount);
             self.jobs[id].parked = Some(reason.clone());
-            self.note(Number::TaskParked, &name, reason);
+            self.note(LogEvent::TaskParked, &name, reason);
         }
         true
     }
--- a/crates/cell/src/inventory.rs
+++ b/crates/cell/src/inventory.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashSet;
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id::Attempt;
 use cowslipchute_base::id::TaskIndex;
 use cowslipchute_base::id::Time;
@@ -15,10 +15,10 @@
 use crate::job::JobId;
 use crate::job::Outcome;
 use crate::job::State;
-use crate::life::Running;
-use crate::life::Stage;
-use crate::life::Starting;
-use crate::usage::Measurement;
+use crate::measurement::Measurement;
+use crate::stage::Running;
+use crate::stage::Stage;
+use crate::stage::Starting;
 use crate::worker::Ack;
 use crate::worker::Allocation;
 use crate::worker::WorkerId;
@@ -144,7 +144,7 @@
         if was_starting {
             let name = self.workers[id].name.clone();
             self.note_run(
-                Number::TaskRunning,
+                LogEvent::TaskRunning,
                 &name,
                 held.run.clone(),
                 "the worker confirmed the run",
@@ -271,7 +271,7 @@
     fn note_lost(&mut self, id: WorkerId, allocation: &Allocation, reason: &str) {
         let name = self.workers[id].name.clone();
         let run = self.run(allocation);
-        self.note_run(Number::TaskLost, &name, run, reason);
+        self.note_run(LogEvent::TaskLost, &name, run, reason);
     }
 
     /// Creates the allocation of a run whose start was not sent yet.
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -17,7 +17,7 @@
 use cowslipchute_resource::job;
 use smallvec::SmallVec;
 
-use crate::blame::Score;
+use crate::failure::Score;
 use crate::queue::Item;
 use crate::quota::TeamIndex;
 use crate::record::Span;
--- a/crates/cell/src/jobs.rs
+++ b/crates/cell/src/jobs.rs
@@ -4,21 +4,21 @@
 use std::time::Duration;
 
 use cowslipchute_base::amount::Amount;
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_base::id::TaskIndex;
 use cowslipchute_base::id::Time;
 use cowslipchute_resource::job;
 
 use crate::cell::Cell;
-use crate::census::LIST;
 use crate::job::Job;
 use crate::job::JobId;
 use crate::job::State;
-use crate::life::Ownership;
+use crate::membership::LIST;
 use crate::place::first_attempt;
 use crate::record::Record;
 use crate::size::Size;
+use crate::stage::Ownership;
 
 /// Time that an undeclared job's runs and records are kept while its declaration may still arrive.
 const UNDECLARED_TIMEOUT: Duration = Duration::from_secs(30);
@@ -98,7 +98,7 @@
         if cancelled > 0 {
             self.writer.mark(id);
             let reason = format!("{cancelled} tasks that were on no worker");
-            self.note(Number::TaskCancelled, &name, reason);
+            self.note(LogEvent::TaskCancelled, &name, reason);
         }
         self.stop_tasks_from(id, wanted);
         self.check_fit(id);
@@ -151,7 +151,7 @@
         let name = job.name.clone();
         self.writer.mark(id);
         let reason = format!("the job was changed; {} tasks", parked.len());
-        self.note(Number::TaskUnparked, &name, reason);
+        self.note(LogEvent::TaskUnparked, &name, reason);
     }
 
     pub(crate) fn reset_jobs(&mut self) {
--- a/crates/cell/src/lib.rs
+++ b/crates/cell/src/lib.rs
@@ -8,37 +8,37 @@
 
 pub mod action;
 pub mod cell;
-pub mod census;
 pub mod event;
+pub mod membership;
 pub mod record;
 pub mod status;
 
 mod account;
-mod blame;
 mod choose;
 mod evict;
 mod exchange;
+mod failure;
 mod fit;
-mod interfere;
+mod interference;
 mod inventory;
 mod job;
 mod jobs;
 mod lease;
-mod ledger;
-mod life;
 mod listing;
+mod measurement;
+mod mitigate;
 mod outcome;
 mod ownership;
 mod place;
+mod preempt;
 mod queue;
 mod quota;
-mod relief;
 mod report;
 mod size;
 mod span;
+mod stage;
 mod stored;
-mod urgent;
-mod usage;
 mod worker;
+mod writer;
 
 pub use worker::Health;
--- a/crates/cell/src/listing.rs
+++ b/crates/cell/src/listing.rs
@@ -3,7 +3,7 @@
 use std::collections::HashSet;
 
 use cowslipchute_base::amount::Amount;
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_ports::list::Member;
 use cowslipchute_ports::list::Role;
@@ -11,8 +11,8 @@
 use cowslipchute_ports::list::View;
 use smallvec::SmallVec;
 
-use crate::blame;
 use crate::cell::Cell;
+use crate::failure;
 use crate::worker::Fence;
 use crate::worker::Flight;
 use crate::worker::Health;
@@ -69,7 +69,7 @@
         worker.leaving = member.state == State::Leaving;
         if worker.leaving && !was_leaving {
             let name = worker.name.clone();
-            self.note(Number::WorkerLeaving, &name, "the platform lists it as leaving");
+            self.note(LogEvent::WorkerLeaving, &name, "the platform lists it as leaving");
         }
         self.mark_freed(id);
         self.update_free_capacity(id);
@@ -89,7 +89,7 @@
             health: Health::Unfenced,
             allocations: Vec::new(),
             committed: Amount::ZERO,
-            history: blame::History::default(),
+            history: failure::History::default(),
             ended_runs: Vec::new(),
             mitigated: id::Time::ZERO,
             reservation: None,
@@ -131,7 +131,7 @@
         }
         self.unmark_freed(id);
         if self.ownership.epoch().is_some() {
-            self.note(Number::WorkerGone, &worker.name, "the platform no longer lists it");
+            self.note(LogEvent::WorkerGone, &worker.name, "the platform no longer lists it");
         }
     }
 
--- a/crates/cell/src/usage.rs
+++ b/crates/cell/src/measurement.rs
@@ -11,10 +11,10 @@
 use cowslipchute_ports::worker::Usage;
 
 use crate::cell::Cell;
-use crate::interfere::Neighbour;
-use crate::interfere::Neighbours;
+use crate::interference::Neighbour;
+use crate::interference::Neighbours;
 use crate::job::JobId;
-use crate::life::FULL_PERMILLE;
+use crate::stage::FULL_PERMILLE;
 use crate::worker::Allocation;
 use crate::worker::Worker;
 use crate::worker::WorkerId;
--- a/crates/cell/src/relief.rs
+++ b/crates/cell/src/mitigate.rs
@@ -7,17 +7,17 @@
 use std::time::Duration;
 
 use cowslipchute_base::class::Class;
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id::Time;
 use smallvec::SmallVec;
 
 use crate::cell::Cell;
-use crate::interfere::Measured;
+use crate::interference::Measured;
 use crate::job::JobId;
-use crate::life::FULL_PERMILLE;
-use crate::life::Stage;
-use crate::usage::NO_SLOWDOWN_PERMILLE;
-use crate::usage::Throttle;
+use crate::measurement::NO_SLOWDOWN_PERMILLE;
+use crate::measurement::Throttle;
+use crate::stage::FULL_PERMILLE;
+use crate::stage::Stage;
 use crate::worker::Allocation;
 use crate::worker::WorkerId;
 
@@ -176,8 +176,8 @@
         allocation.stage = stage;
         allocation.command_pending = true;
         let number = match stage {
-            Stage::Throttled(_) => Number::TaskThrottled,
-            _ => Number::TaskUnthrottled,
+            Stage::Throttled(_) => LogEvent::TaskThrottled,
+            _ => LogEvent::TaskUnthrottled,
         };
         let run = self.run(&self.workers[id].allocations[index]);
         let name = self.workers[id].name.clone();
--- a/crates/cell/src/outcome.rs
+++ b/crates/cell/src/outcome.rs
@@ -1,6 +1,6 @@
 //! Ends of runs and their effects on the tasks.
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::worker::Phase;
@@ -54,7 +54,7 @@
         job.failures += 1;
         let run = Run { job: job.name.clone(), task: key.task, attempt: key.attempt };
         let name = self.workers[id].name.clone();
-        self.note_run(Number::TaskFailed, &name, run, reason);
+        self.note_run(LogEvent::TaskFailed, &name, run, reason);
         if !self.attribute_failure(id, key) {
             return Outcome::Failed;
         }
@@ -151,11 +151,11 @@
             .map_or_else(|| job.clone(), |worker| worker.name.clone());
         let run = Run { job, task: key.task, attempt: key.attempt };
         let (number, reason) = match outcome {
-            Outcome::Done => (Number::TaskDone, "it completed"),
-            Outcome::Cancelled => (Number::TaskCancelled, "its run has ended"),
-            Outcome::Park(reason) => (Number::TaskParked, reason.as_str()),
-            Outcome::Evicted => (Number::TaskEvicted, "it waits to run again"),
-            Outcome::Failed => (Number::TaskQueued, "it failed and waits to run again"),
+            Outcome::Done => (LogEvent::TaskDone, "it completed"),
+            Outcome::Cancelled => (LogEvent::TaskCancelled, "its run has ended"),
+            Outcome::Park(reason) => (LogEvent::TaskParked, reason.as_str()),
+            Outcome::Evicted => (LogEvent::TaskEvicted, "it waits to run again"),
+            Outcome::Failed => (LogEvent::TaskQueued, "it failed and waits to run again"),
         };
         self.note_run(number, &subject, run, reason);
     }
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -1,16 +1,16 @@
 //! Acquiring a cell's ownership, fencing its workers and losing the ownership.
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id::Epoch;
 use cowslipchute_base::id::Time;
 
 use crate::cell::Cell;
 use crate::event::Former;
 use crate::lease;
-use crate::life::Fencing;
-use crate::life::Ownership;
-use crate::life::Unowned;
 use crate::record::Record;
+use crate::stage::Fencing;
+use crate::stage::Ownership;
+use crate::stage::Unowned;
 use crate::worker::Fence;
 use crate::worker::WorkerId;
 
@@ -26,7 +26,7 @@
         self.load_membership(records);
         let fencing = Unowned.acquire(epoch, self.now, former);
         self.ownership = Ownership::Fencing(fencing);
-        self.note_cell(Number::CellOwned, format!("epoch {epoch}, former owner {former:?}"));
+        self.note_cell(LogEvent::CellOwned, format!("epoch {epoch}, former owner {former:?}"));
         self.touch_all();
         self.reconcile_all();
         self.fencing_changed = true;
@@ -48,7 +48,7 @@
         }
         self.clear();
         self.ownership = Ownership::Unowned(Unowned);
-        self.note_cell(Number::CellLost, reason);
+        self.note_cell(LogEvent::CellLost, reason);
     }
 
     /// Clears the state that belongs to an ownership; declarations, policy and worker list stay.
@@ -103,7 +103,7 @@
         self.lease_changed();
         let expired = self.workers.iter().filter(|(_, w)| w.fence == Fence::Expired).count();
         let all = self.workers.len();
-        self.note_cell(Number::CellReady, format!("{all} workers, {expired} of them waited out"));
+        self.note_cell(LogEvent::CellReady, format!("{all} workers, {expired} of them waited out"));
         self.enqueue_all();
     }
 
--- a/crates/cell/src/place.rs
+++ b/crates/cell/src/place.rs
@@ -1,7 +1,7 @@
 //! Placement of waiting tasks on workers with free capacity.
 
 use cowslipchute_base::amount::Amount;
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id::Attempt;
 use cowslipchute_base::id::Epoch;
 use cowslipchute_base::id::TaskIndex;
@@ -147,7 +147,7 @@
         self.end_reservation(id, job);
         self.note_probe(id, key);
         let name = self.workers[id].name.clone();
-        let number = if is_resumed { Number::TaskResumed } else { Number::TaskStarting };
+        let number = if is_resumed { LogEvent::TaskResumed } else { LogEvent::TaskStarting };
         self.note_run(number, &name, run, "it fits there");
     }
 }
--- a/crates/cell/src/record.rs
+++ b/crates/cell/src/record.rs
@@ -69,11 +69,11 @@
     /// The tasks that were cancelled.
     #[serde(default)]
     pub cancelled: Vec<Span>,
-    /// In the record named [`crate::census::LIST`], the version of the worker list that the owner
+    /// In the record named [`crate::membership::LIST`], the version of the worker list that the owner
     /// uses; zero in a job's record.
     #[serde(default)]
     pub view: u64,
-    /// In the record named [`crate::census::LIST`], the longest lease that any owner may have
+    /// In the record named [`crate::membership::LIST`], the longest lease that any owner may have
     /// granted and that may not have expired yet, in milliseconds; zero in a job's record.
     #[serde_as(as = "Millis")]
     #[serde(default, skip_serializing_if = "Duration::is_zero")]
--- a/crates/cell/src/report.rs
+++ b/crates/cell/src/report.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_ports::worker::Report;
 
@@ -10,7 +10,7 @@
 use crate::event::Sequence;
 use crate::exchange::RETRY_DELAY;
 use crate::lease;
-use crate::life::Stage;
+use crate::stage::Stage;
 use crate::worker::Fence;
 use crate::worker::Flight;
 use crate::worker::Health;
@@ -78,7 +78,7 @@
         if report.leaving && !worker.leaving {
             worker.leaving = true;
             let name = worker.name.clone();
-            self.note(Number::WorkerLeaving, &name, "it reports that it is leaving");
+            self.note(LogEvent::WorkerLeaving, &name, "it reports that it is leaving");
         }
         let was_fenced = self.workers[id].fence == Fence::Fenced;
         if !was_fenced {
@@ -138,7 +138,7 @@
         }
         worker.health = Health::Healthy;
         let name = worker.name.clone();
-        self.note(Number::WorkerHealthy, &name, "it answers and its inventory is known");
+        self.note(LogEvent::WorkerHealthy, &name, "it answers and its inventory is known");
         self.mark_freed(id);
     }
 }
--- a/crates/cell/src/status.rs
+++ b/crates/cell/src/status.rs
@@ -9,8 +9,8 @@
 use crate::cell::Cell;
 use crate::job::Outcome;
 use crate::job::State;
-use crate::life::Ownership;
-use crate::life::Stage;
+use crate::stage::Ownership;
+use crate::stage::Stage;
 use crate::worker::Fence;
 use crate::worker::Health;
 
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -12,14 +12,14 @@
 use cowslipchute_ports::worker;
 use smallvec::SmallVec;
 
-use crate::blame;
 use crate::event::Sequence;
+use crate::failure;
 use crate::job::JobId;
-use crate::life::Stage;
-use crate::urgent::Reservation;
-use crate::usage::Ended;
-use crate::usage::Measurement;
-use crate::usage::Throttle;
+use crate::measurement::Ended;
+use crate::measurement::Measurement;
+use crate::measurement::Throttle;
+use crate::preempt::Reservation;
+use crate::stage::Stage;
 
 pub(crate) type WorkerId = entity::Id<Worker>;
 
@@ -133,7 +133,7 @@
     pub(crate) allocations: Vec<Allocation>,
     pub(crate) committed: Amount,
     /// Its record of failures.
-    pub(crate) history: blame::History,
+    pub(crate) history: failure::History,
     /// Runs that ended recently.
     pub(crate) ended_runs: Vec<Ended>,
     /// The time at which its runs were last throttled, evicted or unthrottled for interference.
@@ -187,7 +187,7 @@
         self.reservation = None;
         self.ended_runs.clear();
         self.mitigated = Time::ZERO;
-        self.history = blame::History::default();
+        self.history = failure::History::default();
         self.version = 0;
         self.acks.clear();
         self.deferred_acks.clear();
--- a/crates/cell/src/ledger.rs
+++ b/crates/cell/src/writer.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id::Time;
 
 use crate::action::Action;
@@ -176,7 +176,7 @@
         for job in batch.removed {
             self.record_removed(job);
         }
-        self.note_cell(Number::RecordWritten, format!("batch {number} of {records} records"));
+        self.note_cell(LogEvent::RecordWritten, format!("batch {number} of {records} records"));
     }
 
     /// Handles a batch that has to be written again.
@@ -192,7 +192,7 @@
         self.membership.dirty |= batch.membership.is_some();
         if !std::mem::replace(&mut self.writer.isolated, true) {
             let reason = format!("batch {number} could not be settled; results stay with workers");
-            self.note_cell(Number::CellIsolated, reason);
+            self.note_cell(LogEvent::CellIsolated, reason);
         }
     }
 }
--- a/crates/cell/tests/scenarios.rs
+++ b/crates/cell/tests/scenarios.rs
@@ -228,7 +228,7 @@
             }
             "disown" => {
                 let owner = world.owner(command.word(0));
-                world.deliver_event(owner, Event::Disowned);
+                world.deliver_event(owner, Event::OwnershipLost);
             }
             "kill" => {
                 let owner = world.owner(command.word(0));
--- a/crates/cell/tests/world/mod.rs
+++ b/crates/cell/tests/world/mod.rs
@@ -196,7 +196,7 @@
         let name: id::Job = name.into();
         self.cancelled.insert(name.clone());
         self.jobs.remove(&name);
-        self.broadcast(&Event::JobGone { name });
+        self.broadcast(&Event::JobRemoved { name });
     }
 
     /// Opens an owner process that doesn't own the cell yet.
@@ -249,7 +249,7 @@
         let epoch = self.store.epoch;
         self.owners[owner].epoch = epoch;
         let records = self.store.records.values().cloned().collect();
-        self.deliver_event(owner, Event::Owned { epoch, former, records });
+        self.deliver_event(owner, Event::OwnershipAcquired { epoch, former, records });
     }
 
     /// Delivers an event to an owner; a frozen one gets it when it is thawed.
@@ -310,18 +310,18 @@
         let Some(batch) = self.owners[owner].batches.pop_front() else { return false };
         let number = batch.number;
         let event = if self.store.down {
-            Event::RecordFailed { batch: number }
+            Event::BatchFailed { batch: number }
         } else if batch.epoch != self.store.epoch && batch.epoch == self.owners[owner].epoch {
-            Event::Disowned
+            Event::OwnershipLost
         } else if batch.epoch != self.store.epoch {
-            Event::RecordFailed { batch: number }
+            Event::BatchFailed { batch: number }
         } else {
             self.apply(batch);
             let lost = self.store.lose_answers > 0;
             self.store.lose_answers = self.store.lose_answers.saturating_sub(1);
             match lost {
-                true => Event::RecordFailed { batch: number },
-                false => Event::Recorded { batch: number },
+                true => Event::BatchFailed { batch: number },
+                false => Event::BatchStored { batch: number },
             }
         };
         self.deliver_event(owner, event);
--- a/crates/cell/tests/world/play.rs
+++ b/crates/cell/tests/world/play.rs
@@ -121,7 +121,7 @@
     fn release(&mut self, slot: u8) {
         let owner = self.slot(slot);
         if self.holder == Some(owner) && !self.world.owners[owner].frozen {
-            self.world.deliver_event(owner, Event::Disowned);
+            self.world.deliver_event(owner, Event::OwnershipLost);
             self.holder = None;
             self.unreleased.remove(&owner);
         }
--- a/crates/cell/tests/world/wires.rs
+++ b/crates/cell/tests/world/wires.rs
@@ -22,7 +22,11 @@
             return true;
         };
         let (name, sequence) = (transfer.worker.clone(), transfer.sequence);
-        let failed = |unknown| Event::Failed { sequence, worker: name.as_str().into(), unknown };
+        let failed = |maybe_received| Event::Failed {
+            sequence,
+            worker: name.as_str().into(),
+            maybe_received,
+        };
         let (now, fake) = (self.now, self.fakes.get_mut(&name));
         let (answer, started) = match fake {
             Some(fake) if fake.alive && !fake.partitioned && fake.delay_exchanges > 0 => {
@@ -55,9 +59,10 @@
     /// Loses all exchanges in flight with a worker.
     pub fn lose_transfers(&mut self, worker: &str) {
         for transfer in self.transfers.iter_mut().filter(|transfer| transfer.worker == worker) {
-            let (sequence, unknown) = (transfer.sequence, transfer.exchange.is_none());
+            let (sequence, maybe_received) = (transfer.sequence, transfer.exchange.is_none());
             transfer.exchange = None;
-            transfer.answer = Some(Event::Failed { sequence, worker: worker.into(), unknown });
+            transfer.answer =
+                Some(Event::Failed { sequence, worker: worker.into(), maybe_received });
         }
     }
 
@@ -85,7 +90,7 @@
             let Some(exchange) = transfer.exchange.take() else { continue };
             self.late_exchanges.push((worker.to_owned(), exchange));
             let (sequence, worker) = (transfer.sequence, worker.into());
-            transfer.answer = Some(Event::Failed { sequence, worker, unknown: true });
+            transfer.answer = Some(Event::Failed { sequence, worker, maybe_received: true });
         }
     }
 
--- a/crates/claim/examples/cost.rs
+++ b/crates/claim/examples/cost.rs
@@ -68,19 +68,19 @@
     println!("| {keys} | {claim} | {settle} | {repeat} | {bytes} |");
 }
 
-fn open(claims: usize) -> Owner {
+fn open(max_claims: usize) -> Owner {
     let mut owner = Owner::open(Settings {
-        me: member(0),
+        member: member(0),
         retention: 600 * SECOND,
         lease: 10 * SECOND,
-        patience: SECOND,
-        stagger: SECOND,
-        claims,
-        answer_bytes: 4096,
-        answers_bytes: 16 << 20,
+        handover_timeout: SECOND,
+        takeover_delay: SECOND,
+        max_claims,
+        max_answer_bytes: 4096,
+        max_total_answer_bytes: 16 << 20,
     });
-    let roster = Roster::first(member(0)).into();
-    owner.step(SECOND, Event::RosterHeard { revision: 1, roster }, &mut Vec::new());
+    let roster = Roster::initial(member(0)).into();
+    owner.step(SECOND, Event::RosterReceived { revision: 1, roster }, &mut Vec::new());
     owner
 }
 
@@ -108,22 +108,22 @@
     Member {
         instance: format!("entry-{number}").into(),
         incarnation: 1_764_633_600_000,
-        life: 1_764_633_600_000 + u64::from(number),
+        started_at: 1_764_633_600_000 + u64::from(number),
         domain: "domain-a".into(),
         address: SocketAddr::from(([10, 1, 2, 3], 7000)),
-        listed: 1,
+        list_version: 1,
     }
 }
 
 fn roster(members: u16) {
-    let mut roster = Roster::first(member(0));
+    let mut roster = Roster::initial(member(0));
     let stays = |_: &Member| false;
     for number in 1..members {
         roster = spread(roster.revised(&member(number), stays).expect("it joins"));
     }
     let bytes = serde_json::to_vec(&roster).expect("a roster can be written").len();
     let joined = spread(roster.revised(&member(members), stays).expect("it joins"));
-    let left = roster.revised(&member(0), |gone| gone.is(&member(1))).expect("one is gone");
+    let left = roster.revised(&member(0), |gone| gone.is_same(&member(1))).expect("one is gone");
     let (join, leave) = (moved(&roster, &joined), moved(&roster, &left));
     println!("| {members} | {bytes} | {join} | {leave} |");
 }
@@ -132,7 +132,7 @@
 fn spread(mut roster: Roster) -> Roster {
     for slot in slot::all() {
         let to = roster.target(slot, None).expect("there are members").clone();
-        if !to.is(roster.owner_at(slot)) {
+        if !to.is_same(roster.owner_at(slot)) {
             let moved = cowslipchute_claim::roster::Move { slot, to, number: 1 };
             roster = roster.released(&[moved], None);
         }
@@ -141,6 +141,6 @@
 }
 
 fn moved(before: &Roster, after: &Roster) -> usize {
-    let is_moved = |slot: &u8| !before.owner_at(*slot).is(after.owner_at(*slot));
+    let is_moved = |slot: &u8| !before.owner_at(*slot).is_same(after.owner_at(*slot));
     slot::all().filter(is_moved).count()
 }
--- a/crates/claim/src/action.rs
+++ b/crates/claim/src/action.rs
@@ -7,8 +7,8 @@
 use cowslipchute_base::id::Revision;
 use cowslipchute_ports::peer::Claimed;
 
-use crate::event::Ask;
-use crate::event::Read;
+use crate::event::ReadId;
+use crate::event::RequestId;
 use crate::handover::Handover;
 use crate::roster::Member;
 use crate::roster::Roster;
@@ -19,7 +19,7 @@
     /// Answer a claim.
     Verdict {
         /// The claim.
-        ask: Ask,
+        ask: RequestId,
         /// The verdict.
         verdict: Claimed,
         /// When it makes sense to come back, if the verdict may be another then.
@@ -28,15 +28,15 @@
     /// Acknowledge a settlement or a handover.
     Acknowledge {
         /// What is acknowledged.
-        ask: Ask,
+        ask: RequestId,
         /// Whether it was taken in. If not, this process doesn't own the slot: a settlement is to
         /// be told to the owner by a newer roster.
-        taken: bool,
+        accepted: bool,
     },
     /// Read the roster from the store and tell how that ended. Never more than one at a time.
     ReadRoster {
         /// Number of the read.
-        read: Read,
+        read: ReadId,
     },
     /// Write the roster if its key is still at a revision, and tell how that ended. Never more than
     /// one at a time.
--- a/crates/claim/src/calls.rs
+++ b/crates/claim/src/calls.rs
@@ -2,12 +2,12 @@
 
 use cowslipchute_base::id::Time;
 
-use crate::event::Read;
+use crate::event::ReadId;
 
 #[derive(Debug, Default)]
 pub(crate) struct Calls {
-    reading: Option<Read>,
-    last_read: Read,
+    reading: Option<ReadId>,
+    last_read: ReadId,
     wants_read: bool,
     is_proposing: bool,
     /// No call is made before this, after one that failed.
@@ -21,7 +21,7 @@
     }
 
     /// Asks for a read that begins after now, whatever is out; returns its number.
-    pub(crate) fn want_fresh_read(&mut self, now: Time) -> Read {
+    pub(crate) fn want_fresh_read(&mut self, now: Time) -> ReadId {
         self.reading = None;
         self.wants_read = true;
         self.not_before = now;
@@ -29,7 +29,7 @@
     }
 
     /// Begins a read if one is wanted and may be made.
-    pub(crate) fn begin_read(&mut self, now: Time) -> Option<Read> {
+    pub(crate) fn begin_read(&mut self, now: Time) -> Option<ReadId> {
         if !self.wants_read || self.reading.is_some() || now < self.not_before {
             return None;
         }
@@ -44,7 +44,7 @@
         self.is_proposing = true;
     }
 
-    pub(crate) fn end_read(&mut self, read: Read) {
+    pub(crate) fn end_read(&mut self, read: ReadId) {
         if self.reading == Some(read) {
             self.reading = None;
         }
--- a/crates/claim/src/change.rs
+++ b/crates/claim/src/change.rs
@@ -4,15 +4,15 @@
 use cowslipchute_base::id::Time;
 
 use crate::action::Action;
-use crate::holding::Addressed;
-use crate::offer::Offer;
-use crate::offer::Stage;
+use crate::owned::Outgoing;
 use crate::owner::Owner;
 use crate::roster::Member;
 use crate::roster::Roster;
+use crate::transfer::Stage;
+use crate::transfer::Transfer;
 
-/// How many times `patience` passes before slots are offered again to one that did not take them.
-/// They can't be granted while they are offered, so this bounds how often they can't.
+/// How many times `handover_timeout` passes before slots are offered again to one that did not take
+/// them. They can't be granted while they are offered, so this bounds how often they can't.
 const OFFER_PAUSE: u32 = 10;
 
 impl Owner {
@@ -39,11 +39,12 @@
         if self.is_draining || !self.listing.shows(&self.me) {
             return None;
         }
-        let joining = Member { listed: self.listing.version, ..self.me.clone() };
+        let joining = Member { list_version: self.listing.version, ..self.me.clone() };
         match &self.roster {
-            Some(roster) => roster
-                .revised(&joining, |member| !member.is(&self.me) && self.listing.has_ended(member)),
-            None => self.is_missing.then(|| Roster::first(joining)),
+            Some(roster) => roster.revised(&joining, |member| {
+                !member.is_same(&self.me) && self.listing.has_ended(member)
+            }),
+            None => self.is_missing.then(|| Roster::initial(joining)),
         }
     }
 
@@ -55,8 +56,8 @@
             && roster.contains(&self.me)
         {
             let stays = roster.members.iter().filter(|member| next.contains(member));
-            let rank = stays.take_while(|member| !member.is(&self.me)).count() as u32;
-            if now < since + self.settings.stagger * rank {
+            let rank = stays.take_while(|member| !member.is_same(&self.me)).count() as u32;
+            if now < since + self.settings.takeover_delay * rank {
                 return;
             }
         }
@@ -69,13 +70,13 @@
         if now < self.offer_after && !self.is_draining {
             return;
         }
-        let until = now + self.settings.patience;
+        let until = now + self.settings.handover_timeout;
         let is_held = |slot| self.holding.hold(slot).is_some();
         let number = self.offers + 1;
-        let offer = Offer::open(roster, is_held, &self.me, self.is_draining, number, until);
+        let offer = Transfer::open(roster, is_held, &self.me, self.is_draining, number, until);
         let Some(mut offer) = offer else { return };
         self.offers = number;
-        for Addressed { to, handover } in self.holding.handovers(now, &mut offer) {
+        for Outgoing { to, handover } in self.holding.handovers(now, &mut offer) {
             actions.push(Action::HandOver { to, handover });
         }
         self.offer = self.advance_offer(now, offer, actions);
@@ -84,19 +85,19 @@
     fn advance_offer(
         &mut self,
         now: Time,
-        mut offer: Offer,
+        mut offer: Transfer,
         actions: &mut Vec<Action>,
-    ) -> Option<Offer> {
+    ) -> Option<Transfer> {
         if offer.stage == Stage::Sending && !offer.is_sent(now) {
             return Some(offer);
         }
         if offer.moves.is_empty() && !offer.is_last {
-            self.offer_after = now + self.settings.patience * OFFER_PAUSE;
+            self.offer_after = now + self.settings.handover_timeout * OFFER_PAUSE;
             return None;
         }
         offer.stage = Stage::Proposing;
         let roster = self.roster.as_ref().expect("an offer is made from a roster");
-        debug_assert_eq!(roster.version, offer.stamp.basis, "a newer roster ends the offer");
+        debug_assert_eq!(roster.version, offer.stamp.base_version, "a newer roster ends the offer");
         let leaver = offer.is_last.then_some(&self.me);
         let next = roster.released(&offer.moves, leaver);
         self.propose(next, actions);
--- a/crates/claim/src/event.rs
+++ b/crates/claim/src/event.rs
@@ -8,15 +8,15 @@
 use cowslipchute_ports::peer::Settlement;
 
 use crate::handover::Handover;
-use crate::handover::Stamp;
+use crate::handover::TransferId;
 use crate::roster::Roster;
 use crate::roster::Version;
 use crate::slot::Key;
 
 /// Number by which a process matches a reply to what was asked of its owner.
-pub type Ask = u64;
+pub type RequestId = u64;
 /// Number of one read of the roster, rising within an owner.
-pub type Read = u64;
+pub type ReadId = u64;
 
 /// What an owner is told.
 #[derive(Clone, Debug)]
@@ -24,14 +24,14 @@
     /// A read of the roster that the owner asked for ended.
     RosterRead {
         /// Which read.
-        read: Read,
+        read: ReadId,
         /// The store's revision of the roster's key; zero if there is none.
         revision: Revision,
         /// The roster, or nothing when there is none yet.
         roster: Option<Arc<Roster>>,
     },
     /// A roster came by a watch or a peer. It may be late, so it doesn't prove what is so now.
-    RosterHeard {
+    RosterReceived {
         /// The store's revision of the roster's key.
         revision: Revision,
         /// The roster.
@@ -40,7 +40,7 @@
     /// A proposal was decided by the store, either way.
     Proposed,
     /// A read or proposal of the roster failed; a proposal may still take effect.
-    StoreLost,
+    StoreFailed,
     /// The platform's list of all failure domains was read; an older version is ignored.
     Listed {
         /// The list.
@@ -49,7 +49,7 @@
     /// An entry asks whether it may run the request with a key.
     Claim {
         /// To match the verdict.
-        ask: Ask,
+        ask: RequestId,
         /// Who asks.
         claimant: Claimant,
         /// The key.
@@ -60,7 +60,7 @@
     /// An entry tells what became of a request that it was granted. It does so once for a grant.
     Settle {
         /// To match the acknowledgement.
-        ask: Ask,
+        ask: RequestId,
         /// Who was granted it.
         claimant: Claimant,
         /// The key.
@@ -69,20 +69,20 @@
         settlement: Settlement,
     },
     /// Another owner passes on what it knows of slots that it is about to give up.
-    Adopt {
+    HandoverReceived {
         /// To match the acknowledgement.
-        ask: Ask,
+        ask: RequestId,
         /// What it knows.
         handover: Handover,
     },
     /// A handover that this owner sent was acknowledged, or failed.
     HandedOver {
         /// The offer.
-        stamp: Stamp,
+        transfer: TransferId,
         /// Number of the message within it.
-        part: u32,
+        message_number: u32,
         /// Whether the other owner holds it.
-        held: bool,
+        accepted: bool,
     },
     /// Time passed.
     Tick,
--- a/crates/claim/src/handover.rs
+++ b/crates/claim/src/handover.rs
@@ -29,7 +29,7 @@
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Kept {
+pub struct Grant {
     /// The key.
     pub key: Key,
     /// To whom it was granted.
@@ -38,21 +38,21 @@
     pub state: State,
     /// How long it has to be kept yet.
     #[serde_as(as = "Millis")]
-    pub left: Duration,
+    pub expires_in: Duration,
 }
 
 /// All that is known of one slot.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Parcel {
+pub struct SlotState {
     /// The slot.
     pub slot: Slot,
-    /// How long a key that is not among `kept` may have been granted by an earlier owner.
+    /// How long a key that is not among `grants` may have been granted by an earlier owner.
     #[serde_as(as = "Millis")]
-    pub doubt: Duration,
+    pub in_doubt_for: Duration,
     /// The keys granted.
-    pub kept: Vec<Kept>,
+    pub grants: Vec<Grant>,
 }
 
 /// Names what was sent of an offer of slots.
@@ -62,9 +62,9 @@
 /// keys may have been granted since.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
-pub struct Stamp {
+pub struct TransferId {
     /// Version of the roster that is to be changed.
-    pub basis: Version,
+    pub base_version: Version,
     /// Number of the offer, never used again by its sender.
     pub number: u64,
 }
@@ -74,11 +74,11 @@
 #[derive(Serialize, Deserialize)]
 pub struct Handover {
     /// Which offer it belongs to.
-    pub stamp: Stamp,
+    pub transfer: TransferId,
     /// Number of this message within the offer.
-    pub part: u32,
+    pub message_number: u32,
     /// The slots.
-    pub parcels: Vec<Parcel>,
+    pub slots: Vec<SlotState>,
 }
 
 impl Handover {
@@ -95,12 +95,12 @@
 
     /// Counts the keys of all slots.
     pub fn keys(&self) -> usize {
-        self.parcels.iter().map(|parcel| parcel.kept.len()).sum()
+        self.slots.iter().map(|parcel| parcel.grants.len()).sum()
     }
 
     /// Counts the bytes of all answers.
     pub fn answers_bytes(&self) -> usize {
-        let kept = self.parcels.iter().flat_map(|parcel| &parcel.kept);
+        let kept = self.slots.iter().flat_map(|parcel| &parcel.grants);
         kept.map(|kept| match &kept.state {
             State::Ran(Some(answer)) => {
                 answer.body.len() + answer.content_type.as_ref().map_or(0, String::len)
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -15,8 +15,8 @@
 
 mod calls;
 mod change;
-mod holding;
 mod listing;
-mod offer;
+mod owned;
 mod table;
+mod transfer;
 mod verdict;
--- a/crates/claim/src/listing.rs
+++ b/crates/claim/src/listing.rs
@@ -33,6 +33,6 @@
     /// Tells whether the platform has ended a member. A list older than the one that showed it when
     /// it joined says nothing.
     pub(crate) fn has_ended(&self, member: &Member) -> bool {
-        self.version >= member.listed && !self.shows(member)
+        self.version >= member.list_version && !self.shows(member)
     }
 }
--- a/crates/claim/src/owner.rs
+++ b/crates/claim/src/owner.rs
@@ -12,18 +12,18 @@
 use crate::calls::Calls;
 use crate::event::Claimant;
 use crate::event::Event;
-use crate::event::Read;
+use crate::event::ReadId;
 use crate::handover::Handover;
-use crate::holding::Holding;
 use crate::listing::Listing;
-use crate::offer::Offer;
+use crate::owned::Slots;
 use crate::roster::Member;
 use crate::roster::Roster;
 use crate::roster::Version;
 use crate::slot::Key;
 use crate::slot::Slot;
 use crate::table::Limits;
-use crate::verdict::SOON;
+use crate::transfer::Transfer;
+use crate::verdict::MIN_RETRY_AFTER;
 use crate::verdict::Verdict;
 
 /// Steps that an owner asks for within one lease, so that a pause of half a lease stands out.
@@ -32,8 +32,8 @@
 /// Settings of an owner that no operator changes while it runs.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This process. `listed` is filled in when it joins.
-    pub me: Member,
+    /// This process. `list_version` is filled in when it joins.
+    pub member: Member,
     /// How long a key is remembered after it was granted and after its request was settled. Has to
     /// be longer than any request's deadline.
     pub retention: Duration,
@@ -42,15 +42,15 @@
     pub lease: Duration,
     /// How long handovers are waited for before a slot is given up, and how long the store is left
     /// alone after a call that failed.
-    pub patience: Duration,
+    pub handover_timeout: Duration,
     /// How much longer each member waits than the one before it to take over from one that ended.
-    pub stagger: Duration,
+    pub takeover_delay: Duration,
     /// Keys kept at most.
-    pub claims: usize,
+    pub max_claims: usize,
     /// Bytes of one answer at most; of a larger one it is only kept that the request ran.
-    pub answer_bytes: usize,
+    pub max_answer_bytes: usize,
     /// Bytes of all answers at most; the oldest give way.
-    pub answers_bytes: usize,
+    pub max_total_answer_bytes: usize,
 }
 
 /// Decides about every key whose slot this process owns.
@@ -63,15 +63,15 @@
     pub(crate) revision: Revision,
     /// A read found no roster, so the first one may be made.
     pub(crate) is_missing: bool,
-    pub(crate) holding: Holding,
-    pub(crate) offer: Option<Offer>,
+    pub(crate) holding: Slots,
+    pub(crate) offer: Option<Transfer>,
     pub(crate) offers: u64,
     pub(crate) offer_after: Time,
     pub(crate) listing: Listing,
     pub(crate) vacancy_since: Option<Time>,
     pub(crate) calls: Calls,
     /// Set after a pause: only this read or a later one proves what is owned.
-    pub(crate) unproven: Option<Read>,
+    pub(crate) unproven: Option<ReadId>,
     pub(crate) is_ended: bool,
     pub(crate) is_draining: bool,
     last_step: Option<Time>,
@@ -82,19 +82,19 @@
     pub fn open(settings: Settings) -> Owner {
         let limits = Limits {
             retention: settings.retention,
-            claims: settings.claims,
-            answer_bytes: settings.answer_bytes,
-            answers_bytes: settings.answers_bytes,
+            claims: settings.max_claims,
+            answer_bytes: settings.max_answer_bytes,
+            answers_bytes: settings.max_total_answer_bytes,
         };
         let mut calls = Calls::default();
         calls.want_read();
         Owner {
-            me: settings.me.clone(),
+            me: settings.member.clone(),
             settings,
             roster: None,
             revision: 0,
             is_missing: false,
-            holding: Holding::open(limits),
+            holding: Slots::open(limits),
             offer: None,
             offers: 0,
             offer_after: Time::ZERO,
@@ -118,28 +118,28 @@
             Event::RosterRead { read, revision, roster } => {
                 self.roster_read(now, read, revision, roster, actions);
             }
-            Event::RosterHeard { revision, roster } => self.take(now, revision, roster, actions),
+            Event::RosterReceived { revision, roster } => self.take(now, revision, roster, actions),
             Event::Proposed => self.calls.end_proposal(),
-            Event::StoreLost => self.calls.fail(now + self.settings.patience),
+            Event::StoreFailed => self.calls.fail(now + self.settings.handover_timeout),
             Event::Listed { view } => self.listed(&view),
             Event::Claim { ask, claimant, key, roster } => {
                 let verdict = self.claim(now, claimant, key, roster);
                 actions.push(verdict.answer(ask));
             }
             Event::Settle { ask, claimant, key, settlement } => {
-                let taken = self.is_settled_here(key.slot());
-                if taken {
+                let accepted = self.is_settled_here(key.slot());
+                if accepted {
                     self.holding.table.settle(now, key, claimant, settlement);
                 }
-                actions.push(Action::Acknowledge { ask, taken });
+                actions.push(Action::Acknowledge { ask, accepted });
             }
-            Event::Adopt { ask, handover } => {
-                let taken = self.adopt(handover);
-                actions.push(Action::Acknowledge { ask, taken });
+            Event::HandoverReceived { ask, handover } => {
+                let accepted = self.adopt(handover);
+                actions.push(Action::Acknowledge { ask, accepted });
             }
-            Event::HandedOver { stamp, part, held } => {
+            Event::HandedOver { transfer, message_number, accepted } => {
                 if let Some(offer) = &mut self.offer {
-                    offer.handed_over(stamp, part, held);
+                    offer.handed_over(transfer, message_number, accepted);
                 }
             }
             Event::Tick => {}
@@ -154,7 +154,7 @@
     /// Tells when a [`Event::Tick`] is next due. Steps that come later than this look like a pause.
     pub fn next_due(&self) -> Option<Time> {
         let beat = self.last_step? + self.settings.lease / STEPS_A_LEASE;
-        let offer = self.offer.as_ref().map_or(Time::MAX, Offer::due);
+        let offer = self.offer.as_ref().map_or(Time::MAX, Transfer::due);
         Some(beat.min(offer))
     }
 
@@ -176,7 +176,7 @@
     /// Tells whether a draining process has left the roster, or is alone in it.
     pub fn is_drained(&self) -> bool {
         let Some(roster) = &self.roster else { return self.is_draining };
-        let has_others = roster.members.iter().any(|member| !member.is(&self.me));
+        let has_others = roster.members.iter().any(|member| !member.is_same(&self.me));
         self.is_draining && !(roster.contains(&self.me) && has_others)
     }
 
@@ -197,19 +197,21 @@
     }
 
     fn claim(&mut self, now: Time, claimant: Claimant, key: Key, asked: Version) -> Verdict {
-        let Some(roster) = &self.roster else { return Verdict::not_owner(SOON) };
+        let Some(roster) = &self.roster else { return Verdict::not_owner(MIN_RETRY_AFTER) };
         if asked > roster.version {
             // The asker knows of a change that has not come here; it may be about this slot.
             self.calls.want_read();
-            return Verdict::not_owner(SOON);
+            return Verdict::not_owner(MIN_RETRY_AFTER);
         }
         let slot = key.slot();
-        let Some(hold) = self.holding.hold(slot) else { return Verdict::not_owner(SOON) };
+        let Some(hold) = self.holding.hold(slot) else {
+            return Verdict::not_owner(MIN_RETRY_AFTER);
+        };
         if let Some(record) = self.holding.table.find(&key) {
             return Verdict::of_state(&record.state);
         }
         if !self.may_grant(slot) {
-            return Verdict::not_owner(SOON);
+            return Verdict::not_owner(MIN_RETRY_AFTER);
         }
         if now < hold.doubt {
             return Verdict::not_owner(hold.doubt - now);
@@ -237,8 +239,10 @@
     }
 
     fn adopt(&mut self, handover: Handover) -> bool {
-        let is_old =
-            self.roster.as_ref().is_some_and(|roster| roster.version > handover.stamp.basis);
+        let is_old = self
+            .roster
+            .as_ref()
+            .is_some_and(|roster| roster.version > handover.transfer.base_version);
         !is_old && !self.is_draining && self.holding.adopt(handover)
     }
 
@@ -247,14 +251,14 @@
             return;
         }
         let mut members = self.roster.iter().flat_map(|roster| &roster.members);
-        let me = members.find(|member| member.is(&self.me));
+        let me = members.find(|member| member.is_same(&self.me));
         self.is_ended |= me.is_some_and(|me| self.listing.has_ended(me));
     }
 
     fn roster_read(
         &mut self,
         now: Time,
-        read: Read,
+        read: ReadId,
         revision: Revision,
         roster: Option<Arc<Roster>>,
         actions: &mut Vec<Action>,
@@ -298,5 +302,6 @@
 
 /// Tells whether `other` came in the place of `me`.
 fn is_later(other: &Member, me: &Member) -> bool {
-    other.instance == me.instance && (other.incarnation, other.life) > (me.incarnation, me.life)
+    other.instance == me.instance
+        && (other.incarnation, other.started_at) > (me.incarnation, me.started_at)
 }
--- a/crates/claim/src/roster.rs
+++ b/crates/claim/src/roster.rs
@@ -23,7 +23,7 @@
 /// Version of the roster; rises by one with each change.
 pub type Version = u64;
 /// Number that tells one start of a process from every other start of the same instance.
-pub type Life = u64;
+pub type StartTime = u64;
 
 /// One entry process that may own slots.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -35,29 +35,31 @@
     pub incarnation: Incarnation,
     /// Which start of the process it is. A process that is started again under the same
     /// incarnation has forgotten every key, so it is another member.
-    pub life: Life,
+    #[serde(rename = "life")]
+    pub started_at: StartTime,
     /// Its failure domain.
     pub domain: Domain,
     /// Where its peers reach it.
     pub address: SocketAddr,
     /// Version of the platform's list that showed the instance when it joined. Only a list at
     /// least as new says by its absence that the instance has ended.
-    pub listed: u64,
+    #[serde(rename = "listed")]
+    pub list_version: u64,
 }
 
 impl Member {
     /// Tells whether two members are the same process.
-    pub fn is(&self, other: &Member) -> bool {
+    pub fn is_same(&self, other: &Member) -> bool {
         self.instance == other.instance
             && self.incarnation == other.incarnation
-            && self.life == other.life
+            && self.started_at == other.started_at
     }
 
     /// Tells whether `self` runs in the place of `other`, which has therefore ended.
     pub fn replaces(&self, other: &Member) -> bool {
         self.instance == other.instance
             && self.incarnation == other.incarnation
-            && self.life > other.life
+            && self.started_at > other.started_at
     }
 }
 
@@ -77,7 +79,7 @@
 /// One slot's entry in the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Share {
+pub struct Assignment {
     /// Place of its owner among the members.
     pub owner: u16,
     /// Version of the roster with which the owner got it.
@@ -118,14 +120,15 @@
     /// The processes that may own slots, in the order in which they joined.
     pub members: Vec<Member>,
     /// One share for each slot, by its number.
-    pub shares: Vec<Share>,
+    #[serde(rename = "shares")]
+    pub assignments: Vec<Assignment>,
 }
 
 impl Roster {
     /// Makes the first roster of a deployment: one member owns every slot.
-    pub fn first(member: Member) -> Roster {
-        let share = Share { owner: 0, since: 1, origin: Origin::First };
-        Roster { version: 1, members: vec![member], shares: vec![share; slot::COUNT] }
+    pub fn initial(member: Member) -> Roster {
+        let share = Assignment { owner: 0, since: 1, origin: Origin::First };
+        Roster { version: 1, members: vec![member], assignments: vec![share; slot::COUNT] }
     }
 
     /// Checks a roster that was read.
@@ -134,10 +137,10 @@
     ///
     /// When the number of slots is wrong or a slot has no owner among the members.
     pub fn check(&self) -> Result<(), Error> {
-        if self.shares.len() != slot::COUNT {
-            return Err(Error::Slots(self.shares.len()));
+        if self.assignments.len() != slot::COUNT {
+            return Err(Error::Slots(self.assignments.len()));
         }
-        let orphan = slot::all().find(|slot| self.member(self.share(*slot).owner).is_none());
+        let orphan = slot::all().find(|slot| self.member(self.assignment(*slot).owner).is_none());
         orphan.map_or(Ok(()), |slot| Err(Error::NoOwner(slot)))
     }
 
@@ -148,12 +151,13 @@
 
     /// Returns the owner of a slot.
     pub fn owner_at(&self, slot: Slot) -> &Member {
-        self.member(self.share(slot).owner).expect("a checked roster has an owner for each slot")
+        self.member(self.assignment(slot).owner)
+            .expect("a checked roster has an owner for each slot")
     }
 
     /// Returns a slot's entry.
-    pub fn share(&self, slot: Slot) -> Share {
-        self.shares[usize::from(slot)]
+    pub fn assignment(&self, slot: Slot) -> Assignment {
+        self.assignments[usize::from(slot)]
     }
 
     /// Finds the member that is reached at an address.
@@ -163,7 +167,7 @@
 
     /// Tells whether a process is a member.
     pub fn contains(&self, process: &Member) -> bool {
-        self.members.iter().any(|member| member.is(process))
+        self.members.iter().any(|member| member.is_same(process))
     }
 
     /// Returns who should own a slot, `leaver` left out: the member with the highest weight for it.
@@ -171,7 +175,7 @@
     /// A member that joins draws slots only to itself, and the slots of one that leaves are spread
     /// over all others; nothing else moves.
     pub fn target(&self, slot: Slot, leaver: Option<&Member>) -> Option<&Member> {
-        let stays = |member: &&Member| leaver.is_none_or(|leaver| !member.is(leaver));
+        let stays = |member: &&Member| leaver.is_none_or(|leaver| !member.is_same(leaver));
         self.members.iter().filter(stays).max_by_key(|member| weight(slot, member))
     }
 
@@ -180,7 +184,7 @@
     pub fn revised(&self, joining: &Member, has_ended: impl Fn(&Member) -> bool) -> Option<Roster> {
         let stays = |member: &&Member| !has_ended(member) && !joining.replaces(member);
         let mut members: Vec<Member> = self.members.iter().filter(stays).cloned().collect();
-        if !members.iter().any(|member| member.is(joining)) {
+        if !members.iter().any(|member| member.is_same(joining)) {
             members.push(joining.clone());
         }
         if members == self.members {
@@ -195,8 +199,9 @@
         next.version += 1;
         for moved in moves {
             let owner = next.place(&moved.to).expect("slots are moved to members");
-            let share = Share { owner, since: next.version, origin: Origin::Handed(moved.number) };
-            next.shares[usize::from(moved.slot)] = share;
+            let share =
+                Assignment { owner, since: next.version, origin: Origin::Handed(moved.number) };
+            next.assignments[usize::from(moved.slot)] = share;
         }
         match leaver {
             Some(leaver) if !next.owns_any(leaver) => next.without(leaver),
@@ -206,7 +211,7 @@
 
     /// Drops a member that owns nothing, without counting that as a version of its own.
     fn without(mut self, leaver: &Member) -> Roster {
-        let stays = |member: &&Member| !member.is(leaver);
+        let stays = |member: &&Member| !member.is_same(leaver);
         let members = self.members.iter().filter(stays).cloned().collect();
         self.version -= 1;
         self.with_members(members)
@@ -214,29 +219,29 @@
 
     fn with_members(&self, members: Vec<Member>) -> Roster {
         let version = self.version + 1;
-        let mut next = Roster { version, members, shares: Vec::with_capacity(slot::COUNT) };
+        let mut next = Roster { version, members, assignments: Vec::with_capacity(slot::COUNT) };
         for slot in slot::all() {
             let share = match next.place(self.owner_at(slot)) {
-                Some(owner) => Share { owner, ..self.share(slot) },
+                Some(owner) => Assignment { owner, ..self.assignment(slot) },
                 None => next.taken(slot),
             };
-            next.shares.push(share);
+            next.assignments.push(share);
         }
         next
     }
 
-    fn taken(&self, slot: Slot) -> Share {
+    fn taken(&self, slot: Slot) -> Assignment {
         let target = self.target(slot, None).expect("a roster has at least one member");
         let owner = self.place(target).expect("a target is a member");
-        Share { owner, since: self.version, origin: Origin::Ended }
+        Assignment { owner, since: self.version, origin: Origin::Ended }
     }
 
     fn owns_any(&self, process: &Member) -> bool {
-        slot::all().any(|slot| self.owner_at(slot).is(process))
+        slot::all().any(|slot| self.owner_at(slot).is_same(process))
     }
 
     fn place(&self, process: &Member) -> Option<u16> {
-        self.members.iter().position(|member| member.is(process)).map(|place| place as u16)
+        self.members.iter().position(|member| member.is_same(process)).map(|place| place as u16)
     }
 
     fn member(&self, place: u16) -> Option<&Member> {
@@ -249,11 +254,11 @@
 struct Weight {
     hash: u64,
     incarnation: Incarnation,
-    life: Life,
+    life: StartTime,
 }
 
 fn weight(slot: Slot, member: &Member) -> Weight {
     // By name alone, so that an instance that is replaced gets the slots of its predecessor.
     let hash = xxh3_64_with_seed(member.instance.as_bytes(), u64::from(slot));
-    Weight { hash, incarnation: member.incarnation, life: member.life }
+    Weight { hash, incarnation: member.incarnation, life: member.started_at }
 }
--- a/crates/claim/src/table.rs
+++ b/crates/claim/src/table.rs
@@ -9,7 +9,7 @@
 use cowslipchute_ports::peer::Settlement;
 
 use crate::event::Claimant;
-use crate::handover::Kept;
+use crate::handover::Grant;
 use crate::handover::State;
 use crate::slot;
 use crate::slot::Key;
@@ -145,7 +145,7 @@
     }
 
     /// Copies a slot for its next owner, answers up to a number of bytes in all.
-    pub(crate) fn export(&self, now: Time, slot: Slot, mut bytes: usize) -> Vec<Kept> {
+    pub(crate) fn export(&self, now: Time, slot: Slot, mut bytes: usize) -> Vec<Grant> {
         let mut kept = Vec::new();
         for (key, record) in &self.slots[usize::from(slot)] {
             let size = answer_bytes(&record.state);
@@ -156,17 +156,22 @@
                     state.clone()
                 }
             };
-            let left = record.until.saturating_sub(now);
-            kept.push(Kept { key: key.clone(), claimant: record.claimant.clone(), state, left });
+            let expires_in = record.until.saturating_sub(now);
+            kept.push(Grant {
+                key: key.clone(),
+                claimant: record.claimant.clone(),
+                state,
+                expires_in,
+            });
         }
         kept
     }
 
     /// Takes over a slot from its former owner.
-    pub(crate) fn import(&mut self, now: Time, kept: Vec<Kept>) {
-        for Kept { key, claimant, state, left } in kept {
+    pub(crate) fn import(&mut self, now: Time, kept: Vec<Grant>) {
+        for Grant { key, claimant, state, expires_in } in kept {
             self.remove(&key);
-            self.insert(key, Record { claimant, state, until: now + left });
+            self.insert(key, Record { claimant, state, until: now + expires_in });
         }
         self.trim_answers();
     }
--- a/crates/claim/src/offer.rs
+++ b/crates/claim/src/transfer.rs
@@ -9,7 +9,7 @@
 
 use cowslipchute_base::id::Time;
 
-use crate::handover::Stamp;
+use crate::handover::TransferId;
 use crate::roster::Member;
 use crate::roster::Move;
 use crate::roster::Roster;
@@ -26,9 +26,9 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct Offer {
+pub(crate) struct Transfer {
     /// Names it, and the version of the roster that it is made from.
-    pub stamp: Stamp,
+    pub stamp: TransferId,
     /// The slots and where they go.
     pub moves: Vec<Move>,
     /// Whether the process leaves, so that slots are given up even to one that got no handover.
@@ -39,7 +39,7 @@
     until: Time,
 }
 
-impl Offer {
+impl Transfer {
     /// Makes an offer of the slots that are held here and that another should own by `roster`.
     ///
     /// Nothing if there is none, unless the process leaves: then it leaves the roster too.
@@ -50,13 +50,13 @@
         is_last: bool,
         number: u64,
         until: Time,
-    ) -> Option<Offer> {
-        let stamp = Stamp { basis: roster.version, number };
+    ) -> Option<Transfer> {
+        let stamp = TransferId { base_version: roster.version, number };
         let leaver = is_last.then_some(me);
         let mut moves = Vec::new();
         for slot in slot::all().filter(|slot| is_held(*slot)) {
             let Some(to) = roster.target(slot, leaver) else { continue };
-            if !to.is(me) {
+            if !to.is_same(me) {
                 moves.push(Move { slot, to: to.clone(), number });
             }
         }
@@ -65,7 +65,7 @@
             return None;
         }
         let (waiting, stage) = (BTreeMap::new(), Stage::Sending);
-        Some(Offer { stamp, moves, is_last, stage, waiting, until })
+        Some(Transfer { stamp, moves, is_last, stage, waiting, until })
     }
 
     pub(crate) fn contains(&self, slot: Slot) -> bool {
@@ -80,7 +80,7 @@
     }
 
     /// Notes that a message was acknowledged or failed.
-    pub(crate) fn handed_over(&mut self, stamp: Stamp, part: u32, held: bool) {
+    pub(crate) fn handed_over(&mut self, stamp: TransferId, part: u32, held: bool) {
         if self.stage == Stage::Proposing || stamp != self.stamp {
             return;
         }
--- a/crates/claim/src/verdict.rs
+++ b/crates/claim/src/verdict.rs
@@ -5,11 +5,11 @@
 use cowslipchute_ports::peer::Claimed;
 
 use crate::action::Action;
-use crate::event::Ask;
+use crate::event::RequestId;
 use crate::handover::State;
 
 /// When a client is told to come back if only other processes have to catch up.
-pub(crate) const SOON: Duration = Duration::from_secs(1);
+pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 pub(crate) struct Verdict {
     claimed: Claimed,
@@ -23,7 +23,7 @@
 
     /// Refuses without telling whether the request ran; another answer may be had later.
     pub(crate) fn not_owner(retry_after: Duration) -> Verdict {
-        Verdict { claimed: Claimed::NotOwner, retry_after: Some(retry_after.max(SOON)) }
+        Verdict { claimed: Claimed::NotOwner, retry_after: Some(retry_after.max(MIN_RETRY_AFTER)) }
     }
 
     /// Tells what is known of a key that was granted before.
@@ -33,11 +33,11 @@
             State::Ran(answer) => Claimed::Ran(answer.clone()),
         };
         // Only a running request is on its way to another state.
-        let retry_after = (*state == State::Running).then_some(SOON);
+        let retry_after = (*state == State::Running).then_some(MIN_RETRY_AFTER);
         Verdict { claimed, retry_after }
     }
 
-    pub(crate) fn answer(self, ask: Ask) -> Action {
+    pub(crate) fn answer(self, ask: RequestId) -> Action {
         Action::Verdict { ask, verdict: self.claimed, retry_after: self.retry_after }
     }
 }
--- a/crates/claim/tests/format.rs
+++ b/crates/claim/tests/format.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use cowslipchute_claim::event::Claimant;
+use cowslipchute_claim::handover::Grant;
 use cowslipchute_claim::handover::Handover;
-use cowslipchute_claim::handover::Kept;
-use cowslipchute_claim::handover::Parcel;
-use cowslipchute_claim::handover::Stamp;
+use cowslipchute_claim::handover::SlotState;
 use cowslipchute_claim::handover::State;
+use cowslipchute_claim::handover::TransferId;
 use cowslipchute_claim::roster::Error;
 use cowslipchute_claim::roster::Member;
 use cowslipchute_claim::roster::Roster;
@@ -17,14 +17,21 @@
 use cowslipchute_ports::peer::Answer;
 use yare::parameterized;
 
-fn member(name: &str, life: u64) -> Member {
+fn member(name: &str, started_at: u64) -> Member {
     let address = SocketAddr::from(([10, 0, 0, 1], 7000));
-    Member { instance: name.into(), incarnation: 3, life, domain: "a".into(), address, listed: 9 }
+    Member {
+        instance: name.into(),
+        incarnation: 3,
+        started_at,
+        domain: "a".into(),
+        address,
+        list_version: 9,
+    }
 }
 
 #[test]
 fn a_roster_is_stored_as_json() {
-    let roster = Roster::first(member("e1", 5));
+    let roster = Roster::initial(member("e1", 5));
     let text = serde_json::to_string(&roster).unwrap();
     let head = r#"{"version":1,"members":[{"instance":"e1","incarnation":3,"life":5,"domain":"a","address":"10.0.0.1:7000","listed":9}],"shares":[{"owner":0,"since":1,"origin":"first"},"#;
     assert!(text.starts_with(head), "{text}");
@@ -43,17 +50,17 @@
 #[test]
 fn a_handover_comes_as_it_was_sent() {
     let answer = Answer { status: 201, content_type: None, body: b"cradle-7".to_vec() };
-    let kept = Kept {
+    let kept = Grant {
         key: Key { service: "berths".into(), key: "k1".into() },
         claimant: Claimant { instance: "e1".into(), incarnation: 3, life: 5, request: 8 },
         state: State::Ran(Some(answer)),
-        left: Duration::from_secs(60),
+        expires_in: Duration::from_secs(60),
     };
-    let doubt = Duration::from_millis(1500);
+    let in_doubt_for = Duration::from_millis(1500);
     let handover = Handover {
-        stamp: Stamp { basis: 4, number: 2 },
-        part: 1,
-        parcels: vec![Parcel { slot: 7, doubt, kept: vec![kept] }],
+        transfer: TransferId { base_version: 4, number: 2 },
+        message_number: 1,
+        slots: vec![SlotState { slot: 7, in_doubt_for, grants: vec![kept] }],
     };
     let bytes = postcard::to_stdvec(&handover).unwrap();
     assert_eq!(postcard::from_bytes::<Handover>(&bytes).unwrap(), handover);
@@ -61,11 +68,11 @@
 }
 
 #[parameterized(
-    too_few_slots = { |roster: &mut Roster| { roster.shares.pop(); }, Error::Slots(255) },
-    no_owner = { |roster: &mut Roster| roster.shares[9].owner = 4, Error::NoOwner(9) },
+    too_few_slots = { |roster: &mut Roster| { roster.assignments.pop(); }, Error::Slots(255) },
+    no_owner = { |roster: &mut Roster| roster.assignments[9].owner = 4, Error::NoOwner(9) },
 )]
 fn a_roster_that_breaks_its_rules_is_told(spoil: fn(&mut Roster), expected: Error) {
-    let mut roster = Roster::first(member("e1", 5));
+    let mut roster = Roster::initial(member("e1", 5));
     assert_eq!(roster.check(), Ok(()));
     spoil(&mut roster);
     assert_eq!(roster.check(), Err(expected));
@@ -73,7 +80,7 @@
 
 #[test]
 fn only_a_later_life_takes_the_place_of_another() {
-    let roster = Roster::first(member("e1", 5));
+    let roster = Roster::initial(member("e1", 5));
     let later = roster.revised(&member("e1", 6), |_| false).unwrap();
     assert_eq!(later.members, [member("e1", 6)]);
     let earlier = roster.revised(&member("e1", 4), |_| false).unwrap();
--- a/crates/claim/tests/handover_size.rs
+++ b/crates/claim/tests/handover_size.rs
@@ -25,23 +25,23 @@
     Member {
         instance: name.into(),
         incarnation: 1,
-        life: 1,
+        started_at: 1,
         domain: "a".into(),
         address,
-        listed: 0,
+        list_version: 0,
     }
 }
 
 fn settings() -> Settings {
     Settings {
-        me: member("e1"),
+        member: member("e1"),
         retention: 600 * SECOND,
         lease: 10 * SECOND,
-        patience: SECOND,
-        stagger: SECOND,
-        claims: 200_000,
-        answer_bytes: 64 << 10,
-        answers_bytes: 64 << 20,
+        handover_timeout: SECOND,
+        takeover_delay: SECOND,
+        max_claims: 200_000,
+        max_answer_bytes: 64 << 10,
+        max_total_answer_bytes: 64 << 20,
     }
 }
 
@@ -58,7 +58,7 @@
 #[test]
 fn large_answers_are_spread_over_messages() {
     let mut owner = Owner::open(settings());
-    let first = Roster::first(member("e1"));
+    let first = Roster::initial(member("e1"));
     let second = first.revised(&member("e2"), |_| false).unwrap();
     let mut actions = Vec::new();
     owner.step(SECOND, Event::Tick, &mut actions);
@@ -66,7 +66,7 @@
     owner.step(SECOND, read, &mut actions);
     (0..KEYS).for_each(|request| run(&mut owner, request));
     assert_eq!(owner.claims(), KEYS as usize);
-    owner.step(SECOND, Event::RosterHeard { revision: 2, roster: second.into() }, &mut actions);
+    owner.step(SECOND, Event::RosterReceived { revision: 2, roster: second.into() }, &mut actions);
     let sizes: Vec<usize> = actions
         .iter()
         .filter_map(|action| match action {
--- a/crates/claim/tests/scenarios.rs
+++ b/crates/claim/tests/scenarios.rs
@@ -98,7 +98,7 @@
             ["hold"] => self.holds = true,
             ["release"] => self.holds = false,
             ["advance", seconds] => self.advance(seconds.parse().expect("seconds")),
-            ["room", claims] => world.settings.claims = claims.parse().expect("a number"),
+            ["room", claims] => world.settings.max_claims = claims.parse().expect("a number"),
             ["key", key, "of", owner] => self.name_key(key, owner, None),
             ["key", key, "of", owner, "due", "to", next] => self.name_key(key, owner, Some(next)),
             ["claim", key, "via", entry] => world.claim(entry, &self.keys[key]),
--- a/crates/claim/tests/smoke.rs
+++ b/crates/claim/tests/smoke.rs
@@ -18,7 +18,7 @@
 fn member() -> Member {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     let (instance, domain) = ("e1".into(), "a".into());
-    Member { instance, incarnation: 1, life: 1, domain, address, listed: 0 }
+    Member { instance, incarnation: 1, started_at: 1, domain, address, list_version: 0 }
 }
 
 fn view() -> list::View {
@@ -42,14 +42,14 @@
 fn an_owner_alone_grants_a_key_once_and_replays_its_answer() {
     let second = Duration::from_secs(1);
     let mut owner = Owner::open(Settings {
-        me: member(),
+        member: member(),
         retention: 600 * second,
         lease: 10 * second,
-        patience: second,
-        stagger: second,
-        claims: 10,
-        answer_bytes: 1000,
-        answers_bytes: 1000,
+        handover_timeout: second,
+        takeover_delay: second,
+        max_claims: 10,
+        max_answer_bytes: 1000,
+        max_total_answer_bytes: 1000,
     });
     let mut actions = Vec::new();
     owner.step(second, Event::Listed { view: view() }, &mut actions);
@@ -57,7 +57,7 @@
     let Some(Action::ProposeRoster { revision: 0, roster }) = actions.pop() else {
         panic!("the first roster is proposed: {actions:?}");
     };
-    owner.step(second, Event::RosterHeard { revision: 1, roster: roster.into() }, &mut actions);
+    owner.step(second, Event::RosterReceived { revision: 1, roster: roster.into() }, &mut actions);
     let key = Key { service: "berths".into(), key: "k".into() };
     let claimant = Claimant { instance: "e1".into(), incarnation: 1, life: 1, request: 1 };
     let mut claim = |owner: &mut Owner| {
--- a/crates/claim/tests/world/message.rs
+++ b/crates/claim/tests/world/message.rs
@@ -4,7 +4,7 @@
 
 use cowslipchute_claim::event::Claimant;
 use cowslipchute_claim::event::Event;
-use cowslipchute_claim::event::Read;
+use cowslipchute_claim::event::ReadId;
 use cowslipchute_claim::handover::Handover;
 use cowslipchute_claim::roster::Roster;
 use cowslipchute_claim::slot::Key;
@@ -16,7 +16,7 @@
 pub enum Message {
     Read {
         from: String,
-        read: Read,
+        read: ReadId,
     },
     Commit {
         from: String,
@@ -79,7 +79,7 @@
             Message::Commit { .. } => "proposal",
             Message::LateCommit { .. } => "late-proposal",
             Message::Tell { event, .. } => match event {
-                Event::RosterHeard { .. } => "roster",
+                Event::RosterReceived { .. } => "roster",
                 Event::RosterRead { .. } => "read-answer",
                 Event::Listed { .. } => "list",
                 Event::HandedOver { .. } => "handover-answer",
--- a/crates/claim/tests/world/mod.rs
+++ b/crates/claim/tests/world/mod.rs
@@ -69,28 +69,28 @@
     pub grants: u64,
 }
 
-pub fn member(name: &str, domain: &str, life: u64) -> Member {
-    let port = 1000 + life as u16;
+pub fn member(name: &str, domain: &str, started_at: u64) -> Member {
+    let port = 1000 + started_at as u16;
     Member {
         instance: name.into(),
         incarnation: 1,
-        life,
+        started_at,
         domain: domain.into(),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
-        listed: 0,
+        list_version: 0,
     }
 }
 
 pub fn settings(retention: Duration) -> Settings {
     Settings {
-        me: member("nobody", "nowhere", 0),
+        member: member("nobody", "nowhere", 0),
         retention,
         lease: LEASE,
-        patience: TICK,
-        stagger: TICK,
-        claims: 1000,
-        answer_bytes: 200,
-        answers_bytes: 1000,
+        handover_timeout: TICK,
+        takeover_delay: TICK,
+        max_claims: 1000,
+        max_answer_bytes: 200,
+        max_total_answer_bytes: 1000,
     }
 }
 
@@ -121,7 +121,7 @@
         let mut member = member(name, domain, self.lives);
         let former = self.listed.get(name).map_or(1, |former| former.incarnation);
         member.incarnation = former + u64::from(replaced);
-        let owner = Owner::open(Settings { me: member.clone(), ..self.settings.clone() });
+        let owner = Owner::open(Settings { member: member.clone(), ..self.settings.clone() });
         let (inbox, froze_at) = (VecDeque::new(), Duration::ZERO);
         let born = self.requests;
         let me = member.clone();
@@ -180,7 +180,7 @@
         let claimant = Claimant {
             instance: via.into(),
             incarnation: node.member.incarnation,
-            life: node.member.life,
+            life: node.member.started_at,
             request: self.requests,
         };
         let Some(roster) = node.owner.roster() else {
@@ -237,17 +237,21 @@
     /// Loses a message, and tells the sender if it waits for an answer.
     pub fn lose(&mut self, message: Message) {
         match message {
-            Message::Read { from, .. } => self.tell("platform", &from, Event::StoreLost),
+            Message::Read { from, .. } => self.tell("platform", &from, Event::StoreFailed),
             Message::Commit { from, revision, roster } => {
-                self.tell("platform", &from, Event::StoreLost);
+                self.tell("platform", &from, Event::StoreFailed);
                 self.wire.push_back(Message::LateCommit { revision, roster });
             }
             Message::Tell { to, event: Event::RosterRead { .. } | Event::Proposed, .. } => {
-                self.tell("platform", &to, Event::StoreLost);
+                self.tell("platform", &to, Event::StoreFailed);
             }
             Message::Adopt { from, handover, .. } => {
-                let Handover { stamp, part, .. } = handover;
-                self.tell("platform", &from, Event::HandedOver { stamp, part, held: false });
+                let Handover { transfer, message_number, .. } = handover;
+                self.tell(
+                    "platform",
+                    &from,
+                    Event::HandedOver { transfer, message_number, accepted: false },
+                );
             }
             Message::Claim { from, to, .. } => {
                 self.log.push(format!("{from} asks {to}: no answer"));
@@ -264,9 +268,9 @@
         match message {
             Message::Tell { event, .. } => self.step(to, event),
             Message::Adopt { from, handover, .. } => {
-                let (stamp, part) = (handover.stamp, handover.part);
-                let held = self.acknowledged(to, Event::Adopt { ask: 0, handover });
-                self.tell(to, &from, Event::HandedOver { stamp, part, held });
+                let (transfer, message_number) = (handover.transfer, handover.message_number);
+                let accepted = self.acknowledged(to, Event::HandoverReceived { ask: 0, handover });
+                self.tell(to, &from, Event::HandedOver { transfer, message_number, accepted });
             }
             Message::Claim { from, claimant, key, version, .. } => {
                 self.decide(to, from, claimant, key, version);
@@ -344,7 +348,7 @@
         let mut acknowledged = false;
         for action in self.actions(name, event) {
             match action {
-                Action::Acknowledge { ask: 0, taken } => acknowledged = taken,
+                Action::Acknowledge { ask: 0, accepted } => acknowledged = accepted,
                 action => self.perform(name, action),
             }
         }
--- a/crates/claim/tests/world/platform.rs
+++ b/crates/claim/tests/world/platform.rs
@@ -4,7 +4,7 @@
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_claim::event::Event;
-use cowslipchute_claim::event::Read;
+use cowslipchute_claim::event::ReadId;
 use cowslipchute_claim::roster::Member;
 use cowslipchute_claim::roster::Roster;
 use cowslipchute_ports::list;
@@ -62,7 +62,7 @@
         let rosters = &self.store.history;
         let wanted = version.unwrap_or(rosters.len() as u64);
         if let Some(roster) = rosters.iter().find(|roster| roster.version == wanted).cloned() {
-            self.tell("platform", name, Event::RosterHeard { revision, roster });
+            self.tell("platform", name, Event::RosterReceived { revision, roster });
         }
     }
 
@@ -70,9 +70,9 @@
         self.store.down || self.cut_platform.contains(name)
     }
 
-    pub(super) fn read(&mut self, from: &str, read: Read) {
+    pub(super) fn read(&mut self, from: &str, read: ReadId) {
         if self.is_store_away(from) {
-            return self.tell("platform", from, Event::StoreLost);
+            return self.tell("platform", from, Event::StoreFailed);
         }
         let roster = self.store.roster.clone();
         let revision = if roster.is_some() { self.store.revision } else { 0 };
@@ -81,10 +81,10 @@
 
     pub(super) fn commit(&mut self, from: &str, revision: u64, roster: Roster) {
         if self.is_store_away(from) {
-            return self.tell("platform", from, Event::StoreLost);
+            return self.tell("platform", from, Event::StoreFailed);
         }
         self.apply(revision, roster);
-        let answer = if self.store.lossy { Event::StoreLost } else { Event::Proposed };
+        let answer = if self.store.lossy { Event::StoreFailed } else { Event::Proposed };
         self.tell("platform", from, answer);
     }
 
--- a/crates/follow/src/calls.rs
+++ b/crates/follow/src/calls.rs
@@ -6,7 +6,7 @@
 use cowslipchute_ports::peer::Call;
 use cowslipchute_ports::peer::Reply;
 use cowslipchute_spread::batch::Scope;
-use cowslipchute_spread::pushes::Push;
+use cowslipchute_spread::push::Push;
 use cowslipchute_spread::rank::Peer;
 use tokio::task::JoinSet;
 use tokio::time::timeout;
--- a/crates/follow/src/duty.rs
+++ b/crates/follow/src/duty.rs
@@ -17,14 +17,14 @@
 use cowslipchute_spread::batch::Scope;
 use cowslipchute_spread::gossip::Action;
 use cowslipchute_spread::gossip::Gossip;
-use cowslipchute_spread::held::Fit;
-use cowslipchute_spread::held::PAGE_BYTES;
-use cowslipchute_spread::held::Page;
-use cowslipchute_spread::pulls::Pulls;
-use cowslipchute_spread::pulls::Step;
-use cowslipchute_spread::pushes::Push;
-use cowslipchute_spread::pushes::Pushes;
+use cowslipchute_spread::pull::Pull;
+use cowslipchute_spread::pull::Step;
+use cowslipchute_spread::push::Children;
+use cowslipchute_spread::push::Push;
 use cowslipchute_spread::rank::Peer;
+use cowslipchute_spread::replica::Continuity;
+use cowslipchute_spread::replica::PAGE_BYTES;
+use cowslipchute_spread::replica::Page;
 use slog::Logger;
 use slog::o;
 use tokio::sync::mpsc;
@@ -59,8 +59,8 @@
     clock: Clock,
     in_force: InForce,
     gossip: Gossip,
-    pulls: Pulls,
-    pushes: Pushes,
+    pulls: Pull,
+    pushes: Children,
     source: Option<(Mode, Source)>,
     store_lost: bool,
 }
@@ -97,8 +97,8 @@
             store,
             members,
             clock: Clock::start(),
-            pulls: Pulls::default(),
-            pushes: Pushes::default(),
+            pulls: Pull::default(),
+            pushes: Children::default(),
             source: None,
             store_lost: false,
         }
@@ -107,7 +107,7 @@
     /// Runs until the last handle is dropped or the process stops listening for changes.
     pub(crate) async fn run(mut self, mut queries: mpsc::Receiver<Query>) {
         let seen = self.members.borrow_and_update().clone();
-        self.gossip.members(&seen);
+        self.gossip.set_members(&seen);
         loop {
             self.tick();
             let flow = self.in_force.flush();
@@ -130,7 +130,7 @@
                 Wake::Ended(ended) => self.ended(ended),
                 Wake::Members => {
                     let members = self.members.borrow_and_update().clone();
-                    self.gossip.members(&members);
+                    self.gossip.set_members(&members);
                 }
                 Wake::Timer => {}
             }
@@ -138,7 +138,7 @@
     }
 
     fn pause(&self, flow: Flow) -> Duration {
-        let due = self.gossip.due().saturating_sub(self.clock.now());
+        let due = self.gossip.next_due().saturating_sub(self.clock.now());
         if flow == Flow::Waiting { due.min(RETRY) } else { due }
     }
 
@@ -213,12 +213,12 @@
         }
         match (ended.purpose, reply) {
             (Purpose::Pull, Reply::Items { items, revision, whole }) => {
-                let step = self.pulls.page(items, revision, whole);
+                let step = self.pulls.receive(items, revision, whole);
                 self.pulled(ended.peer, step);
             }
             (Purpose::Pull, _) => self.pulls.failed(&ended.peer),
             (Purpose::Push, _) => {
-                let push = self.pushes.taken(self.in_force.held(), &ended.peer);
+                let push = self.pushes.accepted(self.in_force.held(), &ended.peer);
                 self.push(push);
             }
             (Purpose::Probe, _) => {}
@@ -251,8 +251,8 @@
 
     fn apply(&mut self, batch: Batch) {
         let last_change = self.in_force.held().last_change();
-        if self.in_force.apply(batch) == Fit::Gap {
-            self.gossip.gap(self.clock.now());
+        if self.in_force.apply(batch) == Continuity::Gap {
+            self.gossip.request_pull(self.clock.now());
         }
         let held = self.in_force.held();
         let pushes = self.pushes.changed(held, last_change, self.gossip.children());
@@ -285,8 +285,9 @@
                 revision: self.in_force.revision(),
             },
             Call::Pull { after } => {
-                let Page { batch, whole, .. } = self.in_force.held().page(after, PAGE_BYTES);
-                Reply::Items { items: batch.items, revision: batch.revision, whole }
+                let Page { batch, lacks_removals, .. } =
+                    self.in_force.held().page(after, PAGE_BYTES);
+                Reply::Items { items: batch.items, revision: batch.revision, whole: lacks_removals }
             }
             Call::Push { items, revision, after } => {
                 self.apply(Batch { items, revision, scope: Scope::After(after) });
--- a/crates/follow/src/in_force.rs
+++ b/crates/follow/src/in_force.rs
@@ -5,8 +5,8 @@
 use cowslipchute_daemon::log;
 use cowslipchute_daemon::ring;
 use cowslipchute_spread::batch::Batch;
-use cowslipchute_spread::held::Fit;
-use cowslipchute_spread::held::Held;
+use cowslipchute_spread::replica::Continuity;
+use cowslipchute_spread::replica::Replica;
 use slog::Logger;
 use slog::o;
 use tokio::sync::watch;
@@ -18,7 +18,7 @@
 /// The configuration in force, and the ways to those who want to know.
 #[derive(Debug)]
 pub struct InForce {
-    held: Held,
+    held: Replica,
     outbox: Outbox,
     mark: watch::Sender<Revision>,
     logger: Logger,
@@ -32,11 +32,11 @@
         logger: Logger,
     ) -> InForce {
         let outbox = Outbox::open(changes, logger.clone());
-        InForce { held: Held::default(), outbox, mark, logger }
+        InForce { held: Replica::default(), outbox, mark, logger }
     }
 
     /// Returns what is held.
-    pub fn held(&self) -> &Held {
+    pub fn held(&self) -> &Replica {
         &self.held
     }
 
@@ -51,11 +51,11 @@
     }
 
     /// Takes what is new in a batch and tells of it.
-    pub fn apply(&mut self, batch: Batch) -> Fit {
+    pub fn apply(&mut self, batch: Batch) -> Continuity {
         let before = self.revision();
         let applied = self.held.apply(batch);
         let revision = self.revision();
-        if applied.fit == Fit::Stale {
+        if applied.continuity == Continuity::Stale {
             log::emit(&self.logger, Event::ConfigIgnored, o!("in_force" => revision));
         }
         if !applied.changes.is_empty() {
@@ -67,7 +67,7 @@
             self.outbox.reached(revision);
             self.mark.send_replace(revision);
         }
-        applied.fit
+        applied.continuity
     }
 
     /// Moves as much as possible to the process.
--- a/crates/follow/src/outbox.rs
+++ b/crates/follow/src/outbox.rs
@@ -12,7 +12,7 @@
 use cowslipchute_daemon::ring;
 use cowslipchute_resource::key;
 use cowslipchute_resource::stored::Stored;
-use cowslipchute_spread::held;
+use cowslipchute_spread::replica;
 use slog::Logger;
 use slog::o;
 
@@ -35,7 +35,7 @@
     ring: ring::Sender<Change>,
     logger: Logger,
     /// The last change of each key that was not told yet.
-    pending: BTreeMap<held::Key, held::Slot>,
+    pending: BTreeMap<replica::Key, replica::Version>,
     /// To be told once `pending` is empty.
     in_force: Option<Revision>,
 }
@@ -47,9 +47,9 @@
     }
 
     /// Adds changes.
-    pub fn extend(&mut self, changes: Vec<held::Change>) {
+    pub fn extend(&mut self, changes: Vec<replica::Change>) {
         for change in changes {
-            self.pending.insert(change.key, change.slot);
+            self.pending.insert(change.key, change.version);
         }
     }
 
@@ -84,7 +84,7 @@
 
     /// Reads a stored value; one that can't be read is left out, so that the last good one stays in
     /// force at the process.
-    fn read(&self, key: &held::Key, slot: &held::Slot) -> Option<Change> {
+    fn read(&self, key: &replica::Key, slot: &replica::Version) -> Option<Change> {
         let (kind, name) = key::parse_config(key)?;
         let name: Arc<str> = name.into();
         let revision = slot.revision;
@@ -100,7 +100,7 @@
         }
     }
 
-    fn refuse(&self, key: &held::Key, revision: Revision, problem: &str) -> Option<Change> {
+    fn refuse(&self, key: &replica::Key, revision: Revision, problem: &str) -> Option<Change> {
         let fields =
             o!("key" => key.to_string(), "revision" => revision, "problem" => problem.to_owned());
         log::emit(&self.logger, Event::ConfigInvalid, fields);
--- a/crates/follow/tests/spread.rs
+++ b/crates/follow/tests/spread.rs
@@ -35,7 +35,7 @@
 use cowslipchute_resource::key;
 use cowslipchute_resource::service;
 use cowslipchute_resource::stored::Stored;
-use cowslipchute_spread::held::PAGE_BYTES;
+use cowslipchute_spread::replica::PAGE_BYTES;
 use cowslipchute_standin::Plan;
 use cowslipchute_standin::Standin;
 use cowslipchute_standin::fault::Cut;
--- a/crates/routing/src/admit.rs
+++ b/crates/routing/src/admit.rs
@@ -16,7 +16,7 @@
     /// Attempts in flight there.
     pub in_flight: u64,
     /// Whether a request of an earlier class waits.
-    pub is_outranked: bool,
+    pub has_higher_waiting: bool,
 }
 
 /// Tells whether a request of a class may take one more slot.
@@ -28,7 +28,7 @@
     };
     let open_permille = 1000_u64.saturating_sub(reserve);
     let open_milli = load.slots_milli * open_permille / 1000;
-    !load.is_outranked && (load.in_flight + 1) * 1000 <= open_milli
+    !load.has_higher_waiting && (load.in_flight + 1) * 1000 <= open_milli
 }
 
 /// Returns the code for a request of a class that is refused so that others are served.
--- a/crates/routing/src/intake.rs
+++ b/crates/routing/src/arrival.rs
@@ -56,7 +56,7 @@
         for request in waiting {
             self.finish(request, End::Reply(Code::NoService), step);
         }
-        self.forget_service(service);
+        self.remove_unused_service(service);
     }
 
     /// Finds the pool of a name, or opens it.
@@ -74,7 +74,7 @@
         match self.admit(number, arrival, step.now) {
             Ok(request) => self.begin(request, step),
             Err(code) => {
-                let retry_after = backoff::come_back(code, true, &mut self.rng);
+                let retry_after = backoff::retry_after(code, true, &mut self.rng);
                 step.act(Action::Reply { request: number, code, retry_after });
             }
         }
@@ -93,7 +93,7 @@
         if !self.is_ready {
             return Err(Code::NotReady);
         }
-        if self.requests.len() + self.orphans.len() >= self.settings.requests_max {
+        if self.requests.len() + self.ended_claims.len() >= self.settings.requests_max {
             return Err(Code::Busy);
         }
         let service = *self.service_ids.get(&arrival.service).ok_or(Code::NoService)?;
@@ -102,7 +102,7 @@
         if allowed.is_zero() || allowed > spec.deadline_max {
             return Err(Code::BadDeadline);
         }
-        self.last_rank += 1;
+        self.last_sequence += 1;
         let request = Request {
             number,
             service,
@@ -112,13 +112,13 @@
             key: if arrival.idempotent { None } else { arrival.key },
             claimed: false,
             deadline: now + allowed,
-            rank: self.last_rank,
+            sequence: self.last_sequence,
             attempts: 0,
             hedged: false,
-            doubt: None,
-            refusal: Code::NoBackend,
+            may_have_run: None,
+            last_failure: Code::NoBackend,
             tried: SmallVec::new(),
-            tried_away: false,
+            tried_remote: false,
             stage: Request::arrived(),
         };
         let id = self.requests.insert(request);
@@ -140,7 +140,7 @@
         let deadline = request.deadline;
         match request.key.clone() {
             Some(key) => self.claim(id, key, step),
-            None => self.enter(id, step),
+            None => self.dispatch(id, step),
         }
         if self.requests.get(id).is_some() {
             self.timers.set(deadline, Timer::Deadline(id));
@@ -173,7 +173,7 @@
         let end = match verdict {
             Claimed::Granted => {
                 request.claimed = true;
-                self.enter(id, step);
+                self.dispatch(id, step);
                 return;
             }
             Claimed::Ran(Some(answer)) => End::Replay(answer),
@@ -186,7 +186,7 @@
 
     /// Frees a key that was granted to a request which was already over.
     fn orphan_claimed(&mut self, number: id::Request, verdict: &Claimed, step: &mut Step<'_>) {
-        let Some(orphan) = self.orphans.remove(&number) else { return };
+        let Some(orphan) = self.ended_claims.remove(&number) else { return };
         if *verdict != Claimed::Granted {
             return;
         }
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -22,7 +22,7 @@
     /// When it was sent.
     pub sent: Time,
     /// Whether the backend server had no room left beside it.
-    pub filled: bool,
+    pub at_limit: bool,
 }
 
 /// A given-up attempt.
@@ -61,7 +61,7 @@
     }
 
     /// Takes out an attempt whose ending isn't waited for any more.
-    pub fn give_up(&mut self, attempt: Attempt) -> InFlight {
+    pub fn cancel(&mut self, attempt: Attempt) -> InFlight {
         let ended = self.end(attempt).expect("an attempt is given up while it is in flight");
         let slot = attempt as usize % GIVEN_UP;
         self.given_up[slot] = Some(GivenUp { attempt, backend: ended.backend });
@@ -69,13 +69,13 @@
     }
 
     /// Finds the backend server of a given-up attempt, if that is still remembered.
-    pub fn late(&self, attempt: Attempt) -> Option<Id<Backend>> {
+    pub fn cancelled_backend(&self, attempt: Attempt) -> Option<Id<Backend>> {
         let slot = attempt as usize % GIVEN_UP;
         self.given_up[slot].filter(|known| known.attempt == attempt).map(|known| known.backend)
     }
 
     /// Tells whether the number was ever given.
-    pub fn is_known(&self, attempt: Attempt) -> bool {
+    pub fn was_issued(&self, attempt: Attempt) -> bool {
         (1..=self.last).contains(&attempt)
     }
 }
--- a/crates/routing/src/backend.rs
+++ b/crates/routing/src/backend.rs
@@ -9,7 +9,7 @@
 use cowslipchute_ports::list;
 
 use crate::eject::Health;
-use crate::eject::Standing;
+use crate::eject::Status;
 use crate::latency::Latency;
 use crate::latency::Typical;
 use crate::limit::Limit;
@@ -31,7 +31,7 @@
 
 /// Where a pool holds a backend server that can take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spot {
+pub enum Position {
     /// Nowhere: it is full, ejected, leaving or gone.
     None,
     /// Among those with room.
@@ -42,7 +42,7 @@
 
 /// What a backend server adds to its pool's sums at the moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Portion {
+pub struct Totals {
     /// This entry's share of its slots, in thousandths.
     pub slots_milli: u64,
     /// Attempts in flight within that share.
@@ -63,7 +63,7 @@
     /// Its pool.
     pub pool: Id<Pool>,
     /// Whether it is in this entry's failure domain.
-    pub is_home: bool,
+    pub is_local: bool,
     /// Whether it takes new requests.
     pub presence: Presence,
     /// This entry's share of its connections, which bounds attempts in flight at any time.
@@ -79,24 +79,24 @@
     /// Its adaptive limit.
     pub limit: Limit,
     /// When it last answered, or had its first attempt in flight after having none.
-    pub progress: Time,
+    pub last_progress: Time,
     /// Where its pool holds it.
-    pub spot: Spot,
+    pub position: Position,
     /// What it adds to its pool's sums.
-    pub portion: Portion,
+    pub counted: Totals,
     /// The version of the list that last had it.
     pub version: u64,
 }
 
 impl Backend {
     /// Opens a listed backend server.
-    pub fn open(member: &list::Member, pool: Id<Pool>, is_home: bool, health: Health) -> Backend {
+    pub fn open(member: &list::Member, pool: Id<Pool>, is_local: bool, health: Health) -> Backend {
         Backend {
             instance: member.instance.clone(),
             incarnation: member.incarnation,
             address: member.address,
             pool,
-            is_home,
+            is_local,
             presence: Presence::Live,
             connections: 0,
             slots_milli: 0,
@@ -104,9 +104,9 @@
             health,
             latency: Latency::default(),
             limit: Limit::open(0),
-            progress: Time::ZERO,
-            spot: Spot::None,
-            portion: Portion::default(),
+            last_progress: Time::ZERO,
+            position: Position::None,
+            counted: Totals::default(),
             version: 0,
         }
     }
@@ -118,33 +118,33 @@
         }
         self.connections = connections;
         self.slots_milli = slots_milli;
-        self.limit = Limit::open(self.cap());
+        self.limit = Limit::open(self.concurrency_max());
     }
 
     /// Returns the attempts that it may ever have at once: the share of its slots, rounded up, and
     /// never more than the share of its connections.
-    pub fn cap(&self) -> u32 {
+    pub fn concurrency_max(&self) -> u32 {
         self.slots_milli.div_ceil(1000).min(self.connections)
     }
 
     /// Returns the attempts that it may have at once now.
-    pub fn ceiling(&self, now: Time) -> u32 {
+    pub fn concurrency_limit(&self, now: Time) -> u32 {
         if self.presence != Presence::Live {
             return 0;
         }
-        self.health.ceiling(self.limit.attempts(self.cap()), now)
+        self.health.concurrency_limit(self.limit.attempts(self.concurrency_max()), now)
     }
 
     /// Works out what it adds to its pool's sums.
-    pub fn measure(&self, now: Time) -> Portion {
-        if self.ceiling(now) == 0 {
-            return Portion::default();
+    pub fn totals(&self, now: Time) -> Totals {
+        if self.concurrency_limit(now) == 0 {
+            return Totals::default();
         }
-        let slots_milli = match self.health.standing() {
-            Standing::Probing { .. } => 0,
-            _ => self.slots_milli.min(self.ceiling(now) * 1000),
+        let slots_milli = match self.health.status() {
+            Status::Probing { .. } => 0,
+            _ => self.slots_milli.min(self.concurrency_limit(now) * 1000),
         };
-        Portion {
+        Totals {
             slots_milli: u64::from(slots_milli),
             in_flight: u64::from(self.in_flight),
             usable: 1,
@@ -169,6 +169,6 @@
 
     /// Returns how long it has had something to answer without doing so.
     pub fn silence(&self, now: Time) -> Duration {
-        now.saturating_sub(self.progress)
+        now.saturating_sub(self.last_progress)
     }
 }
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -29,7 +29,7 @@
 
 /// Tells a caller when it makes sense to come back; never, if the same request would fail again or
 /// must not be repeated.
-pub fn come_back(code: Code, repeatable: bool, rng: &mut SmallRng) -> Option<Duration> {
+pub fn retry_after(code: Code, repeatable: bool, rng: &mut SmallRng) -> Option<Duration> {
     match code {
         Code::TrialShed | Code::BatchShed | Code::QueueFull | Code::QueueTimeout => {
             // Spread, so that refused callers don't return as the wave they came in.
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -43,7 +43,7 @@
     }
 
     /// Tells whether over half of the burst is left, so that hedges leave enough for retries.
-    pub fn is_rich(&self) -> bool {
+    pub fn allows_hedge(&self) -> bool {
         self.milli > BURST * COST / 2
     }
 }
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -9,62 +9,70 @@
 
 use crate::backend::Backend;
 use crate::latency::Typical;
-use crate::pool::Side;
+use crate::pool::Locality;
 
 /// Two random draws, for the two candidates.
 #[derive(Clone, Copy, Debug)]
-pub struct Lot {
+pub struct Draw {
     first: u32,
     second: u32,
 }
 
-impl Lot {
+impl Draw {
     /// Draws.
-    pub fn draw(rng: &mut SmallRng) -> Lot {
-        Lot { first: rng.random(), second: rng.random() }
+    pub fn sample(rng: &mut SmallRng) -> Draw {
+        Draw { first: rng.random(), second: rng.random() }
     }
 }
 
 /// What is asked for.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish<'a> {
+pub struct Criteria<'a> {
     /// The random draws.
-    pub lot: Lot,
+    pub draw: Draw,
     /// The time.
     pub now: Time,
     /// The usual latency.
     pub typical: Typical,
     /// Backend servers that were tried already.
-    pub avoid: &'a [Id<Backend>],
+    pub exclude: &'a [Id<Backend>],
     /// Whether a backend server may be tried out that was ejected.
     pub may_probe: bool,
 }
 
 /// Chooses within one side of a pool.
-pub fn choose(side: &Side, wish: Wish<'_>, backends: &Table<Backend>) -> Option<Id<Backend>> {
+pub fn choose(
+    side: &Locality,
+    wish: Criteria<'_>,
+    backends: &Table<Backend>,
+) -> Option<Id<Backend>> {
     probe(side, wish, backends).or_else(|| better_of_two(side, wish, backends))
 }
 
 /// Finds a backend server that wants one request to show that it answers.
-fn probe(side: &Side, wish: Wish<'_>, backends: &Table<Backend>) -> Option<Id<Backend>> {
+fn probe(side: &Locality, wish: Criteria<'_>, backends: &Table<Backend>) -> Option<Id<Backend>> {
     let fits = |id: &Id<Backend>| {
-        !wish.avoid.contains(id) && (wish.may_probe || !backends[*id].health.is_doubtful(wish.now))
+        !wish.exclude.contains(id) && (wish.may_probe || !backends[*id].health.is_risky(wish.now))
     };
     side.probes.iter().copied().find(fits)
 }
 
-fn better_of_two(side: &Side, wish: Wish<'_>, backends: &Table<Backend>) -> Option<Id<Backend>> {
+fn better_of_two(
+    side: &Locality,
+    wish: Criteria<'_>,
+    backends: &Table<Backend>,
+) -> Option<Id<Backend>> {
     let count = side.ready.len();
     if count == 0 {
         return None;
     }
-    let place = within(wish.lot.first, count);
-    let first = next_from(&side.ready, place, |id| !wish.avoid.contains(&id))?;
+    let place = within(wish.draw.first, count);
+    let first = next_from(&side.ready, place, |id| !wish.exclude.contains(&id))?;
     if count == 1 {
         return Some(first);
     }
-    let place = place + 1 + within(wish.lot.second, count - 1);
-    let other = |id| id != first && !wish.avoid.contains(&id);
+    let place = place + 1 + within(wish.draw.second, count - 1);
+    let other = |id| id != first && !wish.exclude.contains(&id);
     let Some(second) = next_from(&side.ready, place, other) else { return Some(first) };
     let cost = |id: Id<Backend>| backends[id].cost(wish.now, wish.typical);
     if cost(second) < cost(first) { Some(second) } else { Some(first) }
--- a/crates/routing/src/seldom.rs
+++ b/crates/routing/src/cooldown.rs
@@ -9,13 +9,13 @@
 
 /// When something was last noted.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Seldom {
+pub struct Cooldown {
     last: Option<Time>,
 }
 
-impl Seldom {
+impl Cooldown {
     /// Tells whether it is to be noted now, and takes it as noted.
-    pub fn is_due(&mut self, now: Time) -> bool {
+    pub fn start(&mut self, now: Time) -> bool {
         if self.last.is_some_and(|last| now.saturating_sub(last) < EVERY) {
             return false;
         }
--- a/crates/routing/src/eject.rs
+++ b/crates/routing/src/eject.rs
@@ -36,24 +36,24 @@
 
 /// What an ending says about the backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum Signal {
     /// It answered well.
-    Good,
+    Success,
     /// It answered well, but far slower than its kind.
     Slow,
     /// It failed.
-    Failed,
+    Failure,
     /// It can't be reached, which no request can be the cause of.
     Unreachable,
 }
 
 /// Where a backend server stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Status {
     /// Takes its full share.
-    Steady,
+    Healthy,
     /// Takes a share that grows with time.
-    Ramping {
+    SlowStart {
         /// Since when.
         since: Time,
     },
@@ -83,8 +83,8 @@
 
 impl Failures {
     /// Takes in the ending of one attempt.
-    pub fn observe(&mut self, sign: Sign) {
-        let sample = if matches!(sign, Sign::Failed | Sign::Unreachable) { 1.0 } else { 0.0 };
+    pub fn observe(&mut self, sign: Signal) {
+        let sample = if matches!(sign, Signal::Failure | Signal::Unreachable) { 1.0 } else { 0.0 };
         self.rate += WEIGHT_POOL * (sample - self.rate);
     }
 
@@ -99,7 +99,7 @@
 /// One backend server's standing and what it rests on.
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
-    standing: Standing,
+    standing: Status,
     streak: u32,
     unreachable: u32,
     slow: u32,
@@ -112,9 +112,9 @@
 
 impl Health {
     /// The health of a backend server that is taken at its word, because none is known better.
-    pub fn trusted() -> Health {
+    pub fn healthy() -> Health {
         Health {
-            standing: Standing::Steady,
+            standing: Status::Healthy,
             streak: 0,
             unreachable: 0,
             slow: 0,
@@ -126,87 +126,87 @@
     }
 
     /// The health of a backend server that was just listed beside known ones.
-    pub fn untried(now: Time) -> Health {
-        Health { standing: Standing::Probing { needed: 1, since: now }, ..Health::trusted() }
+    pub fn probing(now: Time) -> Health {
+        Health { standing: Status::Probing { needed: 1, since: now }, ..Health::healthy() }
     }
 
     /// Returns where the backend server stands.
-    pub fn standing(&self) -> Standing {
+    pub fn status(&self) -> Status {
         self.standing
     }
 
     /// Tells whether a request that must not be repeated is better sent elsewhere: it was ejected
     /// for what it did to requests and has not answered since. For a while only, because a service
     /// may have no other requests to probe with.
-    pub fn is_doubtful(&self, now: Time) -> bool {
-        let Standing::Probing { since, .. } = self.standing else { return false };
+    pub fn is_risky(&self, now: Time) -> bool {
+        let Status::Probing { since, .. } = self.standing else { return false };
         self.is_harmful && now.saturating_sub(since) < DOUBT
     }
 
     /// Returns the attempts that it may have at once, out of its full share.
-    pub fn ceiling(&self, full: u32, now: Time) -> u32 {
+    pub fn concurrency_limit(&self, full: u32, now: Time) -> u32 {
         match self.standing {
-            Standing::Steady => full,
-            Standing::Ramping { since } => {
+            Status::Healthy => full,
+            Status::SlowStart { since } => {
                 let part = now.saturating_sub(since).as_secs_f64() / RAMP.as_secs_f64();
                 ((f64::from(full) * part.min(1.0)) as u32).max(1).min(full)
             }
-            Standing::Probing { .. } => full.min(1),
-            Standing::Ejected { .. } => 0,
+            Status::Probing { .. } => full.min(1),
+            Status::Ejected { .. } => 0,
         }
     }
 
     /// Takes in an ending and tells whether the backend server is to be ejected.
-    pub fn observe(&mut self, sign: Sign, pool: &Failures) -> bool {
-        let failed = matches!(sign, Sign::Failed | Sign::Unreachable);
+    pub fn observe(&mut self, sign: Signal, pool: &Failures) -> bool {
+        let failed = matches!(sign, Signal::Failure | Signal::Unreachable);
         self.rate += WEIGHT * (if failed { 1.0 } else { 0.0 } - self.rate);
         self.samples = self.samples.saturating_add(1);
         self.streak = if failed { self.streak + 1 } else { 0 };
-        let is_unreachable = sign == Sign::Unreachable;
+        let is_unreachable = sign == Signal::Unreachable;
         self.unreachable = if is_unreachable { self.unreachable + 1 } else { 0 };
-        self.slow = if sign == Sign::Slow { self.slow + 1 } else { 0 };
+        self.slow = if sign == Signal::Slow { self.slow + 1 } else { 0 };
         match self.standing {
-            Standing::Ejected { .. } => false,
-            Standing::Probing { .. } => sign != Sign::Good,
-            Standing::Steady | Standing::Ramping { .. } => self.is_bad(sign, pool),
+            Status::Ejected { .. } => false,
+            Status::Probing { .. } => sign != Signal::Success,
+            Status::Healthy | Status::SlowStart { .. } => self.is_bad(sign, pool),
         }
     }
 
-    fn is_bad(&self, sign: Sign, pool: &Failures) -> bool {
+    fn is_bad(&self, sign: Signal, pool: &Failures) -> bool {
         let many = self.samples >= SAMPLES_MIN && self.rate > RATE_MAX.max(FACTOR * pool.rate);
         let in_a_row = self.streak >= STREAK_MAX;
         let shared = pool.rate > RATE_MAX;
         match sign {
-            Sign::Good => false,
-            Sign::Slow => self.slow >= SLOW_MAX && pool.has_room(),
-            Sign::Failed => (many || (in_a_row && !shared)) && pool.has_room(),
-            Sign::Unreachable => self.unreachable >= STREAK_MAX,
+            Signal::Success => false,
+            Signal::Slow => self.slow >= SLOW_MAX && pool.has_room(),
+            Signal::Failure => (many || (in_a_row && !shared)) && pool.has_room(),
+            Signal::Unreachable => self.unreachable >= STREAK_MAX,
         }
     }
 
     /// Ejects the backend server and tells until when.
-    pub fn eject(&mut self, sign: Sign, now: Time) -> Time {
-        let first = if sign == Sign::Unreachable { EJECTION_UNREACHABLE } else { EJECTION };
-        self.is_harmful |= sign != Sign::Unreachable;
+    pub fn eject(&mut self, sign: Signal, now: Time) -> Time {
+        let first = if sign == Signal::Unreachable { EJECTION_UNREACHABLE } else { EJECTION };
+        self.is_harmful |= sign != Signal::Unreachable;
         let until = now + first * (1 << self.doublings);
         self.doublings = (self.doublings + 1).min(DOUBLINGS_MAX);
-        self.standing = Standing::Ejected { until };
+        self.standing = Status::Ejected { until };
         until
     }
 
     /// Ends an ejection.
     pub fn probe(&mut self, now: Time) {
-        self.standing = Standing::Probing { needed: PROBES, since: now };
+        self.standing = Status::Probing { needed: PROBES, since: now };
     }
 
     /// Takes in a good answer while probing, and tells whether it was the last one needed.
-    pub fn passed(&mut self, now: Time) -> bool {
-        let Standing::Probing { needed, since } = self.standing else { return false };
+    pub fn probe_succeeded(&mut self, now: Time) -> bool {
+        let Status::Probing { needed, since } = self.standing else { return false };
         if needed > 1 {
-            self.standing = Standing::Probing { needed: needed - 1, since };
+            self.standing = Status::Probing { needed: needed - 1, since };
             return false;
         }
-        self.standing = Standing::Ramping { since: now };
+        self.standing = Status::SlowStart { since: now };
         self.streak = 0;
         self.unreachable = 0;
         self.slow = 0;
@@ -216,12 +216,12 @@
     }
 
     /// Ends a slow start that has lasted long enough, and tells whether it did.
-    pub fn settle(&mut self, now: Time) -> bool {
-        let Standing::Ramping { since } = self.standing else { return false };
+    pub fn end_slow_start(&mut self, now: Time) -> bool {
+        let Status::SlowStart { since } = self.standing else { return false };
         if now.saturating_sub(since) < RAMP {
             return false;
         }
-        self.standing = Standing::Steady;
+        self.standing = Status::Healthy;
         let restored = self.doublings > 0;
         self.doublings = 0;
         self.is_harmful = false;
--- a/crates/routing/src/ending.rs
+++ b/crates/routing/src/ending.rs
@@ -14,7 +14,7 @@
 use crate::backend::Backend;
 use crate::backend::Presence;
 use crate::backoff;
-use crate::eject::Sign;
+use crate::eject::Signal;
 use crate::event::Attempt;
 use crate::event::Ending;
 use crate::finish::End;
@@ -44,7 +44,7 @@
             return;
         };
         if says_leaving(ending) {
-            self.said_leaving(ended.backend, step);
+            self.reported_leaving(ended.backend, step);
         }
         self.judge(&ended, ending, step);
         self.release(&ended, step);
@@ -53,7 +53,7 @@
             Ending::Answered { .. } => self.finish(id, End::Forward(attempt), step),
             Ending::TooLarge => {
                 self.end_running(id, attempt);
-                self.requests[id].doubt = Some(Code::AnswerTooLarge);
+                self.requests[id].may_have_run = Some(Code::AnswerTooLarge);
                 self.finish(id, End::Reply(Code::AnswerTooLarge), step);
             }
             Ending::Broken => self.failed(id, attempt, Some(Code::Lost), Code::Lost, step),
@@ -68,17 +68,18 @@
     /// Drops the ending of an attempt that was given up. Its request is over or has another
     /// attempt; only what it says about the backend server is of use.
     fn ended_late(&mut self, attempt: Attempt, ending: Ending, step: &mut Step<'_>) {
-        if !self.attempts.is_known(attempt) {
+        if !self.attempts.was_issued(attempt) {
             return;
         }
-        let backend = self.attempts.late(attempt).filter(|&id| self.backends.get(id).is_some());
+        let backend =
+            self.attempts.cancelled_backend(attempt).filter(|&id| self.backends.get(id).is_some());
         let subject = match backend {
             Some(id) => self.backends[id].instance.clone(),
             None => Instance::from("unknown"),
         };
-        step.note(log::Event::LateAnswer, &subject);
+        step.log(log::Event::LateAnswer, &subject);
         if let Some(id) = backend.filter(|_| says_leaving(ending)) {
-            self.said_leaving(id, step);
+            self.reported_leaving(id, step);
         }
     }
 
@@ -92,8 +93,8 @@
         step: &mut Step<'_>,
     ) {
         let request = &mut self.requests[id];
-        request.doubt = request.doubt.or(doubt);
-        request.refusal = code;
+        request.may_have_run = request.may_have_run.or(doubt);
+        request.last_failure = code;
         self.end_running(id, attempt);
         if self.requests[id].running().is_empty() {
             self.retry(id, code, step);
@@ -115,7 +116,7 @@
             return;
         };
         if delay.is_zero() {
-            self.enter(id, step);
+            self.dispatch(id, step);
             return;
         }
         let until = step.now + delay;
@@ -144,24 +145,24 @@
         if service.budget.spend() {
             return Some(delay);
         }
-        if service.spent_noted.is_due(step.now) {
-            step.note(log::Event::RetryBudgetSpent, &service.name);
+        if service.budget_cooldown.start(step.now) {
+            step.log(log::Event::RetryBudgetSpent, &service.name);
         }
         None
     }
 
     /// Gives up an attempt: its ending isn't waited for, and one that comes is dropped.
-    pub(crate) fn give_up(&mut self, attempt: Attempt, step: &mut Step<'_>) {
-        let ended = self.attempts.give_up(attempt);
+    pub(crate) fn cancel(&mut self, attempt: Attempt, step: &mut Step<'_>) {
+        let ended = self.attempts.cancel(attempt);
         step.act(Action::Cancel { attempt });
         let latency = step.now - ended.sent;
         let backend = &mut self.backends[ended.backend];
         let typical = self.pools[backend.pool].typical;
         let is_overdue = latency.as_secs_f64() > OVERDUE * typical.seconds();
-        let is_silent = backend.progress <= ended.sent;
-        if is_overdue && ended.sent >= self.woken {
+        let is_silent = backend.last_progress <= ended.sent;
+        if is_overdue && ended.sent >= self.stall_ended {
             backend.latency.observe(step.now, latency, typical);
-            let sign = if is_silent { Sign::Failed } else { Sign::Slow };
+            let sign = if is_silent { Signal::Failure } else { Signal::Slow };
             self.weigh(ended.backend, sign, step);
         }
         self.release(&ended, step);
@@ -176,9 +177,9 @@
         let is_over = backend.presence == Presence::Gone && backend.in_flight == 0;
         self.pools[pool].refresh(step.now, ended.backend, &mut self.backends);
         if is_over {
-            self.forget_backend(ended.backend);
+            self.remove_backend(ended.backend);
         }
-        self.mark(pool);
+        self.mark_changed(pool);
     }
 
     /// Draws from an ending what it says about the backend server. One that is leaving isn't
@@ -186,7 +187,7 @@
     /// attempt that was in flight while this process stood still.
     fn judge(&mut self, ended: &InFlight, ending: Ending, step: &mut Step<'_>) {
         let is_live = self.backends[ended.backend].presence == Presence::Live;
-        if !is_live || ended.sent < self.woken {
+        if !is_live || ended.sent < self.stall_ended {
             return;
         }
         let latency = step.now - ended.sent;
@@ -194,22 +195,22 @@
             Ending::Answered { status, .. } if status < SERVER_ERROR => {
                 self.judge_answer(ended, latency, step);
             }
-            Ending::TooLarge => self.backends[ended.backend].progress = step.now,
+            Ending::TooLarge => self.backends[ended.backend].last_progress = step.now,
             Ending::Answered { .. } => {
-                self.backends[ended.backend].progress = step.now;
-                self.judge_failure(ended.backend, latency, Sign::Failed, step);
+                self.backends[ended.backend].last_progress = step.now;
+                self.judge_failure(ended.backend, latency, Signal::Failure, step);
             }
             Ending::Refused { .. } => {
                 let backend = &mut self.backends[ended.backend];
-                backend.progress = step.now;
+                backend.last_progress = step.now;
                 backend.limit.decrease(step.now);
-                self.judge_failure(ended.backend, latency, Sign::Failed, step);
+                self.judge_failure(ended.backend, latency, Signal::Failure, step);
             }
             Ending::Unsent => {
-                self.judge_failure(ended.backend, latency, Sign::Unreachable, step);
+                self.judge_failure(ended.backend, latency, Signal::Unreachable, step);
             }
             Ending::Broken | Ending::Truncated => {
-                self.judge_failure(ended.backend, latency, Sign::Failed, step);
+                self.judge_failure(ended.backend, latency, Signal::Failure, step);
             }
         }
     }
@@ -218,17 +219,17 @@
         let backend = &mut self.backends[ended.backend];
         let pool = &mut self.pools[backend.pool];
         let request = &self.requests[ended.request];
-        backend.progress = step.now;
+        backend.last_progress = step.now;
         backend.latency.observe(step.now, latency, pool.typical);
-        let cap = backend.cap();
-        backend.limit.answered(step.now, latency, ended.filled, cap);
+        let cap = backend.concurrency_max();
+        backend.limit.observe(step.now, latency, ended.at_limit, cap);
         let usual = pool.typical.seconds();
         let is_slow = usual > 0.0 && latency.as_secs_f64() > SLOW * usual;
         pool.typical.observe(latency);
         if request.class == Class::Paying {
-            self.services[request.service].lateness.observe(latency);
+            self.services[request.service].latencies.observe(latency);
         }
-        let sign = if is_slow { Sign::Slow } else { Sign::Good };
+        let sign = if is_slow { Signal::Slow } else { Signal::Success };
         self.weigh(ended.backend, sign, step);
     }
 
@@ -236,7 +237,7 @@
         &mut self,
         id: Id<Backend>,
         latency: Duration,
-        sign: Sign,
+        sign: Signal,
         step: &mut Step<'_>,
     ) {
         let backend = &mut self.backends[id];
@@ -248,7 +249,7 @@
     }
 
     /// Weighs a sign against a backend server: it may be ejected, or pass its probing.
-    fn weigh(&mut self, id: Id<Backend>, sign: Sign, step: &mut Step<'_>) {
+    fn weigh(&mut self, id: Id<Backend>, sign: Signal, step: &mut Step<'_>) {
         let backend = &mut self.backends[id];
         let pool = &mut self.pools[backend.pool];
         let is_bad = backend.health.observe(sign, &pool.failures);
@@ -260,25 +261,25 @@
             self.eject(id, sign, step);
             return;
         }
-        let is_passed = sign == Sign::Good && backend.health.passed(step.now);
+        let is_passed = sign == Signal::Success && backend.health.probe_succeeded(step.now);
         if is_passed {
             backend.latency.reset();
         }
-        if backend.health.settle(step.now) {
-            step.note(log::Event::BackendRestored, &backend.instance);
+        if backend.health.end_slow_start(step.now) {
+            step.log(log::Event::BackendRestored, &backend.instance);
         }
     }
 
-    fn eject(&mut self, id: Id<Backend>, sign: Sign, step: &mut Step<'_>) {
+    fn eject(&mut self, id: Id<Backend>, sign: Signal, step: &mut Step<'_>) {
         let backend = &mut self.backends[id];
         let pool_id = backend.pool;
         let until: Time = backend.health.eject(sign, step.now);
         let pool = &mut self.pools[pool_id];
         pool.failures.ejected += 1;
-        step.note(log::Event::BackendEjected, &backend.instance);
+        step.log(log::Event::BackendEjected, &backend.instance);
         pool.refresh(step.now, id, &mut self.backends);
         self.timers.set(until, Timer::Probe(id));
-        self.mark(pool_id);
+        self.mark_changed(pool_id);
     }
 }
 
--- a/crates/routing/src/finish.rs
+++ b/crates/routing/src/finish.rs
@@ -13,7 +13,7 @@
 use crate::request::Closed;
 use crate::request::Request;
 use crate::request::Stage;
-use crate::router::Orphan;
+use crate::router::Claim;
 use crate::router::Router;
 use crate::router::Step;
 use crate::service::Service;
@@ -40,21 +40,21 @@
         let running: SmallVec<[Attempt; 2]> = self.requests[id].running().into();
         for attempt in running {
             if !matches!(end, End::Forward(answered) if answered == attempt) {
-                self.give_up(attempt, step);
+                self.cancel(attempt, step);
             }
         }
         let request = self.requests.remove(id).expect("a request ends while it is in its table");
         self.request_ids.remove(&request.number);
         let closed = request.close();
         let end = match end {
-            End::Reply(code) => End::Reply(closed.honest(code)),
+            End::Reply(code) => End::Reply(closed.final_code(code)),
             other => other,
         };
         self.settle(&closed, &end, step);
         let service = closed.request.service;
         self.answer(closed, end, step);
         self.services[service].requests -= 1;
-        self.forget_service(service);
+        self.remove_unused_service(service);
     }
 
     /// Tells the owner of the request's key what became of it, or remembers to do so when the
@@ -65,7 +65,7 @@
         let service = self.services[request.service].name.clone();
         let key = key.clone();
         if matches!(request.stage, Stage::Claiming(_)) {
-            self.orphans.insert(request.number, Orphan { service, key });
+            self.ended_claims.insert(request.number, Claim { service, key });
             return;
         }
         if !request.claimed {
@@ -82,7 +82,7 @@
             End::Replay(answer) => step.act(Action::Replay { request, answer }),
             End::Reply(code) => {
                 let repeatable = closed.request.is_repeatable();
-                let retry_after = backoff::come_back(code, repeatable, &mut self.rng);
+                let retry_after = backoff::retry_after(code, repeatable, &mut self.rng);
                 step.act(Action::Reply { request, code, retry_after });
             }
             End::Abandoned => {}
@@ -90,7 +90,7 @@
     }
 
     /// Drops a service that is not declared any more and has no request left.
-    pub(crate) fn forget_service(&mut self, id: Id<Service>) {
+    pub(crate) fn remove_unused_service(&mut self, id: Id<Service>) {
         let is_over = |service: &Service| !service.declared && service.requests == 0;
         if self.services.get(id).is_some_and(is_over) {
             self.services.remove(id);
@@ -101,7 +101,8 @@
 impl Closed {
     /// Returns what the owner of the request's key has to know.
     fn settled(&self, end: &End) -> Settled {
-        let may_have_run = self.request.doubt.is_some() || !self.request.running().is_empty();
+        let may_have_run =
+            self.request.may_have_run.is_some() || !self.request.running().is_empty();
         match end {
             End::Forward(attempt) => Settled::Ran { attempt: *attempt },
             End::Reply(code) if code.outcome() == Outcome::NotRun => Settled::NotRun,
--- a/crates/routing/src/hedge.rs
+++ b/crates/routing/src/hedge.rs
@@ -17,20 +17,20 @@
 
 /// A fading histogram of latencies in buckets that widen with latency.
 #[derive(Debug)]
-pub struct Lateness {
+pub struct Histogram {
     counts: [u32; BUCKETS],
     total: u32,
     seen: u32,
     estimate: Option<Duration>,
 }
 
-impl Default for Lateness {
+impl Default for Histogram {
     fn default() -> Self {
-        Lateness { counts: [0; BUCKETS], total: 0, seen: 0, estimate: None }
+        Histogram { counts: [0; BUCKETS], total: 0, seen: 0, estimate: None }
     }
 }
 
-impl Lateness {
+impl Histogram {
     /// Takes in the latency of one answer.
     pub fn observe(&mut self, latency: Duration) {
         self.counts[bucket(latency)] += 1;
@@ -45,7 +45,7 @@
     }
 
     /// Returns the latency after which an attempt is late, once enough is known.
-    pub fn late(&self) -> Option<Duration> {
+    pub fn delay(&self) -> Option<Duration> {
         self.estimate
     }
 
--- a/crates/routing/src/leaving.rs
+++ b/crates/routing/src/leaving.rs
@@ -10,12 +10,12 @@
 
 /// Which life of which instance is leaving. Another life of the same name is not.
 #[derive(Debug, Default)]
-pub struct Heard {
+pub struct Instances {
     lives: HashMap<id::Instance, id::Incarnation>,
     order: VecDeque<id::Instance>,
 }
 
-impl Heard {
+impl Instances {
     /// Remembers that a life of an instance is leaving; an older one than known changes nothing.
     pub fn insert(&mut self, instance: &id::Instance, incarnation: id::Incarnation) {
         if let Some(known) = self.lives.get_mut(instance) {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -6,35 +6,35 @@
 //! process, the scenario files, the property tests and the measurements all drive the same code.
 //! It never sees a body; it knows attempts by number. `docs/design/requests.md` gives the reasons.
 //!
-//! A request comes in through `intake`, is placed by `place`, and its attempts end in `ending`;
-//! `finish` makes its one final action. `listing` keeps the backend servers, `due` the timers. The
-//! other modules each hold one rule and know nothing of the router.
+//! A request comes in through `arrival`, is placed by `place`, and its attempts end in `ending`;
+//! `finish` makes its one final action. `membership` keeps the backend servers, `timeout` the timers.
+//! The other modules each hold one rule and know nothing of the router.
 
 pub mod action;
 mod admit;
+mod arrival;
 mod attempt;
 mod backend;
 mod backoff;
 mod budget;
 mod choice;
-mod due;
+mod cooldown;
 mod eject;
 mod ending;
 pub mod event;
 mod finish;
 mod hedge;
-mod intake;
 mod latency;
 mod leaving;
 mod limit;
-mod listing;
+mod membership;
 mod pick;
 mod place;
 mod pool;
 mod queue;
 mod request;
 pub mod router;
-mod seldom;
 mod service;
 mod share;
+mod timeout;
 mod timer;
--- a/crates/routing/src/limit.rs
+++ b/crates/routing/src/limit.rs
@@ -40,7 +40,7 @@
     }
 
     /// Takes in the latency of an answer; `full` tells whether the limit was used in full.
-    pub fn answered(&mut self, now: Time, latency: Duration, full: bool, cap: u32) {
+    pub fn observe(&mut self, now: Time, latency: Duration, full: bool, cap: u32) {
         let sample = latency.as_secs_f64();
         if self.average == 0.0 {
             self.average = sample;
--- a/crates/routing/src/listing.rs
+++ b/crates/routing/src/membership.rs
@@ -12,21 +12,21 @@
 use crate::backend::Backend;
 use crate::backend::Presence;
 use crate::eject::Health;
-use crate::eject::Standing;
+use crate::eject::Status;
 use crate::pool::Pool;
-use crate::router::Life;
+use crate::router::Identity;
 use crate::router::Router;
 use crate::router::Step;
 use crate::share;
-use crate::share::Place;
+use crate::share::Partition;
 
 impl Router {
     /// Takes in a reading of the list; one that isn't newer changes nothing.
-    pub(crate) fn listed(&mut self, view: &list::View, step: &mut Step<'_>) {
-        if self.version.is_some_and(|known| view.version <= known) {
+    pub(crate) fn apply_list(&mut self, view: &list::View, step: &mut Step<'_>) {
+        if self.list_version.is_some_and(|known| view.version <= known) {
             return;
         }
-        self.version = Some(view.version);
+        self.list_version = Some(view.version);
         // A list without any declared service is an answer too: no service is in force.
         self.is_ready = true;
         let home_entries = self.home_entries(view);
@@ -65,22 +65,22 @@
         step: &mut Step<'_>,
     ) {
         let id = self.backend_id(member, version, step.now);
-        let place = Place { entries: self.settings.entries, entry: self.settings.entry };
+        let place = Partition { entries: self.settings.entries, entry: self.settings.entry };
         let connections = share::connections(member.connections, &member.instance, place);
         let backend = &mut self.backends[id];
-        let entries = if backend.is_home { home_entries } else { self.settings.entries };
+        let entries = if backend.is_local { home_entries } else { self.settings.entries };
         backend.set_share(connections, share::slots_milli(member.slots, entries));
         backend.address = member.address;
         backend.version = version;
         let pool = backend.pool;
         let is_leaving = member.state == list::State::Leaving
-            || self.heard.contains(&member.instance, member.incarnation);
+            || self.leaving.contains(&member.instance, member.incarnation);
         if is_leaving && backend.presence == Presence::Live {
-            step.note(log::Event::BackendLeaving, &backend.instance);
+            step.log(log::Event::BackendLeaving, &backend.instance);
             self.depart(id, Presence::Leaving, step);
         }
         self.pools[pool].refresh(step.now, id, &mut self.backends);
-        self.mark(pool);
+        self.mark_changed(pool);
     }
 
     /// Finds a listed backend server, or opens it.
@@ -88,17 +88,17 @@
     /// The first of a pool are trusted, because there is no better one to send requests to; those
     /// that join later have to show that they answer.
     fn backend_id(&mut self, member: &list::Member, version: u64, now: Time) -> Id<Backend> {
-        let life = Life { instance: member.instance.clone(), incarnation: member.incarnation };
+        let life = Identity { instance: member.instance.clone(), incarnation: member.incarnation };
         if let Some(&known) = self.backend_ids.get(&life) {
             return known;
         }
         let pool_id = self.pool_id(&member.service);
         let pool = &mut self.pools[pool_id];
         if pool.failures.listed == 0 {
-            pool.founded = Some(version);
+            pool.initial_version = Some(version);
         }
-        let is_first = pool.founded == Some(version);
-        let health = if is_first { Health::trusted() } else { Health::untried(now) };
+        let is_first = pool.initial_version == Some(version);
+        let health = if is_first { Health::healthy() } else { Health::probing(now) };
         pool.failures.listed += 1;
         let is_home = member.domain == self.settings.domain;
         let id = self.backends.insert(Backend::open(member, pool_id, is_home, health));
@@ -117,7 +117,7 @@
         for id in unlisted {
             self.depart(id, Presence::Gone, step);
             if self.backends[id].in_flight == 0 {
-                self.forget_backend(id);
+                self.remove_backend(id);
             }
         }
     }
@@ -137,31 +137,31 @@
     }
 
     /// Takes in that an instance is leaving, as told by a peer or seen by the entry.
-    pub(crate) fn heard_leaving(
+    pub(crate) fn notified_leaving(
         &mut self,
         instance: &id::Instance,
         incarnation: id::Incarnation,
         step: &mut Step<'_>,
     ) {
-        self.heard.insert(instance, incarnation);
-        let life = Life { instance: instance.clone(), incarnation };
+        self.leaving.insert(instance, incarnation);
+        let life = Identity { instance: instance.clone(), incarnation };
         let Some(&id) = self.backend_ids.get(&life) else { return };
         if self.backends[id].presence == Presence::Live {
-            step.note(log::Event::BackendLeaving, instance);
+            step.log(log::Event::BackendLeaving, instance);
             self.depart(id, Presence::Leaving, step);
         }
     }
 
     /// Takes in that a backend server itself said that it is leaving, and tells the other entries.
-    pub(crate) fn said_leaving(&mut self, id: Id<Backend>, step: &mut Step<'_>) {
+    pub(crate) fn reported_leaving(&mut self, id: Id<Backend>, step: &mut Step<'_>) {
         let Some(backend) = self.backends.get(id) else { return };
         if backend.presence != Presence::Live {
             return;
         }
         let instance = backend.instance.clone();
         let incarnation = backend.incarnation;
-        self.heard.insert(&instance, incarnation);
-        step.note(log::Event::BackendLeaving, &instance);
+        self.leaving.insert(&instance, incarnation);
+        step.log(log::Event::BackendLeaving, &instance);
         step.act(Action::Announce { instance, incarnation });
         self.depart(id, Presence::Leaving, step);
     }
@@ -173,20 +173,20 @@
         let pool: &mut Pool = &mut self.pools[pool_id];
         if backend.presence == Presence::Live {
             pool.failures.listed -= 1;
-            if matches!(backend.health.standing(), Standing::Ejected { .. }) {
+            if matches!(backend.health.status(), Status::Ejected { .. }) {
                 pool.failures.ejected -= 1;
             }
         }
         backend.presence = presence;
         pool.refresh(step.now, id, &mut self.backends);
-        self.mark(pool_id);
+        self.mark_changed(pool_id);
     }
 
     /// Drops a backend server that is listed no more and has no attempt left.
-    pub(crate) fn forget_backend(&mut self, id: Id<Backend>) {
+    pub(crate) fn remove_backend(&mut self, id: Id<Backend>) {
         let backend = self.backends.remove(id).expect("a backend server is dropped once");
         assert_eq!(backend.in_flight, 0, "attempts hold their backend server");
-        let life = Life { instance: backend.instance, incarnation: backend.incarnation };
+        let life = Identity { instance: backend.instance, incarnation: backend.incarnation };
         self.backend_ids.remove(&life);
     }
 }
--- a/crates/routing/src/pick.rs
+++ b/crates/routing/src/pick.rs
@@ -6,8 +6,8 @@
 
 use crate::backend::Backend;
 use crate::choice;
-use crate::choice::Lot;
-use crate::choice::Wish;
+use crate::choice::Criteria;
+use crate::choice::Draw;
 use crate::pool::Pool;
 use crate::request::Request;
 use crate::router::Router;
@@ -16,15 +16,15 @@
 impl Router {
     /// Chooses a backend server for a request, one that it has not tried if there is one.
     pub(crate) fn pick(&mut self, id: Id<Request>, step: &mut Step<'_>) -> Option<Id<Backend>> {
-        let lot = Lot::draw(&mut self.rng);
+        let draw = Draw::sample(&mut self.rng);
         let request = &self.requests[id];
         let pool = &self.pools[request.pool];
-        let is_desperate = pool.home.sum.slots_milli + pool.away.sum.slots_milli == 0;
-        let wish = Wish {
-            lot,
+        let is_desperate = pool.local.totals.slots_milli + pool.remote.totals.slots_milli == 0;
+        let wish = Criteria {
+            draw,
             now: step.now,
             typical: pool.typical,
-            avoid: &request.tried,
+            exclude: &request.tried,
             may_probe: request.attempts == 0 && (request.idempotent || is_desperate),
         };
         let found = self.pick_wished(request, wish);
@@ -39,7 +39,7 @@
     /// Tells whether a backend server is left that a request has not tried and may use.
     pub(crate) fn has_untried(&self, request: &Request) -> bool {
         let pool = &self.pools[request.pool];
-        let home = pool.home.sum.usable;
+        let home = pool.local.totals.usable;
         let stays = request.class != Class::Paying && home > 0;
         let usable = if stays { home } else { pool.usable() };
         usable > self.tried_usable(request, stays)
@@ -48,52 +48,52 @@
     /// Counts the usable backend servers that a request has tried.
     fn tried_usable(&self, request: &Request, at_home: bool) -> usize {
         let counts =
-            |backend: &Backend| backend.portion.usable > 0 && (backend.is_home || !at_home);
+            |backend: &Backend| backend.counted.usable > 0 && (backend.is_local || !at_home);
         let tried = request.tried.iter().enumerate();
         let first_tries = tried.filter(|(index, id)| !request.tried[..*index].contains(id));
         first_tries.filter(|(_, id)| self.backends.get(**id).is_some_and(counts)).count()
     }
 
     /// Chooses among backend servers that were all tried, the last one only if there is no other.
-    fn pick_again(&self, request: &Request, wish: Wish<'_>) -> Option<Id<Backend>> {
+    fn pick_again(&self, request: &Request, wish: Criteria<'_>) -> Option<Id<Backend>> {
         if self.has_untried(request) {
             return None;
         }
         let last = request.tried.len().saturating_sub(1);
-        let others = Wish { avoid: &request.tried[last..], ..wish };
-        let any = Wish { avoid: &[], ..wish };
+        let others = Criteria { exclude: &request.tried[last..], ..wish };
+        let any = Criteria { exclude: &[], ..wish };
         self.pick_wished(request, others).or_else(|| self.pick_wished(request, any))
     }
 
     /// Chooses in the own failure domain first; in another one when the own is short, and once as
     /// the last thing tried.
-    fn pick_wished(&self, request: &Request, wish: Wish<'_>) -> Option<Id<Backend>> {
+    fn pick_wished(&self, request: &Request, wish: Criteria<'_>) -> Option<Id<Backend>> {
         let pool = &self.pools[request.pool];
         let choose = |side| choice::choose(side, wish, &self.backends);
         let is_paying = request.class == Class::Paying;
         let attempts = self.services[request.service].spec.attempts;
         let is_last = request.attempts > 0 && request.attempts + 1 >= attempts;
-        let away_first = is_paying && is_last && !request.tried_away;
-        let home_usable = pool.home.sum.usable;
+        let away_first = is_paying && is_last && !request.tried_remote;
+        let home_usable = pool.local.totals.usable;
         let is_home_tried = is_paying && home_usable <= self.tried_usable(request, true);
         let may_spill = home_usable == 0 || is_home_tried || (is_paying && pool.spill.is_on());
-        let first = if away_first { choose(&pool.away) } else { None };
-        let second = first.or_else(|| choose(&pool.home));
-        second.or_else(|| if may_spill { choose(&pool.away) } else { None })
+        let first = if away_first { choose(&pool.remote) } else { None };
+        let second = first.or_else(|| choose(&pool.local));
+        second.or_else(|| if may_spill { choose(&pool.remote) } else { None })
     }
 
     /// Keeps account of whether a pool's requests go to other failure domains.
     fn track_spill(&mut self, pool: Id<Pool>, backend: Id<Backend>, step: &mut Step<'_>) {
         let pool = &mut self.pools[pool];
-        if self.backends[backend].is_home {
-            if pool.spill.relax(step.now) {
-                step.note(log::Event::SpillEnded, &pool.name);
+        if self.backends[backend].is_local {
+            if pool.spill.stop(step.now) {
+                step.log(log::Event::SpillEnded, &pool.name);
             }
             return;
         }
-        let is_short = pool.home.sum.usable == 0 || pool.spill.is_on();
+        let is_short = pool.local.totals.usable == 0 || pool.spill.is_on();
         if is_short && pool.spill.start(step.now) {
-            step.note(log::Event::SpillStarted, &pool.name);
+            step.log(log::Event::SpillStarted, &pool.name);
         }
     }
 }
--- a/crates/routing/src/place.rs
+++ b/crates/routing/src/place.rs
@@ -33,7 +33,7 @@
 
 impl Router {
     /// Places a request that is idle: it is sent, waits or is refused.
-    pub(crate) fn enter(&mut self, id: Id<Request>, step: &mut Step<'_>) {
+    pub(crate) fn dispatch(&mut self, id: Id<Request>, step: &mut Step<'_>) {
         let request = &self.requests[id];
         if step.now >= request.deadline {
             self.expire(id, step);
@@ -49,7 +49,7 @@
             return;
         }
         let is_first = request.attempts == 0;
-        let goes_now = !is_first || !pool.queue.is_taken(request.class);
+        let goes_now = !is_first || !pool.queue.has_waiting(request.class);
         if goes_now && self.place(id, step) {
             return;
         }
@@ -58,11 +58,11 @@
 
     fn admits(&self, request: &Request) -> bool {
         let pool = &self.pools[request.pool];
-        let sum = pool.trial_side().sum;
+        let sum = pool.trial_locality().totals;
         let load = Load {
             slots_milli: sum.slots_milli,
             in_flight: sum.in_flight,
-            is_outranked: Class::ALL
+            has_higher_waiting: Class::ALL
                 .into_iter()
                 .any(|class| class < request.class && pool.queue.head(class).is_some()),
         };
@@ -74,8 +74,8 @@
         let request = &self.requests[id];
         let code = admit::shed(request.class);
         let service = &mut self.services[request.service];
-        if service.shed_noted.is_due(step.now) {
-            step.note(log::Event::TrialShed, &service.name);
+        if service.shed_cooldown.start(step.now) {
+            step.log(log::Event::TrialShed, &service.name);
         }
         self.finish(id, End::Reply(code), step);
     }
@@ -93,18 +93,18 @@
         service.queued += 1;
         request.stage = Stage::Queued(request.take_idle().queue(until));
         let pool = &mut self.pools[request.pool];
-        pool.queue.insert(request.class, request.rank, id);
+        pool.queue.insert(request.class, request.sequence, id);
         if until < request.deadline {
             self.timers.set(until, Timer::QueueWait(id));
         }
-        let may_spill = request.class == Class::Paying && pool.away.sum.usable > 0;
+        let may_spill = request.class == Class::Paying && pool.remote.totals.usable > 0;
         if may_spill && !pool.spill.is_on() {
             self.timers.set(step.now + SPILL_WAIT, Timer::Spill(id));
         }
         if pool.queue.has_others(request.class) {
             // Those before it may wait for a backend server that they have not tried.
             let pool = request.pool;
-            self.mark(pool);
+            self.mark_changed(pool);
         }
     }
 
@@ -115,7 +115,7 @@
             unreachable!("a request that leaves a queue waits in it");
         };
         request.stage = Stage::Idle(queued.leave());
-        self.pools[request.pool].queue.remove(request.class, request.rank);
+        self.pools[request.pool].queue.remove(request.class, request.sequence);
         let service = &mut self.services[request.service];
         assert!(service.queued > 0, "as many requests leave a queue as entered it");
         service.queued -= 1;
@@ -152,16 +152,16 @@
         assert!(backend.in_flight < backend.connections, "this entry's share is kept");
         request.attempts += 1;
         request.tried.push(backend_id);
-        request.tried_away |= !backend.is_home;
+        request.tried_remote |= !backend.is_local;
         if backend.in_flight == 0 {
-            backend.progress = step.now;
+            backend.last_progress = step.now;
         }
         backend.in_flight += 1;
         let attempt = self.attempts.begin(InFlight {
             request: id,
             backend: backend_id,
             sent: step.now,
-            filled: backend.in_flight >= backend.ceiling(step.now),
+            at_limit: backend.in_flight >= backend.concurrency_limit(step.now),
         });
         step.act(Action::Send {
             request: request.number,
@@ -188,14 +188,14 @@
         if !may_hedge {
             return None;
         }
-        let at = now + service.lateness.late()?;
+        let at = now + service.latencies.delay()?;
         (at < request.deadline).then_some(at)
     }
 
     /// Sends a second attempt beside a late first one, if the budget and the load allow it.
     pub(crate) fn hedge(&mut self, id: Id<Request>, step: &mut Step<'_>) {
         let request = &self.requests[id];
-        let is_rich = self.services[request.service].budget.is_rich();
+        let is_rich = self.services[request.service].budget.allows_hedge();
         if !is_rich || !self.has_spare(request) {
             return;
         }
@@ -217,23 +217,26 @@
     /// Tells whether a hedge would only take what is to spare. It takes up to two thirds of the reserve:
     /// trials leave the rest of the slots full at times, and paying requests still are to be hedged.
     fn has_spare(&self, request: &Request) -> bool {
-        let sum = self.pools[request.pool].trial_side().sum;
-        let load =
-            Load { slots_milli: sum.slots_milli, in_flight: sum.in_flight, is_outranked: false };
+        let sum = self.pools[request.pool].trial_locality().totals;
+        let load = Load {
+            slots_milli: sum.slots_milli,
+            in_flight: sum.in_flight,
+            has_higher_waiting: false,
+        };
         let reserve = self.services[request.service].spec.reserve_permille;
         admit::admits(Class::Trial, load, reserve / HEDGE_SPARES)
     }
 
-    /// Marks a pool for [`Router::pump_changed`].
-    pub(crate) fn mark(&mut self, pool: Id<Pool>) {
-        if !self.changed.contains(&pool) {
-            self.changed.push(pool);
+    /// Marks a pool for [`Router::place_waiting`].
+    pub(crate) fn mark_changed(&mut self, pool: Id<Pool>) {
+        if !self.changed_pools.contains(&pool) {
+            self.changed_pools.push(pool);
         }
     }
 
     /// Places waiting requests wherever something has changed.
-    pub(crate) fn pump_changed(&mut self, step: &mut Step<'_>) {
-        while let Some(pool) = self.changed.pop() {
+    pub(crate) fn place_waiting(&mut self, step: &mut Step<'_>) {
+        while let Some(pool) = self.changed_pools.pop() {
             if self.pools.get(pool).is_none() {
                 continue;
             }
