--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -8,10 +8,10 @@
 use cowslipchute_base::id::Time;
 
 use crate::backend::Backend;
-use crate::backend::Portion;
-use crate::backend::Spot;
+use crate::backend::Position;
+use crate::backend::Totals;
 use crate::eject::Failures;
-use crate::eject::Standing;
+use crate::eject::Status;
 use crate::latency::Typical;
 use crate::queue::Queue;
 
@@ -20,13 +20,13 @@
 
 /// The backend servers of a pool in the own failure domain, or in all others.
 #[derive(Debug, Default)]
-pub struct Side {
+pub struct Locality {
     /// Those that have room, in no order that means anything.
     pub ready: Vec<Id<Backend>>,
     /// Those that want one request to show that they answer.
     pub probes: Vec<Id<Backend>>,
     /// Sums over the backend servers.
-    pub sum: Portion,
+    pub totals: Totals,
 }
 
 /// Whether requests go to other failure domains because the own one is short.
@@ -43,7 +43,7 @@
     }
 
     /// The own failure domain has room; tells whether it has had it for long enough to stop.
-    pub fn relax(&mut self, now: Time) -> bool {
+    pub fn stop(&mut self, now: Time) -> bool {
         let Some(short) = self.short else { return false };
         if now.saturating_sub(short) < SPILL_HOLD {
             return false;
@@ -64,9 +64,9 @@
     /// Name of the service.
     pub name: id::Service,
     /// Those in the own failure domain.
-    pub home: Side,
+    pub local: Locality,
     /// Those in the others.
-    pub away: Side,
+    pub remote: Locality,
     /// Requests that wait for a slot.
     pub queue: Queue,
     /// The usual latency.
@@ -76,7 +76,7 @@
     /// Whether requests go to other failure domains.
     pub spill: Spill,
     /// The version of the list with which the pool got its first backend servers.
-    pub founded: Option<u64>,
+    pub initial_version: Option<u64>,
 }
 
 impl Pool {
@@ -84,43 +84,43 @@
     pub fn open(name: id::Service) -> Pool {
         Pool {
             name,
-            home: Side::default(),
-            away: Side::default(),
+            local: Locality::default(),
+            remote: Locality::default(),
             queue: Queue::default(),
             typical: Typical::default(),
             failures: Failures::default(),
             spill: Spill::default(),
-            founded: None,
+            initial_version: None,
         }
     }
 
     /// Counts the backend servers that may get a request now or when their attempts have ended.
     pub fn usable(&self) -> usize {
-        self.home.sum.usable + self.away.sum.usable
+        self.local.totals.usable + self.remote.totals.usable
     }
 
     /// Returns the side that trials may use: the own failure domain, unless nothing is there.
-    pub fn trial_side(&self) -> &Side {
-        if self.home.sum.usable > 0 { &self.home } else { &self.away }
+    pub fn trial_locality(&self) -> &Locality {
+        if self.local.totals.usable > 0 { &self.local } else { &self.remote }
     }
 
     /// Brings sums and places up to date after anything about a backend server has changed.
     pub fn refresh(&mut self, now: Time, id: Id<Backend>, backends: &mut Table<Backend>) {
         let backend = &mut backends[id];
-        let portion = backend.measure(now);
-        let old = std::mem::replace(&mut backend.portion, portion);
-        let is_home = backend.is_home;
-        let has_room = backend.in_flight < backend.ceiling(now);
-        let is_probing = matches!(backend.health.standing(), Standing::Probing { .. });
-        let spot = backend.spot;
-        let side = if is_home { &mut self.home } else { &mut self.away };
-        side.sum.slots_milli = side.sum.slots_milli + portion.slots_milli - old.slots_milli;
-        side.sum.in_flight = side.sum.in_flight + portion.in_flight - old.in_flight;
-        side.sum.usable = side.sum.usable + portion.usable - old.usable;
+        let portion = backend.totals(now);
+        let old = std::mem::replace(&mut backend.counted, portion);
+        let is_home = backend.is_local;
+        let has_room = backend.in_flight < backend.concurrency_limit(now);
+        let is_probing = matches!(backend.health.status(), Status::Probing { .. });
+        let spot = backend.position;
+        let side = if is_home { &mut self.local } else { &mut self.remote };
+        side.totals.slots_milli = side.totals.slots_milli + portion.slots_milli - old.slots_milli;
+        side.totals.in_flight = side.totals.in_flight + portion.in_flight - old.in_flight;
+        side.totals.usable = side.totals.usable + portion.usable - old.usable;
         match spot {
-            Spot::Ready(_) if has_room && !is_probing => return,
-            Spot::Probe(_) if has_room && is_probing => return,
-            Spot::None if !has_room => return,
+            Position::Ready(_) if has_room && !is_probing => return,
+            Position::Probe(_) if has_room && is_probing => return,
+            Position::None if !has_room => return,
             _ => {}
         }
         side.take_out(id, backends);
@@ -130,24 +130,25 @@
     }
 }
 
-impl Side {
+impl Locality {
     fn put_in(&mut self, id: Id<Backend>, is_probing: bool, backends: &mut Table<Backend>) {
         let list = if is_probing { &mut self.probes } else { &mut self.ready };
         let index = list.len();
         list.push(id);
-        backends[id].spot = if is_probing { Spot::Probe(index) } else { Spot::Ready(index) };
+        backends[id].position =
+            if is_probing { Position::Probe(index) } else { Position::Ready(index) };
     }
 
     fn take_out(&mut self, id: Id<Backend>, backends: &mut Table<Backend>) {
-        let spot = std::mem::replace(&mut backends[id].spot, Spot::None);
+        let spot = std::mem::replace(&mut backends[id].position, Position::None);
         let (list, index) = match spot {
-            Spot::None => return,
-            Spot::Ready(index) => (&mut self.ready, index),
-            Spot::Probe(index) => (&mut self.probes, index),
+            Position::None => return,
+            Position::Ready(index) => (&mut self.ready, index),
+            Position::Probe(index) => (&mut self.probes, index),
         };
         list.swap_remove(index);
         if let Some(&moved) = list.get(index) {
-            backends[moved].spot = spot;
+            backends[moved].position = spot;
         }
     }
 }
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -8,18 +8,18 @@
 use crate::request::Request;
 
 /// Rank of a request's arrival; a retry keeps it and so goes before later arrivals.
-pub type Rank = u64;
+pub type Sequence = u64;
 
 /// The waiting requests of one pool. Their number is bounded by each service's own limit.
 #[derive(Debug, Default)]
 pub struct Queue {
-    paying: BTreeMap<Rank, Id<Request>>,
-    trial: BTreeMap<Rank, Id<Request>>,
-    batch: BTreeMap<Rank, Id<Request>>,
+    paying: BTreeMap<Sequence, Id<Request>>,
+    trial: BTreeMap<Sequence, Id<Request>>,
+    batch: BTreeMap<Sequence, Id<Request>>,
 }
 
 impl Queue {
-    fn of(&mut self, class: Class) -> &mut BTreeMap<Rank, Id<Request>> {
+    fn of(&mut self, class: Class) -> &mut BTreeMap<Sequence, Id<Request>> {
         match class {
             Class::Paying => &mut self.paying,
             Class::Trial => &mut self.trial,
@@ -28,13 +28,13 @@
     }
 
     /// Adds a request.
-    pub fn insert(&mut self, class: Class, rank: Rank, request: Id<Request>) {
+    pub fn insert(&mut self, class: Class, rank: Sequence, request: Id<Request>) {
         let old = self.of(class).insert(rank, request);
         assert!(old.is_none(), "a request waits in one place");
     }
 
     /// Takes a request out, wherever it stands.
-    pub fn remove(&mut self, class: Class, rank: Rank) {
+    pub fn remove(&mut self, class: Class, rank: Sequence) {
         let old = self.of(class).remove(&rank);
         assert!(old.is_some(), "a waiting request is in its queue");
     }
@@ -54,7 +54,7 @@
         self.class(class).len() > 1
     }
 
-    fn class(&self, class: Class) -> &BTreeMap<Rank, Id<Request>> {
+    fn class(&self, class: Class) -> &BTreeMap<Sequence, Id<Request>> {
         match class {
             Class::Paying => &self.paying,
             Class::Trial => &self.trial,
@@ -63,7 +63,7 @@
     }
 
     /// Tells whether a request of that class or of one served before it waits.
-    pub fn is_taken(&self, class: Class) -> bool {
+    pub fn has_waiting(&self, class: Class) -> bool {
         Class::ALL.into_iter().any(|other| other <= class && self.head(other).is_some())
     }
 }
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -15,7 +15,7 @@
 use crate::backend::Backend;
 use crate::event::Attempt;
 use crate::pool::Pool;
-use crate::queue::Rank;
+use crate::queue::Sequence;
 use crate::service::Service;
 
 /// Waits for the verdict of its key's owner; nothing was sent.
@@ -145,19 +145,19 @@
     /// When its caller stops waiting.
     pub deadline: Time,
     /// Rank of its arrival.
-    pub rank: Rank,
+    pub sequence: Sequence,
     /// Attempts made, hedges included.
     pub attempts: u8,
     /// Whether it was hedged.
     pub hedged: bool,
     /// Why it may have run, if an attempt that ended may have run it.
-    pub doubt: Option<Code>,
+    pub may_have_run: Option<Code>,
     /// Why its last attempt did not run it.
-    pub refusal: Code,
+    pub last_failure: Code,
     /// The backend servers that were tried.
     pub tried: SmallVec<[Id<Backend>; 3]>,
     /// Whether another failure domain was tried.
-    pub tried_away: bool,
+    pub tried_remote: bool,
     /// Where it is in its life.
     pub stage: Stage,
 }
@@ -198,7 +198,7 @@
 
     /// Tells whether a further attempt could run it a second time to any effect.
     pub fn may_repeat(&self) -> bool {
-        self.idempotent || (self.doubt.is_none() && self.running().is_empty())
+        self.idempotent || (self.may_have_run.is_none() && self.running().is_empty())
     }
 
     /// Tells whether the caller may send it again without asking what became of it.
@@ -214,12 +214,12 @@
 
 impl Closed {
     /// Returns the code that is true of the request: "not run" only if no attempt may have run it.
-    pub fn honest(&self, code: Code) -> Code {
+    pub fn final_code(&self, code: Code) -> Code {
         if code.outcome() != Outcome::NotRun {
             return code;
         }
         let running = !self.request.running().is_empty();
-        match self.request.doubt {
+        match self.request.may_have_run {
             Some(doubt) => doubt,
             None if running => Code::Lost,
             None => code,
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -16,9 +16,9 @@
 use crate::attempt::Attempts;
 use crate::backend::Backend;
 use crate::event::Event;
-use crate::leaving::Heard;
+use crate::leaving::Instances;
 use crate::pool::Pool;
-use crate::queue::Rank;
+use crate::queue::Sequence;
 use crate::request::Request;
 use crate::service::Service;
 use crate::timer::Timers;
@@ -43,14 +43,14 @@
 
 /// One life of one instance, as a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Life {
+pub(crate) struct Identity {
     pub(crate) instance: id::Instance,
     pub(crate) incarnation: id::Incarnation,
 }
 
 /// A claim whose request was over before the verdict came.
 #[derive(Debug)]
-pub(crate) struct Orphan {
+pub(crate) struct Claim {
     pub(crate) service: id::Service,
     pub(crate) key: id::IdempotencyKey,
 }
@@ -67,7 +67,7 @@
         self.actions.push(action);
     }
 
-    pub(crate) fn note(&mut self, event: log::Event, subject: &id::Instance) {
+    pub(crate) fn log(&mut self, event: log::Event, subject: &id::Instance) {
         self.act(Action::Note { event, subject: subject.clone() });
     }
 }
@@ -85,21 +85,21 @@
     pub(crate) pools: Table<Pool>,
     pub(crate) pool_ids: HashMap<id::Service, Id<Pool>>,
     pub(crate) backends: Table<Backend>,
-    pub(crate) backend_ids: HashMap<Life, Id<Backend>>,
+    pub(crate) backend_ids: HashMap<Identity, Id<Backend>>,
     pub(crate) requests: Table<Request>,
     pub(crate) request_ids: HashMap<id::Request, Id<Request>>,
     pub(crate) attempts: Attempts,
-    pub(crate) orphans: HashMap<id::Request, Orphan>,
+    pub(crate) ended_claims: HashMap<id::Request, Claim>,
     pub(crate) timers: Timers,
-    pub(crate) heard: Heard,
+    pub(crate) leaving: Instances,
     /// Pools in which room may have come free, or the last backend server gone, in this step.
-    pub(crate) changed: SmallVec<[Id<Pool>; 4]>,
-    pub(crate) last_rank: Rank,
+    pub(crate) changed_pools: SmallVec<[Id<Pool>; 4]>,
+    pub(crate) last_sequence: Sequence,
     /// When this process last did something far later than it was due, as one does that was frozen
     /// or starved. Attempts sent before say nothing about their backend servers.
-    pub(crate) woken: Time,
+    pub(crate) stall_ended: Time,
     /// The version of the list in use.
-    pub(crate) version: Option<u64>,
+    pub(crate) list_version: Option<u64>,
     /// Whether any service was ever declared here.
     pub(crate) is_ready: bool,
     pub(crate) is_draining: bool,
@@ -120,13 +120,13 @@
             requests: Table::default(),
             request_ids: HashMap::new(),
             attempts: Attempts::default(),
-            orphans: HashMap::new(),
+            ended_claims: HashMap::new(),
             timers: Timers::default(),
-            heard: Heard::default(),
-            changed: SmallVec::new(),
-            last_rank: 0,
-            woken: Time::ZERO,
-            version: None,
+            leaving: Instances::default(),
+            changed_pools: SmallVec::new(),
+            last_sequence: 0,
+            stall_ended: Time::ZERO,
+            list_version: None,
             is_ready: false,
             is_draining: false,
         }
@@ -142,9 +142,9 @@
         match event {
             Event::Service { name, spec } => self.declare(name, spec),
             Event::ServiceGone { name } => self.withdraw(&name, &mut step),
-            Event::Listed { view } => self.listed(&view, &mut step),
+            Event::Listed { view } => self.apply_list(&view, &mut step),
             Event::Leaving { instance, incarnation } => {
-                self.heard_leaving(&instance, incarnation, &mut step);
+                self.notified_leaving(&instance, incarnation, &mut step);
             }
             Event::Arrived { request, arrival } => self.arrived(request, arrival, &mut step),
             Event::Abandoned { request } => self.abandoned(request, &mut step),
@@ -153,14 +153,14 @@
             Event::Tick => self.run_due(&mut step),
             Event::Drain => self.is_draining = true,
         }
-        self.pump_changed(&mut step);
+        self.place_waiting(&mut step);
         self.prune_timers();
     }
 
     fn notice_waking(&mut self, now: Time) {
         let due = self.next_due();
         if due.is_some_and(|due| now.saturating_sub(due) > PAUSE) {
-            self.woken = now;
+            self.stall_ended = now;
         }
     }
 
--- a/crates/routing/src/service.rs
+++ b/crates/routing/src/service.rs
@@ -7,9 +7,9 @@
 use cowslipchute_resource::service::Spec;
 
 use crate::budget::Budget;
-use crate::hedge::Lateness;
+use crate::cooldown::Cooldown;
+use crate::hedge::Histogram;
 use crate::pool::Pool;
-use crate::seldom::Seldom;
 
 /// One service and what its requests share.
 #[derive(Debug)]
@@ -29,11 +29,11 @@
     /// Its retries and hedges.
     pub budget: Budget,
     /// Its recent latencies.
-    pub lateness: Lateness,
+    pub latencies: Histogram,
     /// When the spent budget was last noted.
-    pub spent_noted: Seldom,
+    pub budget_cooldown: Cooldown,
     /// When the refusal of trials was last noted.
-    pub shed_noted: Seldom,
+    pub shed_cooldown: Cooldown,
 }
 
 impl Service {
@@ -46,9 +46,9 @@
             requests: 0,
             queued: 0,
             budget: Budget::open(spec.retry_permille),
-            lateness: Lateness::default(),
-            spent_noted: Seldom::default(),
-            shed_noted: Seldom::default(),
+            latencies: Histogram::default(),
+            budget_cooldown: Cooldown::default(),
+            shed_cooldown: Cooldown::default(),
             spec,
         }
     }
--- a/crates/routing/src/share.rs
+++ b/crates/routing/src/share.rs
@@ -4,7 +4,7 @@
 
 /// This entry among all entries.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
+pub struct Partition {
     /// How many entries there are.
     pub entries: u16,
     /// Which one this is, from zero.
@@ -17,7 +17,7 @@
 /// entries that rank first for this backend server by rendezvous hashing. So the shares never add
 /// up to more than the connections; in a fleet with more entries than connections each backend
 /// server serves a subset of the entries, and a change of one moves nothing else.
-pub fn connections(connections: u16, instance: &str, place: Place) -> u32 {
+pub fn connections(connections: u16, instance: &str, place: Partition) -> u32 {
     let entries = u32::from(place.entries.max(1));
     let connections = u32::from(connections);
     let whole = connections / entries;
@@ -26,7 +26,7 @@
 }
 
 /// Counts the entries that rank before this one for a backend server.
-fn rank(instance: &str, place: Place) -> u32 {
+fn rank(instance: &str, place: Partition) -> u32 {
     let weight = |entry: u16| (xxh3_64_with_seed(instance.as_bytes(), u64::from(entry)), entry);
     let own = weight(place.entry);
     (0..place.entries).filter(|&entry| weight(entry) > own).count() as u32
--- a/crates/routing/src/due.rs
+++ b/crates/routing/src/timeout.rs
@@ -7,7 +7,7 @@
 
 use crate::backend::Backend;
 use crate::backend::Presence;
-use crate::eject::Standing;
+use crate::eject::Status;
 use crate::finish::End;
 use crate::request::Request;
 use crate::request::Stage;
@@ -44,7 +44,7 @@
             Stage::Claiming(_) => Code::KeyOwnerUnreachable,
             Stage::Queued(_) => Code::QueueTimeout,
             Stage::Idle(_) if request.attempts == 0 => Code::QueueTimeout,
-            Stage::Backoff(_) | Stage::Idle(_) => request.refusal,
+            Stage::Backoff(_) | Stage::Idle(_) => request.last_failure,
         };
         self.finish(id, End::Reply(code), step);
     }
@@ -67,13 +67,13 @@
         }
         let pool_id = request.pool;
         let pool = &mut self.pools[pool_id];
-        if pool.away.sum.usable == 0 {
+        if pool.remote.totals.usable == 0 {
             return;
         }
         if pool.spill.start(step.now) {
-            step.note(log::Event::SpillStarted, &pool.name);
+            step.log(log::Event::SpillStarted, &pool.name);
         }
-        self.mark(pool_id);
+        self.mark_changed(pool_id);
     }
 
     fn end_backoff(&mut self, id: Id<Request>, step: &mut Step<'_>) {
@@ -85,7 +85,7 @@
             unreachable!("the stage was just looked at");
         };
         request.stage = Stage::Idle(backoff.leave());
-        self.enter(id, step);
+        self.dispatch(id, step);
     }
 
     fn run_hedge(&mut self, id: Id<Request>, step: &mut Step<'_>) {
@@ -102,17 +102,17 @@
     /// Ends an ejection: the backend server gets one request at a time.
     fn probe(&mut self, id: Id<Backend>, step: &mut Step<'_>) {
         let Some(backend) = self.backends.get_mut(id) else { return };
-        let Standing::Ejected { until } = backend.health.standing() else { return };
+        let Status::Ejected { until } = backend.health.status() else { return };
         if backend.presence != Presence::Live || until > step.now {
             return;
         }
         backend.health.probe(step.now);
-        step.note(log::Event::BackendProbed, &backend.instance);
+        step.log(log::Event::BackendProbed, &backend.instance);
         let pool_id = backend.pool;
         let pool = &mut self.pools[pool_id];
         pool.failures.ejected -= 1;
         pool.refresh(step.now, id, &mut self.backends);
-        self.mark(pool_id);
+        self.mark_changed(pool_id);
     }
 
     /// Drops stale timers, so that what is next due is something to do.
@@ -132,9 +132,9 @@
             Timer::Hedge(id) => {
                 matches!(stage(id), Some(Stage::Running(running)) if running.hedge_at == Some(at))
             }
-            Timer::Probe(id) => backends.get(id).is_some_and(|backend| {
-                backend.health.standing() == Standing::Ejected { until: at }
-            }),
+            Timer::Probe(id) => backends
+                .get(id)
+                .is_some_and(|backend| backend.health.status() == Status::Ejected { until: at }),
         };
         self.timers.prune(alive);
     }
--- a/crates/spread/examples/ways/fleet.rs
+++ b/crates/spread/examples/ways/fleet.rs
@@ -15,15 +15,15 @@
 use cowslipchute_spread::batch::Scope;
 use cowslipchute_spread::gossip::Action;
 use cowslipchute_spread::gossip::Gossip;
-use cowslipchute_spread::held::Fit;
-use cowslipchute_spread::held::Held;
-use cowslipchute_spread::held::PAGE_BYTES;
-use cowslipchute_spread::held::Page;
-use cowslipchute_spread::pulls::Pulls;
-use cowslipchute_spread::pulls::Step;
-use cowslipchute_spread::pushes::Push;
-use cowslipchute_spread::pushes::Pushes;
+use cowslipchute_spread::pull::Pull;
+use cowslipchute_spread::pull::Step;
+use cowslipchute_spread::push::Children;
+use cowslipchute_spread::push::Push;
 use cowslipchute_spread::rank::Peer;
+use cowslipchute_spread::replica::Continuity;
+use cowslipchute_spread::replica::PAGE_BYTES;
+use cowslipchute_spread::replica::Page;
+use cowslipchute_spread::replica::Replica;
 use rand::Rng;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -115,10 +115,10 @@
 
 struct Instance {
     peer: Peer,
-    held: Held,
+    held: Replica,
     gossip: Gossip,
-    pulls: Pulls,
-    pushes: Pushes,
+    pulls: Pull,
+    pushes: Children,
     watching: bool,
     alive: bool,
     bytes: usize,
@@ -155,7 +155,7 @@
         let mut queue = Queue::open();
         queue.push(QUIET, Event::Change);
         for (at, instance) in instances.iter_mut().enumerate() {
-            instance.gossip.members(&members);
+            instance.gossip.set_members(&members);
             let (items, scope) = (history.clone(), Scope::Whole);
             instance.held.apply(Batch { items, revision: RESOURCES, scope });
             queue.push(Duration::from_micros(1013 * at as u64 % 1_000_000), Event::Tick(at));
@@ -270,7 +270,7 @@
                     let peer = number(&peer);
                     self.ask(at, peer);
                 }
-                let due = self.instances[at].gossip.due().saturating_sub(now);
+                let due = self.instances[at].gossip.next_due().saturating_sub(now);
                 due.max(Duration::from_millis(1))
             }
         };
@@ -353,7 +353,7 @@
         let Some(page) = page else { return self.unheard(at, peer) };
         self.heard(at, peer);
         let Batch { items, revision, .. } = page.batch;
-        match self.instances[at].pulls.page(items, revision, page.whole) {
+        match self.instances[at].pulls.receive(items, revision, page.lacks_removals) {
             Some(Step::Ask(after)) => self.ask_from(at, peer, after),
             Some(Step::Apply(batch)) => self.apply(at, batch),
             None => {}
@@ -377,7 +377,7 @@
         self.heard(at, peer);
         let to = self.instances[peer].peer.clone();
         let Instance { pushes, held, .. } = &mut self.instances[at];
-        let next = pushes.taken(held, &to);
+        let next = pushes.accepted(held, &to);
         self.send(at, next);
     }
 
@@ -403,8 +403,8 @@
             return;
         }
         let (before, last) = (instance.held.in_force(), instance.held.last_change());
-        if instance.held.apply(batch).fit == Fit::Gap {
-            instance.gossip.gap(now);
+        if instance.held.apply(batch).continuity == Continuity::Gap {
+            instance.gossip.request_pull(now);
             self.queue.push(now, Event::Tick(at));
         }
         let instance = &mut self.instances[at];
@@ -475,9 +475,9 @@
     Instance {
         gossip: Gossip::open(peer.clone(), seed ^ at as u64),
         peer,
-        held: Held::default(),
-        pushes: Pushes::default(),
-        pulls: Pulls::default(),
+        held: Replica::default(),
+        pushes: Children::default(),
+        pulls: Pull::default(),
         watching: false,
         alive: true,
         bytes: 0,
--- a/crates/spread/src/gossip.rs
+++ b/crates/spread/src/gossip.rs
@@ -8,7 +8,7 @@
 //! The places in the tree are those of the list, whoever answers. Where an instance doesn't, its
 //! parent takes over its children and these pull from its parent; so only its neighbours, who call
 //! it, need to know. When instances disagree all the same, some changes travel twice, which
-//! [`crate::held`] ignores, or come with a pull instead of a push.
+//! [`crate::replica`] ignores, or come with a pull instead of a push.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,13 +30,13 @@
 /// many instances its domain has, and four steps reach 121 of them.
 pub const FANOUT: usize = 3;
 /// Time between two pulls, before jitter.
-pub const PULL_EVERY: Duration = Duration::from_secs(1);
+pub const PULL_INTERVAL: Duration = Duration::from_secs(1);
 /// Time between two pulls of an instance that has no configuration yet.
-pub const PULL_AT_START: Duration = Duration::from_millis(200);
+pub const PULL_INTERVAL_INITIAL: Duration = Duration::from_millis(200);
 /// A peer that failed a call is left out for so long, and twice as long after each failed probe.
-pub const SUSPECT_FOR: Duration = Duration::from_secs(2);
+pub const SUSPECT_DELAY: Duration = Duration::from_secs(2);
 /// The longest time that a peer is left out before it is probed again.
-pub const SUSPECT_MAX: Duration = Duration::from_secs(30);
+pub const SUSPECT_DELAY_MAX: Duration = Duration::from_secs(30);
 /// One pull in so many goes to any peer, in case the parent answers but learns nothing.
 const STRAY_PULLS: u32 = 8;
 
@@ -79,7 +79,7 @@
 
     /// Takes the list of instances. A peer that is listed no more, or with another life, is no
     /// longer suspect.
-    pub fn members(&mut self, members: &[Member]) {
+    pub fn set_members(&mut self, members: &[Member]) {
         self.domains = rank::rank(&self.me, members);
         let domains = &self.domains;
         self.suspects.retain(|instance, suspect| {
@@ -127,7 +127,7 @@
     pub fn tick(&mut self, now: Time, ready: bool) -> Actions {
         let mut actions = self.probes(now);
         if now >= self.next_pull {
-            let every = if ready { PULL_EVERY } else { PULL_AT_START };
+            let every = if ready { PULL_INTERVAL } else { PULL_INTERVAL_INITIAL };
             self.next_pull = now + every.mul_f64(self.rng.random_range(0.75..1.25));
             actions.extend(self.pulled().map(Action::Pull));
         }
@@ -135,13 +135,13 @@
     }
 
     /// Returns when the next call is due.
-    pub fn due(&self) -> Time {
+    pub fn next_due(&self) -> Time {
         let probes = self.suspects.values().map(|suspect| suspect.until);
         probes.chain([self.next_pull]).min().expect("the next pull is always set")
     }
 
     /// Notes that something is missing, so that the next tick pulls.
-    pub fn gap(&mut self, now: Time) {
+    pub fn request_pull(&mut self, now: Time) {
         self.next_pull = self.next_pull.min(now);
     }
 
@@ -154,12 +154,12 @@
     /// whoever has taken its place.
     pub fn failed(&mut self, peer: &Peer, now: Time) -> bool {
         let before = self.suspects.get(&peer.instance);
-        let wait = before.map_or(SUSPECT_FOR, |before| SUSPECT_MAX.min(before.wait * 2));
+        let wait = before.map_or(SUSPECT_DELAY, |before| SUSPECT_DELAY_MAX.min(before.wait * 2));
         let news = before.is_none();
         let suspect = Suspect { incarnation: peer.incarnation, until: now + wait, wait };
         self.suspects.insert(peer.instance.clone(), suspect);
         if news {
-            self.gap(now);
+            self.request_pull(now);
         }
         news
     }
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub mod batch;
 pub mod gossip;
-pub mod held;
-pub mod pulls;
-pub mod pushes;
+pub mod pull;
+pub mod push;
 pub mod rank;
+pub mod replica;
--- a/crates/spread/src/pulls.rs
+++ b/crates/spread/src/pull.rs
@@ -33,11 +33,11 @@
 
 /// The pull under way, if any.
 #[derive(Clone, Debug, Default)]
-pub struct Pulls {
+pub struct Pull {
     run: Option<Run>,
 }
 
-impl Pulls {
+impl Pull {
     /// Begins a pull of what a peer has beyond `in_force`; nothing if one is under way. Returns the
     /// revision to ask from.
     pub fn begin(&mut self, peer: &Peer, in_force: Revision) -> Option<Revision> {
@@ -51,7 +51,7 @@
 
     /// Takes a page. `whole` tells that the peer doesn't know every removal since the revision that
     /// was asked from, so that only a pull of everything helps.
-    pub fn page(&mut self, items: Vec<Item>, revision: Revision, whole: bool) -> Option<Step> {
+    pub fn receive(&mut self, items: Vec<Item>, revision: Revision, whole: bool) -> Option<Step> {
         let run = self.run.as_mut()?;
         if whole && run.from > 0 {
             (run.from, run.reached) = (0, 0);
--- a/crates/spread/src/pushes.rs
+++ b/crates/spread/src/push.rs
@@ -10,9 +10,9 @@
 use smallvec::SmallVec;
 
 use crate::batch::Batch;
-use crate::held::Held;
-use crate::held::PAGE_BYTES;
 use crate::rank::Peer;
+use crate::replica::PAGE_BYTES;
+use crate::replica::Replica;
 
 /// A push to make.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,15 +31,15 @@
 
 /// The children and how far each has been pushed.
 #[derive(Clone, Debug, Default)]
-pub struct Pushes {
+pub struct Children {
     children: BTreeMap<Instance, Child>,
 }
 
-impl Pushes {
+impl Children {
     /// Returns the pushes to make after changes that continue from `before`.
     pub fn changed<'a>(
         &mut self,
-        held: &Held,
+        held: &Replica,
         before: Revision,
         children: impl Iterator<Item = &'a Peer>,
     ) -> SmallVec<[Push; 8]> {
@@ -56,7 +56,7 @@
     }
 
     /// Returns the next push to a child that took the last one, if more changed meanwhile.
-    pub fn taken(&mut self, held: &Held, peer: &Peer) -> Option<Push> {
+    pub fn accepted(&mut self, held: &Replica, peer: &Peer) -> Option<Push> {
         let child = self.children.get_mut(&peer.instance)?;
         child.under_way = false;
         child.push(held, peer)
@@ -69,7 +69,7 @@
 }
 
 impl Child {
-    fn push(&mut self, held: &Held, peer: &Peer) -> Option<Push> {
+    fn push(&mut self, held: &Replica, peer: &Peer) -> Option<Push> {
         // A change ahead of `in_force` waits until what lies between is known.
         let known = held.last_change().min(held.in_force());
         if self.under_way || self.pushed >= known {
@@ -77,7 +77,7 @@
         }
         let page = held.page(self.pushed, PAGE_BYTES);
         self.pushed = held.in_force();
-        if page.whole || !page.last || page.batch.items.is_empty() {
+        if page.lacks_removals || !page.last || page.batch.items.is_empty() {
             return None;
         }
         self.under_way = true;
--- a/crates/spread/src/rank.rs
+++ b/crates/spread/src/rank.rs
@@ -32,7 +32,8 @@
 /// `me` is always among them, since a list that lags may not know it yet.
 pub fn rank(me: &Peer, members: &[Member]) -> BTreeMap<Domain, Vec<Peer>> {
     let mut domains: BTreeMap<Domain, Vec<Peer>> = BTreeMap::new();
-    let others = members.iter().filter(|member| follows(member) && member.instance != me.instance);
+    let others =
+        members.iter().filter(|member| is_follower(member) && member.instance != me.instance);
     for peer in others.map(peer).chain([me.clone()]) {
         domains.entry(peer.domain.clone()).or_default().push(peer);
     }
@@ -43,7 +44,7 @@
 }
 
 /// Tells whether a member follows the configuration and stays.
-pub fn follows(member: &Member) -> bool {
+pub fn is_follower(member: &Member) -> bool {
     let ours = matches!(member.role, Role::Entry | Role::Placer | Role::Operator);
     ours && member.state == State::Live
 }
--- a/crates/spread/src/held.rs
+++ b/crates/spread/src/replica.rs
@@ -26,7 +26,7 @@
 
 /// The last change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Slot {
+pub struct Version {
     /// The value, or nothing when the key was removed.
     pub value: Option<Arc<[u8]>>,
     /// Revision of the change.
@@ -39,12 +39,12 @@
     /// The whole key.
     pub key: Key,
     /// What it was changed to. A removal may be forgotten again by the time this is read.
-    pub slot: Slot,
+    pub version: Version,
 }
 
 /// How a batch fitted onto what is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fit {
+pub enum Continuity {
     /// It continued from what is held, or repeated it.
     Joined,
     /// Changes between what is held and the batch are missing; they have to be asked for.
@@ -59,7 +59,7 @@
     /// By rising revision.
     pub changes: Vec<Change>,
     /// How the batch fitted.
-    pub fit: Fit,
+    pub continuity: Continuity,
 }
 
 /// A part of what is held, by rising revision.
@@ -68,15 +68,15 @@
     /// The changes.
     pub batch: Batch,
     /// Whether removals may be missing among them.
-    pub whole: bool,
+    pub lacks_removals: bool,
     /// Whether nothing comes after them.
     pub last: bool,
 }
 
 /// The configuration in force at this instance.
 #[derive(Clone, Debug)]
-pub struct Held {
-    slots: BTreeMap<Key, Slot>,
+pub struct Replica {
+    slots: BTreeMap<Key, Version>,
     by_revision: BTreeSet<(Revision, Key)>,
     tombstones: BTreeSet<(Revision, Key)>,
     in_force: Revision,
@@ -84,16 +84,16 @@
     tombstones_max: usize,
 }
 
-impl Default for Held {
+impl Default for Replica {
     fn default() -> Self {
-        Held::with_tombstones(TOMBSTONES_MAX)
+        Replica::with_tombstones_max(TOMBSTONES_MAX)
     }
 }
 
-impl Held {
+impl Replica {
     /// Holds nothing, and will remember at most `max` removals.
-    pub fn with_tombstones(max: usize) -> Held {
-        Held {
+    pub fn with_tombstones_max(max: usize) -> Replica {
+        Replica {
             slots: BTreeMap::new(),
             by_revision: BTreeSet::new(),
             tombstones: BTreeSet::new(),
@@ -110,45 +110,45 @@
 
     /// Returns the revision of the last change held, which a push to a peer continues from.
     ///
-    /// Between this and [`Held::in_force`] nothing changed, so a peer that has this one lacks
+    /// Between this and [`Replica::in_force`] nothing changed, so a peer that has this one lacks
     /// nothing, though the store's own revision went on for other reasons.
     pub fn last_change(&self) -> Revision {
         self.by_revision.last().map_or(0, |(revision, _)| *revision)
     }
 
     /// Finds the last change of a key.
-    pub fn get(&self, key: &str) -> Option<&Slot> {
+    pub fn get(&self, key: &str) -> Option<&Version> {
         self.slots.get(key)
     }
 
     /// Walks the keys that exist, by rising key.
-    pub fn iter(&self) -> impl Iterator<Item = (&Key, &Slot)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Key, &Version)> {
         self.slots.iter().filter(|(_, slot)| slot.value.is_some())
     }
 
     /// Counts the removals that are remembered.
-    pub fn tombstones(&self) -> usize {
+    pub fn tombstone_count(&self) -> usize {
         self.tombstones.len()
     }
 
     /// Takes from a batch what is newer than what is held.
     pub fn apply(&mut self, batch: Batch) -> Applied {
         let before = self.in_force;
-        let fit = match batch.scope {
-            Scope::Whole if batch.revision < self.in_force => Fit::Stale,
-            Scope::Whole => Fit::Joined,
-            Scope::After(after) if after > self.in_force => Fit::Gap,
-            Scope::After(_) if batch.revision < self.in_force => Fit::Stale,
-            Scope::After(_) => Fit::Joined,
+        let continuity = match batch.scope {
+            Scope::Whole if batch.revision < self.in_force => Continuity::Stale,
+            Scope::Whole => Continuity::Joined,
+            Scope::After(after) if after > self.in_force => Continuity::Gap,
+            Scope::After(_) if batch.revision < self.in_force => Continuity::Stale,
+            Scope::After(_) => Continuity::Joined,
         };
         let mut changes = Vec::new();
-        if fit == Fit::Joined && batch.scope == Scope::Whole {
+        if continuity == Continuity::Joined && batch.scope == Scope::Whole {
             self.remove_missing(&batch, &mut changes);
         }
         for item in batch.items {
             self.take(item, &mut changes);
         }
-        if fit == Fit::Joined {
+        if continuity == Continuity::Joined {
             if batch.scope == Scope::Whole && batch.revision > self.in_force {
                 // Keys that came and went since `in_force` were never seen here, so their removals
                 // can't be told to a peer that lags behind this read.
@@ -157,9 +157,9 @@
             self.in_force = batch.revision;
             self.compact();
         }
-        changes.sort_by_key(|change| change.slot.revision);
+        changes.sort_by_key(|change| change.version.revision);
         assert!(self.in_force >= before, "a revision in force never goes back");
-        Applied { changes, fit }
+        Applied { changes, continuity }
     }
 
     /// Removes the keys that a whole configuration no longer has. When they were removed isn't
@@ -174,8 +174,8 @@
             .map(|(key, _)| key.clone())
             .collect();
         for key in missing {
-            let slot = Slot { value: None, revision: batch.revision };
-            changes.push(Change { key: key.clone(), slot: slot.clone() });
+            let slot = Version { value: None, revision: batch.revision };
+            changes.push(Change { key: key.clone(), version: slot.clone() });
             self.set(key, slot);
         }
     }
@@ -190,12 +190,12 @@
         if self.slots.get(&key).is_some_and(|slot| slot.revision >= item.revision) {
             return;
         }
-        let slot = Slot { value: item.value.map(Arc::from), revision: item.revision };
-        changes.push(Change { key: key.clone(), slot: slot.clone() });
+        let slot = Version { value: item.value.map(Arc::from), revision: item.revision };
+        changes.push(Change { key: key.clone(), version: slot.clone() });
         self.set(key, slot);
     }
 
-    fn set(&mut self, key: Key, slot: Slot) {
+    fn set(&mut self, key: Key, slot: Version) {
         let revision = slot.revision;
         let removed = slot.value.is_none();
         if let Some(old) = self.slots.insert(key.clone(), slot) {
@@ -237,10 +237,10 @@
     ///
     /// Below the floor not every removal is among them, which the page tells. The pages from
     /// nothing on are nevertheless everything that exists, with the removals that happen meanwhile,
-    /// as long as the removals remembered outlast the asking; [`crate::pulls`] puts them together.
+    /// as long as the removals remembered outlast the asking; [`crate::pull`] puts them together.
     pub fn page(&self, after: Revision, limit: usize) -> Page {
         let scope = Scope::After(after);
-        let whole = after < self.floor;
+        let lacks_removals = after < self.floor;
         let mut items = Vec::new();
         let mut bytes = 0;
         let mut reached = after;
@@ -251,7 +251,7 @@
             // which is then known here no more.
             if bytes >= limit && *revision > reached && *revision <= self.in_force {
                 let batch = Batch { items, revision: reached, scope };
-                return Page { batch, whole, last: false };
+                return Page { batch, lacks_removals, last: false };
             }
             let item = self.item(key);
             bytes += item.key.len() + item.value.as_ref().map_or(0, Vec::len);
@@ -259,12 +259,12 @@
             reached = *revision;
         }
         let revision = self.in_force;
-        Page { batch: Batch { items, revision, scope }, whole, last: true }
+        Page { batch: Batch { items, revision, scope }, lacks_removals, last: true }
     }
 
     /// Returns every key that exists, and the removals that are ahead of what the batch claims.
     fn whole(&self) -> Batch {
-        let ahead = |slot: &Slot| slot.value.is_some() || slot.revision > self.in_force;
+        let ahead = |slot: &Version| slot.value.is_some() || slot.revision > self.in_force;
         let slots = self.slots.iter().filter(|(_, slot)| ahead(slot));
         let mut items: Vec<_> = slots.map(|(key, _)| self.item(key)).collect();
         items.sort_by_key(|item| item.revision);
--- a/crates/spread/tests/gossip.rs
+++ b/crates/spread/tests/gossip.rs
@@ -98,7 +98,7 @@
             "open" => *self = Scenario::open(word(case, "instance"), word(case, "domain")),
             "members" => {
                 self.listed = case.input.lines().map(member).collect();
-                self.gossip.members(&self.listed);
+                self.gossip.set_members(&self.listed);
             }
             "failed" => {
                 let news = self.gossip.failed(&self.peer(word(case, "peer")), millis(case, "at"));
--- a/crates/spread/tests/held.rs
+++ b/crates/spread/tests/held.rs
@@ -1,4 +1,4 @@
-//! Runs the scenario files of `filetests/held` against [`Held`].
+//! Runs the scenario files of `filetests/held` against [`Replica`].
 //!
 //! `apply` takes one line for each item (`revision key value` or `revision key -` for a removal)
 //! and prints what came into force; `since` prints what someone lacks, `page` the first of it that a
@@ -9,7 +9,7 @@
 use cowslipchute_ports::peer::Item;
 use cowslipchute_spread::batch::Batch;
 use cowslipchute_spread::batch::Scope;
-use cowslipchute_spread::held::Held;
+use cowslipchute_spread::replica::Replica;
 use datadriven::TestCase;
 
 fn item(line: &str) -> Item {
@@ -29,34 +29,36 @@
     value.map_or(String::from("-"), |bytes| String::from_utf8_lossy(bytes).into_owned())
 }
 
-fn apply(held: &mut Held, case: &TestCase) -> String {
+fn apply(held: &mut Replica, case: &TestCase) -> String {
     let scope = number(case, "after").map_or(Scope::Whole, Scope::After);
     let revision = number(case, "revision").expect("apply names the revision it reaches");
     let items = case.input.lines().map(item).collect();
     let applied = held.apply(Batch { items, revision, scope });
     let mut out = String::new();
     for change in applied.changes {
-        let value = shown(change.slot.value.as_deref());
-        writeln!(out, "{} {} {value}", change.slot.revision, change.key)
+        let value = shown(change.version.value.as_deref());
+        writeln!(out, "{} {} {value}", change.version.revision, change.key)
             .expect("a string takes text");
     }
-    writeln!(out, "{:?}, in force {}", applied.fit, held.in_force()).expect("a string takes text");
+    writeln!(out, "{:?}, in force {}", applied.continuity, held.in_force())
+        .expect("a string takes text");
     out
 }
 
-fn since(held: &Held, case: &TestCase) -> String {
+fn since(held: &Replica, case: &TestCase) -> String {
     let batch = held.since(number(case, "after").expect("since names a revision"));
     let mut out = items(&batch);
     writeln!(out, "{:?}, to {}", batch.scope, batch.revision).expect("a string takes text");
     out
 }
 
-fn page(held: &Held, case: &TestCase) -> String {
+fn page(held: &Replica, case: &TestCase) -> String {
     let after = number(case, "after").expect("page names a revision");
     let limit = number(case, "limit").expect("page names a limit") as usize;
     let page = held.page(after, limit);
     let mut out = items(&page.batch);
-    let removals = if page.whole { "removals may be missing" } else { "removals included" };
+    let removals =
+        if page.lacks_removals { "removals may be missing" } else { "removals included" };
     let last = if page.last { "last" } else { "more" };
     writeln!(out, "to {}, {removals}, {last}", page.batch.revision).expect("a string takes text");
     out
@@ -71,13 +73,13 @@
     out
 }
 
-fn state(held: &Held) -> String {
+fn state(held: &Replica) -> String {
     let mut out = String::new();
     for (key, slot) in held.iter() {
         let value = shown(slot.value.as_deref());
         writeln!(out, "{} {key} {value}", slot.revision).expect("a string takes text");
     }
-    writeln!(out, "{} removals, in force {}", held.tombstones(), held.in_force())
+    writeln!(out, "{} removals, in force {}", held.tombstone_count(), held.in_force())
         .expect("a string takes text");
     out
 }
@@ -85,10 +87,12 @@
 #[test]
 fn scenarios() {
     datadriven::walk("filetests/held", |file| {
-        let mut held = Held::default();
+        let mut held = Replica::default();
         file.run(|case| match case.directive.as_str() {
             "new" => {
-                held = Held::with_tombstones(number(case, "tombstones").unwrap_or(100) as usize);
+                held = Replica::with_tombstones_max(
+                    number(case, "tombstones").unwrap_or(100) as usize
+                );
                 String::new()
             }
             "apply" => apply(&mut held, case),
--- a/crates/spread/tests/no_revert.rs
+++ b/crates/spread/tests/no_revert.rs
@@ -8,10 +8,10 @@
 use cowslipchute_ports::peer::Item;
 use cowslipchute_spread::batch::Batch;
 use cowslipchute_spread::batch::Scope;
-use cowslipchute_spread::held::Held;
-use cowslipchute_spread::pulls;
-use cowslipchute_spread::pulls::Pulls;
+use cowslipchute_spread::pull;
+use cowslipchute_spread::pull::Pull;
 use cowslipchute_spread::rank::Peer;
+use cowslipchute_spread::replica::Replica;
 use proptest::prelude::Strategy;
 use proptest::prelude::any;
 use proptest::prelude::prop;
@@ -66,7 +66,7 @@
 }
 
 /// Every key is as the history has it at `in_force`, or later.
-fn check(history: &History, held: &Held) {
+fn check(history: &History, held: &Replica) {
     let truth = history.last(0, held.in_force() as usize);
     for item in truth.values() {
         let found = held.get(&item.key);
@@ -80,7 +80,7 @@
     }
 }
 
-fn take(history: &History, held: &mut Held, batch: Batch) {
+fn take(history: &History, held: &mut Replica, batch: Batch) {
     let before: BTreeMap<_, _> =
         held.iter().map(|(key, slot)| (key.clone(), slot.revision)).collect();
     let in_force = held.in_force();
@@ -111,8 +111,8 @@
 /// An instance and its pull under way.
 #[derive(Clone)]
 struct Instance {
-    held: Held,
-    pulls: Pulls,
+    held: Replica,
+    pulls: Pull,
     asking: Option<(usize, Revision)>,
 }
 
@@ -157,13 +157,13 @@
     });
     let page = instances[from].held.page(asked, page);
     let puller = &mut instances[at];
-    let step = puller.pulls.page(page.batch.items, page.batch.revision, page.whole);
+    let step = puller.pulls.receive(page.batch.items, page.batch.revision, page.lacks_removals);
     match step.expect("a pull is under way") {
-        pulls::Step::Ask(after) => {
+        pull::Step::Ask(after) => {
             puller.asking = Some((from, after));
             false
         }
-        pulls::Step::Apply(batch) => {
+        pull::Step::Apply(batch) => {
             puller.asking = None;
             take(history, &mut puller.held, batch);
             true
@@ -176,8 +176,8 @@
     fn what_is_in_force_never_goes_back(writes in writes(), steps in steps(), limits in limits()) {
         let history = History(writes);
         let end = history.0.len();
-        let held = Held::with_tombstones(limits.tombstones);
-        let new = Instance { held, pulls: Pulls::default(), asking: None };
+        let held = Replica::with_tombstones_max(limits.tombstones);
+        let new = Instance { held, pulls: Pull::default(), asking: None };
         let mut instances = vec![new; INSTANCES];
         for (at, step) in steps {
             match step {
--- a/crates/spread/tests/tree.rs
+++ b/crates/spread/tests/tree.rs
@@ -61,11 +61,11 @@
 
 /// What every following instance makes of the list.
 fn views(members: &[Member]) -> Vec<(Peer, Gossip)> {
-    let following = members.iter().filter(|member| rank::follows(member)).map(peer);
+    let following = members.iter().filter(|member| rank::is_follower(member)).map(peer);
     following
         .map(|me| {
             let mut gossip = Gossip::open(me.clone(), 1);
-            gossip.members(members);
+            gossip.set_members(members);
             (me, gossip)
         })
         .collect()
--- a/crates/tenure/src/action.rs
+++ b/crates/tenure/src/action.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Read the domain's whole prefix.
-    Look {
+    ReadDomain {
         /// Number of the call.
         ticket: Ticket,
     },
@@ -46,7 +46,7 @@
         /// The lease.
         lease: kv::LeaseId,
     },
-    /// Run this cell from now on: read its records, then tell the cell `Owned`.
+    /// Run this cell from now on: read its records, then tell the cell `OwnershipAcquired`.
     Own {
         /// The cell.
         cell: id::Cell,
@@ -58,7 +58,7 @@
         former: Former,
     },
     /// Tell the cell how its former owners ended.
-    Former {
+    PreviousOwners {
         /// The cell.
         cell: id::Cell,
         /// How.
@@ -72,14 +72,14 @@
         epoch: id::Epoch,
     },
     /// Stop all that is done for a cell now, then say `Quiesced` once nothing of it is on its way.
-    Disown {
+    Stop {
         /// The cell.
         cell: id::Cell,
         /// The epoch that is lost.
         epoch: id::Epoch,
     },
     /// Ask a former owner over the peer link whether it has stopped.
-    Ask {
+    QueryStopped {
         /// The cell.
         cell: id::Cell,
         /// Our epoch.
--- a/crates/tenure/src/board.rs
+++ b/crates/tenure/src/directory.rs
@@ -5,7 +5,7 @@
 //! transaction. The wait saves writes; what decides is the store.
 
 mod claim;
-mod departure;
+mod removal;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,24 +22,24 @@
 
 /// A home as the store holds it.
 #[derive(Clone, Debug)]
-struct Kept {
+struct Entry {
     home: Home,
     revision: id::Revision,
     /// The job's removal from its cell is being written.
-    leaving: Option<Leaving>,
+    leaving: Option<Removal>,
 }
 
 /// A job's removal from its cell. Until what was written is seen, the cell is told nothing more
 /// about the job, so that it can't start anew what may next have its home elsewhere.
 #[derive(Clone, Copy, Debug)]
-struct Leaving {
+struct Removal {
     /// Revision of the home that is given up.
     from: id::Revision,
     /// The removal is in the store.
     written: bool,
 }
 
-impl Kept {
+impl Entry {
     /// Tells whether the removal is written and what it left behind is seen.
     fn has_left(&self) -> bool {
         self.leaving.is_some_and(|leaving| leaving.written && self.revision > leaving.from)
@@ -49,13 +49,13 @@
 /// What a board wants done.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Decide a transaction and tell [`Board::claimed`]; there is never more than one.
+    /// Decide a transaction and tell [`Directory::claim_ended`]; there is never more than one.
     Claim {
         /// The transaction.
         txn: kv::Txn,
     },
     /// Tell a cell of a job that is at home there, or that its declaration changed.
-    Job {
+    Assigned {
         /// The cell.
         cell: id::Cell,
         /// The job.
@@ -64,7 +64,7 @@
         spec: Arc<job::Spec>,
     },
     /// Tell a cell that a job is no longer declared.
-    Gone {
+    Removed {
         /// The cell.
         cell: id::Cell,
         /// The job.
@@ -74,10 +74,10 @@
 
 /// All declared jobs and their homes, as one placer knows them.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct Directory {
     rank_delay: Duration,
     jobs: BTreeMap<id::Job, Arc<job::Spec>>,
-    homes: BTreeMap<id::Job, Kept>,
+    homes: BTreeMap<id::Job, Entry>,
     /// Jobs without a home, and since when.
     waiting: BTreeMap<id::Job, Time>,
     /// Every cell that the store knows.
@@ -89,25 +89,25 @@
     /// When the next waiting job may be due; no earlier, so that the others needn't be looked at.
     scan_at: Time,
     /// Revision up to which the declarations are known.
-    in_force: id::Revision,
+    declared_revision: id::Revision,
     /// Homes were read at least once; before that every job would seem to have none.
-    read: bool,
+    homes_loaded: bool,
 }
 
-impl Board {
+impl Directory {
     /// Opens a board that knows nothing. Each rank waits `rank_delay` for the one before it.
-    pub fn open(rank_delay: Duration) -> Board {
-        Board { rank_delay, ..Board::default() }
+    pub fn open(rank_delay: Duration) -> Directory {
+        Directory { rank_delay, ..Directory::default() }
     }
 
     /// Learns which cells there are in the whole deployment.
-    pub fn learn_cells(&mut self, cells: impl IntoIterator<Item = id::Cell>) {
+    pub fn set_cells(&mut self, cells: impl IntoIterator<Item = id::Cell>) {
         self.cells = cells.into_iter().collect();
         self.scan_at = Time::ZERO;
     }
 
     /// Learns that a cell is this placer's, and lists the jobs that are at home there.
-    pub fn own(&mut self, cell: &id::Cell, actions: &mut Vec<Action>) {
+    pub fn add_owned_cell(&mut self, cell: &id::Cell, actions: &mut Vec<Action>) {
         self.own.insert(cell.clone());
         self.scan_at = Time::ZERO;
         for (name, kept) in &self.homes {
@@ -121,8 +121,8 @@
     /// Learns up to which revision the declarations are known. A job that has a home was declared
     /// before it got one; if the declarations are known past that and it is not among them, it is
     /// gone. Any earlier it may just not be known here yet.
-    pub fn learn_in_force(&mut self, revision: id::Revision, actions: &mut Vec<Action>) {
-        let before = std::mem::replace(&mut self.in_force, revision);
+    pub fn set_declared_revision(&mut self, revision: id::Revision, actions: &mut Vec<Action>) {
+        let before = std::mem::replace(&mut self.declared_revision, revision);
         for (name, kept) in &self.homes {
             if kept.revision > before && !self.jobs.contains_key(name) {
                 self.tell_kept(name, kept, actions);
@@ -131,9 +131,9 @@
     }
 
     /// Learns that a cell is no longer this placer's.
-    pub fn disown(&mut self, cell: &id::Cell) {
+    pub fn remove_owned_cell(&mut self, cell: &id::Cell) {
         self.own.remove(cell);
-        let here = |kept: &&mut Kept| kept.home.cell.as_ref() == Some(cell);
+        let here = |kept: &&mut Entry| kept.home.cell.as_ref() == Some(cell);
         for kept in self.homes.values_mut().filter(here) {
             kept.leaving = None;
         }
@@ -153,24 +153,24 @@
     }
 
     /// Learns that a job is no longer declared.
-    pub fn withdrawn(&mut self, name: &id::Job, actions: &mut Vec<Action>) {
+    pub fn undeclared(&mut self, name: &id::Job, actions: &mut Vec<Action>) {
         self.jobs.remove(name);
         self.waiting.remove(name);
         let Some(kept) = self.homes.get(name).filter(|kept| kept.leaving.is_none()) else { return };
         let Some(cell) = kept.home.cell.clone().filter(|cell| self.own.contains(cell)) else {
             return;
         };
-        actions.push(Action::Gone { cell, name: name.clone() });
+        actions.push(Action::Removed { cell, name: name.clone() });
     }
 
     /// Learns all homes at once.
-    pub fn learn_homes(&mut self, now: Time, entries: &[kv::Entry], actions: &mut Vec<Action>) {
+    pub fn load_homes(&mut self, now: Time, entries: &[kv::Entry], actions: &mut Vec<Action>) {
         let names = entries.iter().filter_map(|entry| entry.key.strip_prefix(HOME));
         let present: BTreeSet<&str> = names.collect();
         self.homes.retain(|name, _| present.contains(&**name));
-        self.read = true;
+        self.homes_loaded = true;
         for entry in entries {
-            self.learn_home(now, entry, actions);
+            self.update_home(now, entry, actions);
         }
         let names: Vec<id::Job> = self.jobs.keys().cloned().collect();
         for name in &names {
@@ -179,7 +179,7 @@
     }
 
     /// Learns one home.
-    pub fn learn_home(&mut self, now: Time, entry: &kv::Entry, actions: &mut Vec<Action>) {
+    pub fn update_home(&mut self, now: Time, entry: &kv::Entry, actions: &mut Vec<Action>) {
         let Some(name) = entry.key.strip_prefix(HOME) else { return };
         let Some(home) = Home::from_bytes(&entry.value) else { return };
         let name: id::Job = name.into();
@@ -190,7 +190,7 @@
         let before = known.and_then(|kept| kept.home.cell.clone());
         let moved = before != home.cell;
         let leaving = known.and_then(|kept| kept.leaving).filter(|_| !moved);
-        let mut kept = Kept { home, revision: entry.revision, leaving };
+        let mut kept = Entry { home, revision: entry.revision, leaving };
         let left = kept.has_left();
         if left {
             kept.leaving = None;
@@ -206,7 +206,7 @@
     }
 
     /// Learns that a job has no home key any more.
-    pub fn forget_home(&mut self, now: Time, name: &str, revision: id::Revision) {
+    pub fn remove_home(&mut self, now: Time, name: &str, revision: id::Revision) {
         let Some((name, kept)) = self.homes.get_key_value(name) else { return };
         if kept.revision > revision {
             return;
@@ -223,9 +223,9 @@
 
     fn wait_if_homeless(&mut self, now: Time, name: &id::Job) {
         let homed = self.homes.get(name).is_some_and(|kept| kept.home.cell.is_some());
-        if self.read && !homed && self.jobs.contains_key(name) {
+        if self.homes_loaded && !homed && self.jobs.contains_key(name) {
             self.waiting.entry(name.clone()).or_insert(now);
-            let rank = self.turn(name).map(|(_, rank)| rank as u32);
+            let rank = self.best_claim(name).map(|(_, rank)| rank as u32);
             let due = rank.map_or(Time::MAX, |rank| now + self.rank_delay * rank);
             self.scan_at = self.scan_at.min(due);
         } else {
@@ -240,22 +240,24 @@
         }
     }
 
-    fn tell_kept(&self, name: &id::Job, kept: &Kept, actions: &mut Vec<Action>) {
+    fn tell_kept(&self, name: &id::Job, kept: &Entry, actions: &mut Vec<Action>) {
         let Some(cell) = &kept.home.cell else { return };
         if kept.leaving.is_some() || !self.own.contains(cell) {
             return;
         }
         let (cell, name) = (cell.clone(), name.clone());
         match self.jobs.get(&name) {
-            Some(spec) => actions.push(Action::Job { cell, name, spec: spec.clone() }),
-            None if kept.revision <= self.in_force => actions.push(Action::Gone { cell, name }),
+            Some(spec) => actions.push(Action::Assigned { cell, name, spec: spec.clone() }),
+            None if kept.revision <= self.declared_revision => {
+                actions.push(Action::Removed { cell, name })
+            }
             None => {}
         }
     }
 
     fn leave(&self, cell: Option<id::Cell>, name: &id::Job, actions: &mut Vec<Action>) {
         if let Some(cell) = cell.filter(|cell| self.own.contains(cell)) {
-            actions.push(Action::Gone { cell, name: name.clone() });
+            actions.push(Action::Removed { cell, name: name.clone() });
         }
     }
 }
--- a/crates/tenure/src/board/claim.rs
+++ b/crates/tenure/src/directory/claim.rs
@@ -12,12 +12,12 @@
 use crate::rank;
 
 use super::Action;
-use super::Board;
+use super::Directory;
 
 /// Jobs claimed in one transaction; the store takes 128 operations.
 const BATCH: usize = 100;
 
-impl Board {
+impl Directory {
     /// Claims the jobs whose turn it is.
     pub fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.next_due().is_none_or(|due| now < due) {
@@ -26,7 +26,7 @@
         let mut txn = kv::Txn::default();
         let mut next = Time::MAX;
         for (name, &since) in &self.waiting {
-            let Some((cell, rank)) = self.turn(name) else { continue };
+            let Some((cell, rank)) = self.best_claim(name) else { continue };
             let due = since + self.rank_delay * rank as u32;
             if due > now || self.claim.len() == BATCH {
                 next = next.min(due);
@@ -42,7 +42,7 @@
     }
 
     /// Learns how a claim ended. `retry` is how long to wait after a failure.
-    pub fn claimed(
+    pub fn claim_ended(
         &mut self,
         now: Time,
         outcome: Result<kv::Verdict, kv::Error>,
@@ -58,12 +58,12 @@
                     let kv::Change::Put { key, value, lease } = change else { continue };
                     let (key, value, lease) = (key.clone(), value.clone(), *lease);
                     let revision = verdict.revision;
-                    self.learn_home(now, &kv::Entry { key, value, revision, lease }, actions);
+                    self.update_home(now, &kv::Entry { key, value, revision, lease }, actions);
                 }
             }
             Ok(verdict) => {
                 for entry in &verdict.current {
-                    self.learn_home(now, entry, actions);
+                    self.update_home(now, entry, actions);
                 }
                 // A guard on a key that is gone shows nothing; the watch will.
                 self.retry_at = now + retry;
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns when [`Board::tick`] next has something to do.
+    /// Returns when [`Directory::tick`] next has something to do.
     pub fn next_due(&self) -> Option<Time> {
         let idle = !self.claim.is_empty() || self.own.is_empty() || self.waiting.is_empty();
         let due = self.scan_at.max(self.retry_at);
@@ -93,7 +93,7 @@
     }
 
     /// Returns our best-ranked cell for a job and its rank among all cells that may run it.
-    pub(super) fn turn(&self, name: &id::Job) -> Option<(id::Cell, usize)> {
+    pub(super) fn best_claim(&self, name: &id::Job) -> Option<(id::Cell, usize)> {
         let spec = self.jobs.get(name)?;
         let tried = self.homes.get(name).map_or(&[][..], |kept| &kept.home.tried);
         let open = |cell: &&id::Cell| may_run(spec, cell) && !tried.contains(cell);
--- a/crates/tenure/src/board/departure.rs
+++ b/crates/tenure/src/directory/removal.rs
@@ -8,12 +8,12 @@
 use crate::key;
 
 use super::Action;
-use super::Board;
-use super::Leaving;
+use super::Directory;
+use super::Removal;
 
-impl Board {
+impl Directory {
     /// Tells whether a job could have its home in another cell than the one it is in.
-    pub fn can_depart(&self, name: &id::Job) -> bool {
+    pub fn can_move(&self, name: &id::Job) -> bool {
         self.next_home(name).is_some()
     }
 
@@ -23,7 +23,12 @@
     /// it again undoes a removal that is still on its way.
     ///
     /// Nothing if the job's home is not in that cell.
-    pub fn leaving(&mut self, name: &id::Job, cell: &id::Cell, depart: bool) -> Option<kv::Txn> {
+    pub fn begin_removal(
+        &mut self,
+        name: &id::Job,
+        cell: &id::Cell,
+        depart: bool,
+    ) -> Option<kv::Txn> {
         let kept = self.homes.get(name).filter(|kept| kept.home.cell.as_ref() == Some(cell))?;
         let key = key::home(name);
         let from = kept.revision;
@@ -37,12 +42,12 @@
             _ => put(&kept.home),
         };
         let guards = vec![kv::Guard::Unchanged(key, from)];
-        self.homes.get_mut(name)?.leaving = Some(Leaving { from, written: false });
+        self.homes.get_mut(name)?.leaving = Some(Removal { from, written: false });
         Some(kv::Txn { guards, changes: vec![change] })
     }
 
     /// Learns that a job's removal from its cell is in the store.
-    pub fn left(&mut self, name: &id::Job, actions: &mut Vec<Action>) {
+    pub fn removal_written(&mut self, name: &id::Job, actions: &mut Vec<Action>) {
         let Some(kept) = self.homes.get_mut(name) else { return };
         let Some(leaving) = &mut kept.leaving else { return };
         leaving.written = true;
--- a/crates/tenure/src/event.rs
+++ b/crates/tenure/src/event.rs
@@ -25,8 +25,8 @@
     },
     /// Something below the domain's prefix may have changed.
     Changed,
-    /// A `Look` ended.
-    Looked {
+    /// A `ReadDomain` ended.
+    DomainRead {
         /// The call.
         ticket: Ticket,
         /// What was found.
@@ -54,7 +54,7 @@
         outcome: Result<Duration, kv::Error>,
     },
     /// A later owner of a cell asks whether this process has stopped.
-    Asked {
+    StoppedQueried {
         /// The call, answered by exactly one `Answer`.
         call: CallId,
         /// The cell.
@@ -63,7 +63,7 @@
         epoch: id::Epoch,
     },
     /// A former owner said that it has stopped.
-    Confirmed {
+    StopConfirmed {
         /// The cell.
         cell: id::Cell,
         /// The epoch for which it was asked.
@@ -72,7 +72,7 @@
         owner: Owner,
     },
     /// A worker's report shows a higher epoch than ours.
-    Outranked {
+    HigherEpoch {
         /// The cell.
         cell: id::Cell,
         /// The epoch seen.
--- a/crates/tenure/src/former.rs
+++ b/crates/tenure/src/inquiry.rs
@@ -7,7 +7,7 @@
 use smallvec::SmallVec;
 
 use crate::owner::Owner;
-use crate::owner::Unsettled;
+use crate::owner::PreviousOwners;
 
 /// Tells whether the platform has surely ended that life of an instance.
 pub fn has_ended(owner: &Owner, view: &list::View) -> bool {
@@ -16,19 +16,19 @@
         return true;
     }
     let listed = lives.any(|member| member.incarnation == owner.incarnation);
-    !listed && view.version >= owner.listed
+    !listed && view.version >= owner.list_version
 }
 
 /// The former owners of one cell that have to be heard of before their tasks may run elsewhere.
 #[derive(Clone, Debug)]
 pub struct Inquiry {
-    unsettled: SmallVec<[Question; 2]>,
+    queries: SmallVec<[Query; 2]>,
     /// Whether any of those settled so far was ended rather than stopping by itself.
     ended: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Question {
+struct Query {
     owner: Owner,
     ask_at: Time,
 }
@@ -36,13 +36,13 @@
 impl Inquiry {
     /// Starts with all former owners; `own` is this life, which knows that it has stopped.
     pub fn open(formers: &[Owner], own: &Owner, view: &list::View, now: Time) -> Inquiry {
-        let mut inquiry = Inquiry { unsettled: SmallVec::new(), ended: false };
+        let mut inquiry = Inquiry { queries: SmallVec::new(), ended: false };
         for owner in formers {
             // What this process sent under an earlier epoch of its own may still be on its way.
-            if owner.same(own) || has_ended(owner, view) {
+            if owner.is_same(own) || has_ended(owner, view) {
                 inquiry.ended = true;
             } else {
-                inquiry.unsettled.push(Question { owner: owner.clone(), ask_at: now });
+                inquiry.queries.push(Query { owner: owner.clone(), ask_at: now });
             }
         }
         inquiry
@@ -50,7 +50,7 @@
 
     /// Returns how the former owners ended, taken together.
     pub fn former(&self) -> Former {
-        match (self.unsettled.is_empty(), self.ended) {
+        match (self.queries.is_empty(), self.ended) {
             (false, _) => Former::Unheard,
             (true, true) => Former::Ended,
             (true, false) => Former::Released,
@@ -58,30 +58,30 @@
     }
 
     /// Lists those that are not settled.
-    pub fn unsettled(&self) -> Unsettled {
-        self.unsettled.iter().map(|question| question.owner.clone()).collect()
+    pub fn unconfirmed(&self) -> PreviousOwners {
+        self.queries.iter().map(|question| question.owner.clone()).collect()
     }
 
     /// Drops those that the list shows as ended; tells whether that settled the last one.
-    pub fn learn_list(&mut self, view: &list::View) -> bool {
-        let before = self.unsettled.len();
-        self.unsettled.retain(|question| !has_ended(&question.owner, view));
-        let settled = self.unsettled.len() < before;
+    pub fn apply_list(&mut self, view: &list::View) -> bool {
+        let before = self.queries.len();
+        self.queries.retain(|question| !has_ended(&question.owner, view));
+        let settled = self.queries.len() < before;
         self.ended |= settled;
-        settled && self.unsettled.is_empty()
+        settled && self.queries.is_empty()
     }
 
     /// Drops one that has said it stopped; tells whether that settled the last one.
-    pub fn learn_release(&mut self, owner: &Owner) -> bool {
-        let before = self.unsettled.len();
-        self.unsettled.retain(|question| !question.owner.same(owner));
-        self.unsettled.len() < before && self.unsettled.is_empty()
+    pub fn confirm_stopped(&mut self, owner: &Owner) -> bool {
+        let before = self.queries.len();
+        self.queries.retain(|question| !question.owner.is_same(owner));
+        self.queries.len() < before && self.queries.is_empty()
     }
 
     /// Takes the owners to be asked now; each is asked again after `every`.
     pub fn due(&mut self, now: Time, every: Time) -> SmallVec<[Owner; 2]> {
         let mut due = SmallVec::new();
-        for question in self.unsettled.iter_mut().filter(|question| question.ask_at <= now) {
+        for question in self.queries.iter_mut().filter(|question| question.ask_at <= now) {
             question.ask_at = now + every;
             due.push(question.owner.clone());
         }
@@ -90,6 +90,6 @@
 
     /// Returns when the next one is to be asked.
     pub fn next_due(&self) -> Option<id::Time> {
-        self.unsettled.iter().map(|question| question.ask_at).min()
+        self.queries.iter().map(|question| question.ask_at).min()
     }
 }
--- a/crates/tenure/src/key.rs
+++ b/crates/tenure/src/key.rs
@@ -6,16 +6,16 @@
 use cowslipchute_resource::key::HOME;
 use cowslipchute_resource::key::RECORD;
 
-use crate::plan::Slice;
+use crate::plan::CellIndex;
 
 const ALIVE: &str = "alive/";
 const PLAN: &str = "plan";
 
 /// What stands at a key below a domain's prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place<'a> {
+pub enum Kind<'a> {
     /// The ownership of a cell.
-    Cell(Slice),
+    Cell(CellIndex),
     /// The liveness of one life of a placer.
     Alive {
         /// The placer's instance.
@@ -33,12 +33,12 @@
 }
 
 /// Returns the key of a cell's ownership.
-pub fn cell(domain: &str, slice: Slice) -> String {
+pub fn cell(domain: &str, slice: CellIndex) -> String {
     format!("{CELL}{domain}/{slice}")
 }
 
 /// Returns the name of a cell, `domain/slice`.
-pub fn name(domain: &str, slice: Slice) -> id::Cell {
+pub fn name(domain: &str, slice: CellIndex) -> id::Cell {
     format!("{domain}/{slice}").into()
 }
 
@@ -68,21 +68,21 @@
 }
 
 /// Tells what stands at a key of a domain; nothing if it is none of ours.
-pub fn parse<'a>(domain: &str, key: &'a str) -> Option<Place<'a>> {
+pub fn parse<'a>(domain: &str, key: &'a str) -> Option<Kind<'a>> {
     let rest = key.strip_prefix(CELL)?.strip_prefix(domain)?.strip_prefix('/')?;
     if rest == PLAN {
-        return Some(Place::Plan);
+        return Some(Kind::Plan);
     }
     if let Some(life) = rest.strip_prefix(ALIVE) {
         let (instance, incarnation) = life.rsplit_once('/')?;
-        return Some(Place::Alive { instance, incarnation: incarnation.parse().ok()? });
+        return Some(Kind::Alive { instance, incarnation: incarnation.parse().ok()? });
     }
-    Some(Place::Cell(rest.parse().ok()?))
+    Some(Kind::Cell(rest.parse().ok()?))
 }
 
 /// Names the cell at a key of any domain; nothing if the key holds no cell's ownership.
-pub fn cell_at(key: &str) -> Option<id::Cell> {
+pub fn parse_cell(key: &str) -> Option<id::Cell> {
     let rest = key.strip_prefix(CELL)?;
     let (_, slice) = rest.split_once('/')?;
-    slice.parse::<Slice>().ok().map(|_| rest.into())
+    slice.parse::<CellIndex>().ok().map(|_| rest.into())
 }
--- a/crates/tenure/src/lease.rs
+++ b/crates/tenure/src/lease.rs
@@ -40,7 +40,7 @@
     Absent { retry_at: Time },
     Granting { sent: Sent },
     Publishing { lease: kv::LeaseId, until: Time, sent: Option<Ticket>, retry_at: Time },
-    Kept { lease: kv::LeaseId, until: Time, renew_at: Time, sent: Option<Sent> },
+    Valid { lease: kv::LeaseId, until: Time, renew_at: Time, sent: Option<Sent> },
 }
 
 /// The lease: granted, then bound to the liveness key, then renewed.
@@ -57,14 +57,14 @@
     }
 
     /// Tells whether the liveness key surely stands at `now`.
-    pub fn is_kept(&self, now: Time) -> bool {
-        matches!(self.state, State::Kept { until, .. } if now < until)
+    pub fn is_valid(&self, now: Time) -> bool {
+        matches!(self.state, State::Valid { until, .. } if now < until)
     }
 
     /// Returns the lease if there is one.
     pub fn id(&self) -> Option<kv::LeaseId> {
         match self.state {
-            State::Publishing { lease, .. } | State::Kept { lease, .. } => Some(lease),
+            State::Publishing { lease, .. } | State::Valid { lease, .. } => Some(lease),
             State::Absent { .. } | State::Granting { .. } => None,
         }
     }
@@ -77,7 +77,7 @@
     /// Renews the lease when it is due. A lease that still stands could be taken over by nobody, so
     /// this needs no look at the cells first.
     pub fn renew(&mut self, now: Time, tickets: &mut Tickets, actions: &mut Vec<Action>) {
-        let State::Kept { lease, renew_at, sent, .. } = &mut self.state else { return };
+        let State::Valid { lease, renew_at, sent, .. } = &mut self.state else { return };
         if sent.is_some() || now < *renew_at {
             return;
         }
@@ -90,7 +90,7 @@
     pub fn obtain(
         &mut self,
         now: Time,
-        alive: &Alive,
+        alive: &Liveness,
         tickets: &mut Tickets,
         actions: &mut Vec<Action>,
     ) {
@@ -138,7 +138,7 @@
             return false;
         }
         self.state = match outcome {
-            Ok(_) => State::Kept { lease, until, renew_at: self.renew_at(until), sent: None },
+            Ok(_) => State::Valid { lease, until, renew_at: self.renew_at(until), sent: None },
             Err(kv::Error::LeaseGone) => State::Absent { retry_at: now },
             // The write is the same each time, so it may be made again whatever became of it.
             Err(_) => State::Publishing { lease, until, sent: None, retry_at: now + self.retry() },
@@ -148,17 +148,17 @@
 
     /// Learns how a renewal ended.
     pub fn renewed(&mut self, now: Time, ticket: Ticket, outcome: Result<Duration, kv::Error>) {
-        let State::Kept { lease, until, sent: Some(sent), .. } = self.state else { return };
+        let State::Valid { lease, until, sent: Some(sent), .. } = self.state else { return };
         if sent.ticket != ticket {
             return;
         }
         self.state = match outcome {
             Ok(ttl) => {
                 let until = sent.at + ttl;
-                State::Kept { lease, until, renew_at: self.renew_at(until), sent: None }
+                State::Valid { lease, until, renew_at: self.renew_at(until), sent: None }
             }
             Err(kv::Error::LeaseGone) => State::Absent { retry_at: now },
-            Err(_) => State::Kept { lease, until, renew_at: now + self.retry(), sent: None },
+            Err(_) => State::Valid { lease, until, renew_at: now + self.retry(), sent: None },
         };
     }
 
@@ -167,7 +167,7 @@
         match self.state {
             State::Absent { retry_at } => Some(retry_at),
             State::Publishing { sent: None, retry_at, .. } => Some(retry_at),
-            State::Kept { sent: None, renew_at, .. } => Some(renew_at),
+            State::Valid { sent: None, renew_at, .. } => Some(renew_at),
             _ => None,
         }
     }
@@ -183,14 +183,14 @@
 
 /// The liveness key and its value.
 #[derive(Clone, Debug)]
-pub struct Alive {
+pub struct Liveness {
     /// The key.
     pub key: String,
     /// The value, for a reader only: what counts is that the key stands.
     pub value: Vec<u8>,
 }
 
-impl Alive {
+impl Liveness {
     fn txn(&self, lease: kv::LeaseId) -> kv::Txn {
         let put = kv::Change::Put { key: self.key.clone(), value: self.value.clone(), lease };
         kv::Txn { guards: Vec::new(), changes: vec![put] }
--- a/crates/tenure/src/owner.rs
+++ b/crates/tenure/src/owner.rs
@@ -19,18 +19,19 @@
     pub address: SocketAddr,
     /// Version of the platform's list in which it saw itself. Only a view at least as new that
     /// lacks it proves that it has ended; an older one may just not show it yet.
-    pub listed: u64,
+    #[serde(rename = "listed")]
+    pub list_version: u64,
 }
 
 impl Owner {
     /// Tells whether both are the same life of the same instance.
-    pub fn same(&self, other: &Owner) -> bool {
+    pub fn is_same(&self, other: &Owner) -> bool {
         self.instance == other.instance && self.incarnation == other.incarnation
     }
 }
 
 /// Former owners of which it is not known that they have stopped.
-pub type Unsettled = SmallVec<[Owner; 2]>;
+pub type PreviousOwners = SmallVec<[Owner; 2]>;
 
 /// The ownership of a cell. The key is never removed, so that the epoch only rises.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,7 +47,8 @@
     pub released: bool,
     /// Owners before this one that may still be renewing leases. It is carried on by every
     /// taking, so that a short-lived owner in between doesn't hide one.
-    pub formers: Unsettled,
+    #[serde(rename = "formers")]
+    pub previous_owners: PreviousOwners,
 }
 
 impl Claim {
--- a/crates/tenure/src/keeper/cells.rs
+++ b/crates/tenure/src/ownership/cells.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::kv;
@@ -11,20 +11,20 @@
 use crate::action::Action;
 use crate::event::Ticket;
 use crate::key;
-use crate::life::Held;
-use crate::life::Stage;
-use crate::life::Stopping;
-use crate::life::Tenure;
-use crate::plan::Slice;
+use crate::plan::CellIndex;
+use crate::stage::Held;
+use crate::stage::Ownership;
+use crate::stage::Stage;
+use crate::stage::Stopping;
 
 use super::Drain;
-use super::Keeper;
+use super::Manager;
 use super::Purpose;
 
 /// Each handing over of a cell doubles the time until the next, up to this many times.
 const HANDOVERS_MAX: u32 = 6;
 
-impl Keeper {
+impl Manager {
     pub(super) fn committed(
         &mut self,
         now: Time,
@@ -33,14 +33,14 @@
         actions: &mut Vec<Action>,
     ) {
         let purpose = self.commits.remove(&ticket);
-        self.heard(now, outcome.as_ref().err(), actions);
+        self.store_call_ended(now, outcome.as_ref().err(), actions);
         if self.lease.published(now, ticket, &outcome) {
             // The lease may have lapsed for a moment, in which a cell could have been taken.
-            self.look.wanted(now);
+            self.reader.request(now);
             return;
         }
         match purpose {
-            Some(Purpose::Plan) => self.distrust(now),
+            Some(Purpose::Plan) => self.invalidate(now),
             Some(Purpose::Take(slice)) => self.take_ended(now, slice, outcome, actions),
             Some(Purpose::Release(slice)) => self.release_ended(now, slice, outcome, actions),
             None => {}
@@ -49,12 +49,12 @@
 
     /// Holds every stage against what the store showed.
     pub(super) fn reconcile(&mut self, now: Time, actions: &mut Vec<Action>) {
-        for slice in 0..self.plan.slices() {
+        for slice in 0..self.plan.cell_count() {
             let cell = key::name(&self.settings.domain, slice);
-            let vacant = || Stage::Vacant(Tenure::open(slice, cell));
+            let vacant = || Stage::Vacant(Ownership::open(slice, cell));
             self.stages.entry(slice).or_insert_with(vacant);
         }
-        let slices: Vec<Slice> = self.stages.keys().copied().collect();
+        let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
         for slice in slices {
             let stage = self.stages.remove(&slice).expect("the key was just listed");
             let stage = self.reconcile_stage(now, slice, stage, actions);
@@ -65,17 +65,17 @@
     fn reconcile_stage(
         &mut self,
         now: Time,
-        slice: Slice,
+        slice: CellIndex,
         mut stage: Stage,
         actions: &mut Vec<Action>,
     ) -> Stage {
         let scene = self.scene.as_ref().expect("a scene was just read");
         let seen = scene.revision;
-        let title = scene.title(slice).cloned();
+        let title = scene.entry(slice).cloned();
         let claim = title.as_ref().and_then(|title| title.claim.as_ref());
         let standing = claim.map(|claim| claim.operation);
         if let Some(claim) = claim.filter(|claim| !stage.is_taking(claim.operation)) {
-            stage.common().floor = stage.common().floor.max(claim.epoch);
+            stage.common().max_epoch = stage.common().max_epoch.max(claim.epoch);
         }
         match stage {
             Stage::Held(mut tenure) => {
@@ -94,13 +94,13 @@
             }
             Stage::Taking(tenure) if tenure.state.ticket.is_none() => {
                 if standing != Some(tenure.state.claim.operation) {
-                    return Stage::Vacant(tenure.missed());
+                    return Stage::Vacant(tenure.failed());
                 }
                 let revision = title.map_or(0, |title| title.revision);
                 self.own_cell(now, tenure, revision, actions)
             }
             Stage::Releasing(tenure) if tenure.state.ticket.is_none() => {
-                if standing == Some(tenure.state.held) {
+                if standing == Some(tenure.state.held_operation) {
                     return Stage::Releasing(tenure);
                 }
                 self.released(tenure, actions)
@@ -109,24 +109,24 @@
         }
     }
 
-    fn lost(&self, tenure: Tenure<Stopping>, actions: &mut Vec<Action>) -> Stage {
+    fn lost(&self, tenure: Ownership<Stopping>, actions: &mut Vec<Action>) -> Stage {
         let cell = tenure.common.cell.clone();
         let epoch = tenure.state.epoch;
-        let reason = format!("epoch {epoch} is over; {} was met", tenure.common.floor);
-        self.note(Number::CellLost, &cell, reason, actions);
-        actions.push(Action::Disown { cell, epoch });
+        let reason = format!("epoch {epoch} is over; {} was met", tenure.common.max_epoch);
+        self.log(LogEvent::CellLost, &cell, reason, actions);
+        actions.push(Action::Stop { cell, epoch });
         Stage::Stopping(tenure)
     }
 
     /// Drops a cell at once if we act for it under a lower epoch; tells whether we did.
     pub(super) fn lose_below(
         &mut self,
-        slice: Slice,
+        slice: CellIndex,
         epoch: id::Epoch,
         actions: &mut Vec<Action>,
     ) -> bool {
         let Some(mut stage) = self.stages.remove(&slice) else { return false };
-        stage.common().floor = stage.common().floor.max(epoch);
+        stage.common().max_epoch = stage.common().max_epoch.max(epoch);
         let below = stage.active().is_some_and(|own| own < epoch);
         let stage = match stage {
             Stage::Held(tenure) if below => self.lost(tenure.lose(), actions),
@@ -139,7 +139,7 @@
 
     /// Starts to give up cells that another placer should have, and all when asked to stop.
     pub(super) fn give_up_cells(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let slices: Vec<Slice> = self.stages.keys().copied().collect();
+        let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
         for slice in slices {
             if self.is_to_be_given_up(now, slice) {
                 self.give_up(slice, actions);
@@ -147,11 +147,11 @@
         }
     }
 
-    fn is_to_be_given_up(&mut self, now: Time, slice: Slice) -> bool {
+    fn is_to_be_given_up(&mut self, now: Time, slice: CellIndex) -> bool {
         let leaving = self.own_member().is_some_and(|own| own.state == list::State::Leaving);
         let leaving = leaving && self.candidates().next().is_some();
         let outranked = self.rank(slice) > 0;
-        let wait = self.settings.settle;
+        let wait = self.settings.handover_delay;
         let Some(Stage::Held(tenure)) = self.stages.get_mut(&slice) else { return false };
         if self.drain == Drain::Asked || leaving {
             return true;
@@ -174,7 +174,7 @@
         }
     }
 
-    fn give_up(&mut self, slice: Slice, actions: &mut Vec<Action>) {
+    fn give_up(&mut self, slice: CellIndex, actions: &mut Vec<Action>) {
         let Some(Stage::Held(tenure)) = self.stages.remove(&slice) else { return };
         let cell = tenure.common.cell.clone();
         let epoch = tenure.state.claim.epoch;
@@ -183,8 +183,8 @@
     }
 
     /// Tells operators once when cells are kept without the store.
-    pub(super) fn note_isolation(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if !self.look.is_down() || self.lease.is_kept(now) {
+    pub(super) fn log_isolation(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if !self.reader.is_down() || self.lease.is_valid(now) {
             return;
         }
         for stage in self.stages.values_mut() {
@@ -194,7 +194,7 @@
             }
             tenure.state.isolated = true;
             actions.push(Action::Note {
-                event: Number::CellIsolated,
+                event: LogEvent::CellIsolated,
                 subject: tenure.common.cell.clone(),
                 reason: format!("epoch {} goes on", tenure.state.claim.epoch),
             });
@@ -206,7 +206,7 @@
         match stage {
             Stage::Vacant(tenure) if self.can_take(now) => {
                 let since = tenure.state.free_since?;
-                Some(since + self.settings.rank_delay * self.rank(tenure.common.slice) as u32)
+                Some(since + self.settings.rank_delay * self.rank(tenure.common.index) as u32)
             }
             Stage::Held(tenure) => tenure.state.inquiry.next_due(),
             _ => None,
@@ -214,12 +214,12 @@
     }
 
     /// Returns a cell's number if it is of this domain.
-    pub(super) fn slice_of(&self, cell: &str) -> Option<Slice> {
+    pub(super) fn slice_of(&self, cell: &str) -> Option<CellIndex> {
         let rest = cell.strip_prefix(&*self.settings.domain)?.strip_prefix('/')?;
         rest.parse().ok()
     }
 }
 
-fn handover_wait(settle: Duration, tenure: &Tenure<Held>) -> Duration {
+fn handover_wait(settle: Duration, tenure: &Ownership<Held>) -> Duration {
     settle * 2u32.pow(tenure.common.handovers.min(HANDOVERS_MAX))
 }
--- a/crates/tenure/src/keeper/peers.rs
+++ b/crates/tenure/src/ownership/peers.rs
@@ -7,12 +7,12 @@
 
 use crate::action::Action;
 use crate::event::CallId;
-use crate::life::Stage;
 use crate::owner::Owner;
+use crate::stage::Stage;
 
-use super::Keeper;
+use super::Manager;
 
-impl Keeper {
+impl Manager {
     /// Takes a newer list; it may show that a former owner has ended.
     pub(super) fn listed(&mut self, view: list::View, actions: &mut Vec<Action>) {
         if self.view.as_ref().is_some_and(|last| last.version >= view.version) {
@@ -20,9 +20,9 @@
         }
         for stage in self.stages.values_mut() {
             let Stage::Held(tenure) = stage else { continue };
-            if tenure.state.inquiry.learn_list(&view) {
+            if tenure.state.inquiry.apply_list(&view) {
                 let former = tenure.state.inquiry.former();
-                actions.push(Action::Former { cell: tenure.common.cell.clone(), former });
+                actions.push(Action::PreviousOwners { cell: tenure.common.cell.clone(), former });
             }
         }
         let here = |member: &&list::Member| {
@@ -48,7 +48,7 @@
         let reply = match self.stages.get_mut(&slice) {
             Some(stage) if stage.active().is_some() => peer::Reply::Misdirected,
             Some(Stage::Stopping(tenure)) => {
-                tenure.common.waiting.push(call);
+                tenure.common.pending_calls.push(call);
                 return;
             }
             _ => peer::Reply::Released,
@@ -57,12 +57,12 @@
     }
 
     pub(super) fn ask_formers(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let every = self.settings.ask_every;
+        let every = self.settings.query_interval;
         for stage in self.stages.values_mut() {
             let Stage::Held(tenure) = stage else { continue };
             for owner in tenure.state.inquiry.due(now, every) {
                 let cell = tenure.common.cell.clone();
-                actions.push(Action::Ask { cell, epoch: tenure.state.claim.epoch, owner });
+                actions.push(Action::QueryStopped { cell, epoch: tenure.state.claim.epoch, owner });
             }
         }
     }
@@ -76,9 +76,9 @@
     ) {
         let Some(slice) = self.slice_of(cell) else { return };
         let Some(Stage::Held(tenure)) = self.stages.get_mut(&slice) else { return };
-        if tenure.state.claim.epoch == epoch && tenure.state.inquiry.learn_release(owner) {
+        if tenure.state.claim.epoch == epoch && tenure.state.inquiry.confirm_stopped(owner) {
             let former = tenure.state.inquiry.former();
-            actions.push(Action::Former { cell: tenure.common.cell.clone(), former });
+            actions.push(Action::PreviousOwners { cell: tenure.common.cell.clone(), former });
         }
     }
 
@@ -92,7 +92,7 @@
     ) {
         let Some(slice) = self.slice_of(cell) else { return };
         if self.lose_below(slice, epoch, actions) {
-            self.distrust(now);
+            self.invalidate(now);
         }
     }
 }
--- a/crates/tenure/src/keeper/release.rs
+++ b/crates/tenure/src/ownership/release.rs
@@ -1,6 +1,6 @@
 //! Giving cells up in the store, and the end of a planned stop.
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::kv;
@@ -8,23 +8,23 @@
 
 use crate::action::Action;
 use crate::key;
-use crate::life::Releasing;
-use crate::life::Stage;
-use crate::life::Tenure;
-use crate::plan::Slice;
+use crate::plan::CellIndex;
+use crate::stage::Ownership;
+use crate::stage::Releasing;
+use crate::stage::Stage;
 
 use super::Drain;
-use super::Keeper;
+use super::Manager;
 use super::Purpose;
 
-impl Keeper {
+impl Manager {
     /// Learns that the process does nothing for a cell any more.
     pub(super) fn quiesced(&mut self, cell: &str, epoch: id::Epoch, actions: &mut Vec<Action>) {
         let Some(slice) = self.slice_of(cell) else { return };
         let Some(stage) = self.stages.remove(&slice) else { return };
         let mut stage = match stage {
             Stage::Yielding(tenure) if tenure.state.claim.epoch == epoch => {
-                let operation = self.operation();
+                let operation = self.next_operation();
                 Stage::Releasing(tenure.quiesced(operation))
             }
             Stage::Stopping(tenure) if tenure.state.epoch == epoch => {
@@ -33,7 +33,7 @@
             other => other,
         };
         if stage.active().is_none() && !matches!(stage, Stage::Stopping(_)) {
-            for call in stage.common().waiting.drain(..) {
+            for call in stage.common().pending_calls.drain(..) {
                 actions.push(Action::Answer { call, reply: peer::Reply::Released });
             }
         }
@@ -41,7 +41,7 @@
     }
 
     pub(super) fn write_releases(&mut self, actions: &mut Vec<Action>) {
-        let slices: Vec<Slice> = self.stages.keys().copied().collect();
+        let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
         for slice in slices {
             let Some(Stage::Releasing(tenure)) = self.stages.get(&slice) else { continue };
             if tenure.state.ticket.is_some() {
@@ -55,7 +55,7 @@
         }
     }
 
-    fn release_txn(&self, slice: Slice, releasing: &Releasing) -> kv::Txn {
+    fn release_txn(&self, slice: CellIndex, releasing: &Releasing) -> kv::Txn {
         let key = key::cell(&self.settings.domain, slice);
         let guards = vec![kv::Guard::Unchanged(key.clone(), releasing.revision)];
         let value = releasing.claim.to_bytes();
@@ -65,7 +65,7 @@
     pub(super) fn release_ended(
         &mut self,
         now: Time,
-        slice: Slice,
+        slice: CellIndex,
         outcome: Result<kv::Verdict, kv::Error>,
         actions: &mut Vec<Action>,
     ) {
@@ -77,13 +77,17 @@
             Err(_) => Stage::Releasing(tenure),
         };
         self.stages.insert(slice, stage);
-        self.distrust(now);
+        self.invalidate(now);
     }
 
-    pub(super) fn released(&self, tenure: Tenure<Releasing>, actions: &mut Vec<Action>) -> Stage {
+    pub(super) fn released(
+        &self,
+        tenure: Ownership<Releasing>,
+        actions: &mut Vec<Action>,
+    ) -> Stage {
         let cell = tenure.common.cell.clone();
         let reason = format!("epoch {}", tenure.state.claim.epoch);
-        self.note(Number::CellReleased, &cell, reason, actions);
+        self.log(LogEvent::CellReleased, &cell, reason, actions);
         Stage::Vacant(tenure.released())
     }
 
--- a/crates/tenure/src/keeper/standing.rs
+++ b/crates/tenure/src/ownership/status.rs
@@ -4,11 +4,11 @@
 
 use crate::key;
 
-use super::Keeper;
+use super::Manager;
 
 /// One cell as status output shows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct Status {
     /// The cell.
     pub cell: id::Cell,
     /// How this placer stands to it.
@@ -19,13 +19,13 @@
     pub owner: Option<id::Instance>,
 }
 
-impl Keeper {
+impl Manager {
     /// Lists every cell of the domain as this placer stands to it.
-    pub fn standings(&self) -> impl Iterator<Item = Standing> {
+    pub fn cell_statuses(&self) -> impl Iterator<Item = Status> {
         self.stages.iter().map(|(&slice, stage)| {
-            let title = self.scene.as_ref().and_then(|scene| scene.title(slice));
+            let title = self.scene.as_ref().and_then(|scene| scene.entry(slice));
             let claim = title.and_then(|title| title.claim.as_ref());
-            Standing {
+            Status {
                 cell: key::name(&self.settings.domain, slice),
                 stage: stage.as_str(),
                 epoch: stage.active(),
--- a/crates/tenure/src/keeper/take.rs
+++ b/crates/tenure/src/ownership/take.rs
@@ -1,6 +1,6 @@
 //! Taking cells: which are free, whose turn it is, and the write that decides.
 
-use cowslipchute_base::event::Event as Number;
+use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::kv;
@@ -8,36 +8,36 @@
 
 use crate::action::Action;
 use crate::event::Ticket;
-use crate::former::Inquiry;
+use crate::inquiry::Inquiry;
 use crate::key;
-use crate::life::Stage;
-use crate::life::Taking;
-use crate::life::Tenure;
 use crate::owner::Claim;
 use crate::owner::Owner;
-use crate::plan::Slice;
+use crate::plan::CellIndex;
 use crate::rank;
-use crate::scene::Scene;
+use crate::snapshot::Snapshot;
+use crate::stage::Ownership;
+use crate::stage::Stage;
+use crate::stage::Taking;
 
 use super::Drain;
-use super::Keeper;
+use super::Manager;
 use super::Purpose;
 
 /// What a cell's key said when it was found free, and what must still be so when it is taken.
-struct Opening {
+struct Vacancy {
     guards: Vec<kv::Guard>,
     epoch: id::Epoch,
     formers: Vec<Owner>,
 }
 
-impl Keeper {
+impl Manager {
     /// Adds racks that no cell has yet.
     pub(super) fn extend_plan(&mut self, actions: &mut Vec<Action>) {
         if self.commits.values().any(|purpose| *purpose == Purpose::Plan) || !self.may_take() {
             return;
         }
         let (Some(view), Some(scene)) = (&self.view, &self.scene) else { return };
-        let limit = self.settings.cell_workers;
+        let limit = self.settings.max_cell_workers;
         let Some(plan) = scene.plan.extended(&view.members, limit) else { return };
         let guard = self.plan_guard(scene);
         let key = key::plan(&self.settings.domain);
@@ -47,7 +47,7 @@
     }
 
     /// Lets a write pass only if the plan is still as it was read.
-    fn plan_guard(&self, scene: &Scene) -> kv::Guard {
+    fn plan_guard(&self, scene: &Snapshot) -> kv::Guard {
         let key = key::plan(&self.settings.domain);
         match scene.plan_revision {
             0 => kv::Guard::Missing(key),
@@ -75,21 +75,21 @@
 
     /// Tells whether it can take them now.
     pub(super) fn can_take(&self, now: Time) -> bool {
-        self.may_take() && self.look.is_fresh() && self.lease.is_kept(now)
+        self.may_take() && self.reader.is_fresh() && self.lease.is_valid(now)
     }
 
     pub(super) fn take_cells(&mut self, now: Time, actions: &mut Vec<Action>) {
         if !self.can_take(now) {
             return;
         }
-        let slices: Vec<Slice> = self.stages.keys().copied().collect();
+        let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
         for slice in slices {
             self.take_if_due(now, slice, actions);
         }
     }
 
-    fn take_if_due(&mut self, now: Time, slice: Slice, actions: &mut Vec<Action>) {
-        let opening = self.opening(now, slice);
+    fn take_if_due(&mut self, now: Time, slice: CellIndex, actions: &mut Vec<Action>) {
+        let opening = self.vacancy(now, slice);
         let rank = self.rank(slice) as u32;
         let delay = self.settings.rank_delay * rank;
         let Some(Stage::Vacant(tenure)) = self.stages.get_mut(&slice) else { return };
@@ -104,27 +104,27 @@
     }
 
     /// Returns what makes a cell free, if it is.
-    fn opening(&self, now: Time, slice: Slice) -> Option<Opening> {
+    fn vacancy(&self, now: Time, slice: CellIndex) -> Option<Vacancy> {
         let scene = self.scene.as_ref()?;
         let key = key::cell(&self.settings.domain, slice);
-        let Some(title) = scene.title(slice) else {
+        let Some(title) = scene.entry(slice) else {
             let guards = vec![kv::Guard::Missing(key)];
-            return Some(Opening { guards, epoch: 0, formers: Vec::new() });
+            return Some(Vacancy { guards, epoch: 0, formers: Vec::new() });
         };
         // A value that can't be read is another version's; its cell is not ours to take.
         let claim = title.claim.as_ref()?;
         let mut guards = vec![kv::Guard::Unchanged(key, title.revision)];
-        let mut formers = claim.formers.to_vec();
+        let mut formers = claim.previous_owners.to_vec();
         if !claim.released {
             formers.push(claim.owner.clone());
-            if !claim.owner.same(&self.own()) {
-                if scene.is_alive(&claim.owner) || self.look.is_grace(now) {
+            if !claim.owner.is_same(&self.own()) {
+                if scene.is_alive(&claim.owner) || self.reader.in_grace_period(now) {
                     return None;
                 }
                 guards.push(kv::Guard::Missing(self.alive_key(&claim.owner)));
             }
         }
-        Some(Opening { guards, epoch: claim.epoch, formers })
+        Some(Vacancy { guards, epoch: claim.epoch, formers })
     }
 
     fn alive_key(&self, owner: &Owner) -> String {
@@ -132,7 +132,7 @@
     }
 
     /// Counts the live placers that come before this one for a cell.
-    pub(super) fn rank(&self, slice: Slice) -> usize {
+    pub(super) fn rank(&self, slice: CellIndex) -> usize {
         let cell = key::name(&self.settings.domain, slice);
         rank::rank(&cell, &self.settings.instance, self.candidates())
     }
@@ -144,20 +144,22 @@
         });
         let alive = others.filter(|member| {
             let scene = self.scene.as_ref();
-            scene.is_some_and(|scene| scene.has_life(&member.instance, member.incarnation))
+            scene.is_some_and(|scene| {
+                scene.is_incarnation_alive(&member.instance, member.incarnation)
+            })
         });
         alive.map(|member| &*member.instance)
     }
 
-    fn take(&mut self, now: Time, slice: Slice, opening: Opening, actions: &mut Vec<Action>) {
+    fn take(&mut self, now: Time, slice: CellIndex, opening: Vacancy, actions: &mut Vec<Action>) {
         let Some(Stage::Vacant(tenure)) = self.stages.remove(&slice) else { return };
         let own = self.own();
         let view = self.view.as_ref().expect("a placer that takes is listed");
         let inquiry = Inquiry::open(&opening.formers, &own, view, now);
-        let epoch = opening.epoch.max(tenure.common.floor) + 1;
-        let formers = inquiry.unsettled();
-        let operation = self.operation();
-        let claim = Claim { owner: own, epoch, operation, released: false, formers };
+        let epoch = opening.epoch.max(tenure.common.max_epoch) + 1;
+        let previous_owners = inquiry.unconfirmed();
+        let operation = self.next_operation();
+        let claim = Claim { owner: own, epoch, operation, released: false, previous_owners };
         let mut guards = opening.guards;
         // The former owner may have used a rack that an older plan doesn't show as the cell's.
         guards.extend(self.scene.as_ref().map(|scene| self.plan_guard(scene)));
@@ -174,7 +176,7 @@
     pub(super) fn take_ended(
         &mut self,
         now: Time,
-        slice: Slice,
+        slice: CellIndex,
         outcome: Result<kv::Verdict, kv::Error>,
         actions: &mut Vec<Action>,
     ) {
@@ -184,46 +186,46 @@
             Ok(verdict) if verdict.applied && self.is_certain(now) => {
                 self.own_cell(now, tenure, verdict.revision, actions)
             }
-            Ok(verdict) if !verdict.applied => Stage::Vacant(tenure.missed()),
-            Err(kv::Error::Unavailable(_)) => Stage::Vacant(tenure.missed()),
+            Ok(verdict) if !verdict.applied => Stage::Vacant(tenure.failed()),
+            Err(kv::Error::Unavailable(_)) => Stage::Vacant(tenure.failed()),
             Ok(_) | Err(_) => {
                 tenure.state.ticket = None;
                 let reason = String::from("the answer to taking the cell was lost");
                 let cell = tenure.common.cell.clone();
-                self.note(Number::StoreUnsettled, &cell, reason, actions);
+                self.log(LogEvent::StoreUnsettled, &cell, reason, actions);
                 Stage::Taking(tenure)
             }
         };
         if !matches!(stage, Stage::Held(_)) {
-            self.distrust(now);
+            self.invalidate(now);
         }
         self.stages.insert(slice, stage);
     }
 
     /// Tells whether an answer just received can be acted on without looking again.
     fn is_certain(&self, now: Time) -> bool {
-        self.look.is_fresh() && self.lease.is_kept(now)
+        self.reader.is_fresh() && self.lease.is_valid(now)
     }
 
     /// Becomes the owner, unless a higher epoch was met meanwhile.
     pub(super) fn own_cell(
         &mut self,
         now: Time,
-        tenure: Tenure<Taking>,
+        tenure: Ownership<Taking>,
         revision: id::Revision,
         actions: &mut Vec<Action>,
     ) -> Stage {
-        if tenure.state.claim.epoch <= tenure.common.floor {
-            return Stage::Vacant(tenure.missed());
+        if tenure.state.claim.epoch <= tenure.common.max_epoch {
+            return Stage::Vacant(tenure.failed());
         }
         let view = self.view.as_ref().expect("a placer that takes is listed");
-        let inquiry = Inquiry::open(&tenure.state.formers, &self.own(), view, now);
+        let inquiry = Inquiry::open(&tenure.state.previous_owners, &self.own(), view, now);
         let former = inquiry.former();
         let held = tenure.taken(revision, inquiry);
         let cell = held.common.cell.clone();
         let epoch = held.state.claim.epoch;
         let reason = format!("epoch {epoch}, former owner {former:?}");
-        self.note(Number::CellOwned, &cell, reason, actions);
+        self.log(LogEvent::CellOwned, &cell, reason, actions);
         actions.push(Action::Own { cell, epoch, revision, former });
         Stage::Held(held)
     }
--- a/crates/tenure/src/plan.rs
+++ b/crates/tenure/src/plan.rs
@@ -13,14 +13,14 @@
 use serde::Serialize;
 
 /// Number of a cell within its failure domain.
-pub type Slice = u32;
+pub type CellIndex = u32;
 
 /// Which rack belongs to which cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Plan {
     /// The cell of each rack ever seen.
-    pub racks: BTreeMap<id::Rack, Slice>,
+    pub racks: BTreeMap<id::Rack, CellIndex>,
 }
 
 impl Plan {
@@ -35,12 +35,12 @@
     }
 
     /// Returns the cell of a rack, once it has one.
-    pub fn slice(&self, rack: &str) -> Option<Slice> {
+    pub fn cell_index(&self, rack: &str) -> Option<CellIndex> {
         self.racks.get(rack).copied()
     }
 
     /// Counts the cells; they are numbered from zero without a gap.
-    pub fn slices(&self) -> Slice {
+    pub fn cell_count(&self) -> CellIndex {
         self.racks.values().max().map_or(0, |last| last + 1)
     }
 
@@ -62,14 +62,14 @@
                 loads.push(0);
             }
             loads[slice] += size;
-            plan.racks.insert(rack.clone(), slice as Slice);
+            plan.racks.insert(rack.clone(), slice as CellIndex);
         }
         Some(plan)
     }
 
     /// Counts the listed workers of each cell.
     fn loads(&self, sizes: &BTreeMap<&id::Rack, usize>) -> Vec<usize> {
-        let mut loads = vec![0; self.slices() as usize];
+        let mut loads = vec![0; self.cell_count() as usize];
         for (rack, &slice) in &self.racks {
             loads[slice as usize] += sizes.get(rack).copied().unwrap_or(0);
         }
--- a/crates/tenure/src/scene.rs
+++ b/crates/tenure/src/snapshot.rs
@@ -7,15 +7,15 @@
 use cowslipchute_ports::kv;
 
 use crate::key;
-use crate::key::Place;
+use crate::key::Kind;
 use crate::owner::Claim;
 use crate::owner::Owner;
+use crate::plan::CellIndex;
 use crate::plan::Plan;
-use crate::plan::Slice;
 
 /// A cell's key as it was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Title {
+pub struct Entry {
     /// The value; nothing if it can't be read, in which case the cell is left alone.
     pub claim: Option<Claim>,
     /// Revision of the key.
@@ -24,46 +24,46 @@
 
 /// One life of a placer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Life {
+struct Identity {
     instance: id::Instance,
     incarnation: id::Incarnation,
 }
 
 /// What the store showed at one revision.
 #[derive(Clone, Debug, Default)]
-pub struct Scene {
+pub struct Snapshot {
     /// The store's revision.
     pub revision: id::Revision,
     /// The plan.
     pub plan: Plan,
     /// Revision of the plan's key; zero if there is none.
     pub plan_revision: id::Revision,
-    titles: BTreeMap<Slice, Title>,
-    alive: BTreeSet<Life>,
+    entries: BTreeMap<CellIndex, Entry>,
+    alive: BTreeSet<Identity>,
 }
 
-impl Scene {
+impl Snapshot {
     /// Reads a snapshot of the domain's prefix. A plan that can't be read leaves `last` in force,
     /// since racks must never lose their cell.
-    pub fn read(domain: &str, snapshot: &kv::Snapshot, last: &Plan) -> Scene {
+    pub fn parse(domain: &str, snapshot: &kv::Snapshot, last: &Plan) -> Snapshot {
         let mut scene =
-            Scene { revision: snapshot.revision, plan: last.clone(), ..Scene::default() };
+            Snapshot { revision: snapshot.revision, plan: last.clone(), ..Snapshot::default() };
         for entry in &snapshot.entries {
             match key::parse(domain, &entry.key) {
-                Some(Place::Cell(slice)) => scene.put_title(slice, entry),
-                Some(Place::Alive { instance, incarnation }) => {
-                    scene.alive.insert(Life { instance: instance.into(), incarnation });
+                Some(Kind::Cell(slice)) => scene.put_title(slice, entry),
+                Some(Kind::Alive { instance, incarnation }) => {
+                    scene.alive.insert(Identity { instance: instance.into(), incarnation });
                 }
-                Some(Place::Plan) => scene.put_plan(entry),
+                Some(Kind::Plan) => scene.put_plan(entry),
                 None => {}
             }
         }
         scene
     }
 
-    fn put_title(&mut self, slice: Slice, entry: &kv::Entry) {
+    fn put_title(&mut self, slice: CellIndex, entry: &kv::Entry) {
         let claim = Claim::from_bytes(&entry.value);
-        self.titles.insert(slice, Title { claim, revision: entry.revision });
+        self.entries.insert(slice, Entry { claim, revision: entry.revision });
     }
 
     fn put_plan(&mut self, entry: &kv::Entry) {
@@ -74,18 +74,22 @@
     }
 
     /// Returns a cell's key as it was read; nothing if there was none.
-    pub fn title(&self, slice: Slice) -> Option<&Title> {
-        self.titles.get(&slice)
+    pub fn entry(&self, slice: CellIndex) -> Option<&Entry> {
+        self.entries.get(&slice)
     }
 
     /// Tells whether that life's lease was alive.
     pub fn is_alive(&self, owner: &Owner) -> bool {
-        let life = Life { instance: owner.instance.clone(), incarnation: owner.incarnation };
+        let life = Identity { instance: owner.instance.clone(), incarnation: owner.incarnation };
         self.alive.contains(&life)
     }
 
     /// Tells whether a life's lease was alive.
-    pub fn has_life(&self, instance: &id::Instance, incarnation: id::Incarnation) -> bool {
-        self.alive.contains(&Life { instance: instance.clone(), incarnation })
+    pub fn is_incarnation_alive(
+        &self,
+        instance: &id::Instance,
+        incarnation: id::Incarnation,
+    ) -> bool {
+        self.alive.contains(&Identity { instance: instance.clone(), incarnation })
     }
 }
--- a/crates/tenure/src/life.rs
+++ b/crates/tenure/src/stage.rs
@@ -10,29 +10,29 @@
 
 use crate::event::CallId;
 use crate::event::Ticket;
-use crate::former::Inquiry;
+use crate::inquiry::Inquiry;
 use crate::owner::Claim;
 use crate::owner::Owner;
-use crate::plan::Slice;
+use crate::plan::CellIndex;
 
 /// What lasts over all states.
 #[derive(Clone, Debug)]
 pub struct Common {
     /// Number of the cell.
-    pub slice: Slice,
+    pub index: CellIndex,
     /// Name of the cell.
     pub cell: id::Cell,
     /// The highest epoch met anywhere; ours is to be above it.
-    pub floor: id::Epoch,
+    pub max_epoch: id::Epoch,
     /// Later owners waiting to hear that we have stopped.
-    pub waiting: SmallVec<[CallId; 1]>,
+    pub pending_calls: SmallVec<[CallId; 1]>,
     /// How often we have handed the cell to a placer that ranks before us.
     pub handovers: u32,
 }
 
 /// One cell as this placer stands to it.
 #[derive(Clone, Debug)]
-pub struct Tenure<S> {
+pub struct Ownership<S> {
     /// What lasts over all states.
     pub common: Common,
     /// What belongs to the state.
@@ -54,7 +54,7 @@
     /// What is written.
     pub claim: Claim,
     /// All former owners that have not released it.
-    pub formers: Vec<Owner>,
+    pub previous_owners: Vec<Owner>,
 }
 
 /// Ours.
@@ -89,7 +89,7 @@
     /// What is written.
     pub claim: Claim,
     /// Identity of the write that stands at the key until then.
-    pub held: id::Operation,
+    pub held_operation: id::Operation,
     /// Revision of the key until then.
     pub revision: id::Revision,
     /// The call, if one is on its way.
@@ -103,79 +103,90 @@
     pub epoch: id::Epoch,
 }
 
-impl Tenure<Vacant> {
+impl Ownership<Vacant> {
     /// Starts with a cell that is not ours.
-    pub fn open(slice: Slice, cell: id::Cell) -> Tenure<Vacant> {
-        let waiting = SmallVec::new();
-        let common = Common { slice, cell, floor: 0, waiting, handovers: 0 };
-        Tenure { common, state: Vacant { free_since: None } }
+    pub fn open(index: CellIndex, cell: id::Cell) -> Ownership<Vacant> {
+        let pending_calls = SmallVec::new();
+        let common = Common { index, cell, max_epoch: 0, pending_calls, handovers: 0 };
+        Ownership { common, state: Vacant { free_since: None } }
     }
 
     /// Sends the write that makes the cell ours.
-    pub fn take(self, ticket: Ticket, claim: Claim, formers: Vec<Owner>) -> Tenure<Taking> {
-        assert!(claim.epoch > self.common.floor, "an epoch is above every one met");
-        Tenure { common: self.common, state: Taking { ticket: Some(ticket), claim, formers } }
+    pub fn take(
+        self,
+        ticket: Ticket,
+        claim: Claim,
+        previous_owners: Vec<Owner>,
+    ) -> Ownership<Taking> {
+        assert!(claim.epoch > self.common.max_epoch, "an epoch is above every one met");
+        Ownership {
+            common: self.common,
+            state: Taking { ticket: Some(ticket), claim, previous_owners },
+        }
     }
 }
 
-impl Tenure<Taking> {
+impl Ownership<Taking> {
     /// The write stands at the key.
-    pub fn taken(self, revision: id::Revision, inquiry: Inquiry) -> Tenure<Held> {
+    pub fn taken(self, revision: id::Revision, inquiry: Inquiry) -> Ownership<Held> {
         let mut common = self.common;
         let claim = self.state.claim;
-        common.floor = common.floor.max(claim.epoch);
+        common.max_epoch = common.max_epoch.max(claim.epoch);
         let state = Held { claim, revision, inquiry, isolated: false, outranked_since: None };
-        Tenure { common, state }
+        Ownership { common, state }
     }
 
     /// The write does not stand at the key.
-    pub fn missed(self) -> Tenure<Vacant> {
-        Tenure { common: self.common, state: Vacant { free_since: None } }
+    pub fn failed(self) -> Ownership<Vacant> {
+        Ownership { common: self.common, state: Vacant { free_since: None } }
     }
 }
 
-impl Tenure<Held> {
+impl Ownership<Held> {
     /// Starts to give the cell up in good order.
-    pub fn give_up(self) -> Tenure<Yielding> {
+    pub fn give_up(self) -> Ownership<Yielding> {
         let Held { claim, revision, inquiry, .. } = self.state;
-        Tenure { common: self.common, state: Yielding { claim, revision, inquiry } }
+        Ownership { common: self.common, state: Yielding { claim, revision, inquiry } }
     }
 
     /// Meets a higher epoch.
-    pub fn lose(self) -> Tenure<Stopping> {
-        Tenure { common: self.common, state: Stopping { epoch: self.state.claim.epoch } }
+    pub fn lose(self) -> Ownership<Stopping> {
+        Ownership { common: self.common, state: Stopping { epoch: self.state.claim.epoch } }
     }
 }
 
-impl Tenure<Yielding> {
+impl Ownership<Yielding> {
     /// Nothing is done for the cell any more.
-    pub fn quiesced(self, operation: id::Operation) -> Tenure<Releasing> {
+    pub fn quiesced(self, operation: id::Operation) -> Ownership<Releasing> {
         let Yielding { claim, revision, inquiry } = self.state;
-        let held = claim.operation;
-        let formers = inquiry.unsettled();
-        let claim = Claim { operation, released: true, formers, ..claim };
-        Tenure { common: self.common, state: Releasing { claim, held, revision, ticket: None } }
+        let held_operation = claim.operation;
+        let previous_owners = inquiry.unconfirmed();
+        let claim = Claim { operation, released: true, previous_owners, ..claim };
+        Ownership {
+            common: self.common,
+            state: Releasing { claim, held_operation, revision, ticket: None },
+        }
     }
 
     /// Meets a higher epoch.
-    pub fn lose(self) -> Tenure<Stopping> {
-        Tenure { common: self.common, state: Stopping { epoch: self.state.claim.epoch } }
+    pub fn lose(self) -> Ownership<Stopping> {
+        Ownership { common: self.common, state: Stopping { epoch: self.state.claim.epoch } }
     }
 }
 
-impl Tenure<Releasing> {
+impl Ownership<Releasing> {
     /// The store knows, or another owner is there already.
-    pub fn released(self) -> Tenure<Vacant> {
+    pub fn released(self) -> Ownership<Vacant> {
         let mut common = self.common;
         common.handovers = common.handovers.saturating_add(1);
-        Tenure { common, state: Vacant { free_since: None } }
+        Ownership { common, state: Vacant { free_since: None } }
     }
 }
 
-impl Tenure<Stopping> {
+impl Ownership<Stopping> {
     /// Nothing of it is on its way any more.
-    pub fn stopped(self) -> Tenure<Vacant> {
-        Tenure { common: self.common, state: Vacant { free_since: None } }
+    pub fn stopped(self) -> Ownership<Vacant> {
+        Ownership { common: self.common, state: Vacant { free_since: None } }
     }
 }
 
@@ -183,17 +194,17 @@
 #[derive(Clone, Debug)]
 pub enum Stage {
     /// Not ours.
-    Vacant(Tenure<Vacant>),
+    Vacant(Ownership<Vacant>),
     /// Being taken.
-    Taking(Tenure<Taking>),
+    Taking(Ownership<Taking>),
     /// Ours.
-    Held(Tenure<Held>),
+    Held(Ownership<Held>),
     /// Ours, being finished.
-    Yielding(Tenure<Yielding>),
+    Yielding(Ownership<Yielding>),
     /// Finished, being given up in the store.
-    Releasing(Tenure<Releasing>),
+    Releasing(Ownership<Releasing>),
     /// Lost, running out.
-    Stopping(Tenure<Stopping>),
+    Stopping(Ownership<Stopping>),
 }
 
 impl Stage {
--- a/crates/tenure/tests/homes.rs
+++ b/crates/tenure/tests/homes.rs
@@ -16,8 +16,8 @@
 use cowslipchute_ports::kv;
 use cowslipchute_resource::job;
 use cowslipchute_resource::key::HOME;
-use cowslipchute_tenure::board::Action;
-use cowslipchute_tenure::board::Board;
+use cowslipchute_tenure::directory::Action;
+use cowslipchute_tenure::directory::Directory;
 use proptest::prelude::*;
 use store::Memory;
 
@@ -54,7 +54,7 @@
 
 /// One placer and its cell.
 struct Node {
-    board: Board,
+    board: Directory,
     cell: id::Cell,
     jobs: BTreeMap<id::Job, Stay>,
 }
@@ -85,9 +85,9 @@
     fn open() -> World {
         let cells: Vec<id::Cell> = vec!["d/0".into(), "d/1".into()];
         let node = |cell: &id::Cell| {
-            let mut board = Board::open(DELAY);
-            board.learn_cells(cells.clone());
-            board.own(cell, &mut Vec::new());
+            let mut board = Directory::open(DELAY);
+            board.set_cells(cells.clone());
+            board.add_owned_cell(cell, &mut Vec::new());
             Node { board, cell: cell.clone(), jobs: BTreeMap::new() }
         };
         World {
@@ -133,17 +133,17 @@
             if self.declared.contains_key(&name) {
                 board.declared(self.now, &name, &Arc::new(job::Spec::default()), &mut actions);
             } else if board.is_declared(&name) {
-                board.withdrawn(&name, &mut actions);
+                board.undeclared(&name, &mut actions);
             }
         }
-        board.learn_in_force(self.store.revision, &mut actions);
+        board.set_declared_revision(self.store.revision, &mut actions);
         self.tell(node, actions);
     }
 
     fn follow(&mut self, node: usize) {
         let entries = self.store.read(HOME).entries;
         let mut actions = Vec::new();
-        self.nodes[node].board.learn_homes(self.now, &entries, &mut actions);
+        self.nodes[node].board.load_homes(self.now, &entries, &mut actions);
         self.tell(node, actions);
     }
 
@@ -154,14 +154,14 @@
             let Action::Claim { txn } = action else { panic!("a tick only claims") };
             let outcome = self.write(&txn, fate);
             let board = &mut self.nodes[node].board;
-            board.claimed(self.now, outcome, &txn, DELAY, &mut actions);
+            board.claim_ended(self.now, outcome, &txn, DELAY, &mut actions);
         }
         self.tell(node, actions);
     }
 
     fn depart(&mut self, node: usize, job: id::Job) {
         let node = &mut self.nodes[node];
-        if node.jobs.get(&job) == Some(&Stay::Active) && node.board.can_depart(&job) {
+        if node.jobs.get(&job) == Some(&Stay::Active) && node.board.can_move(&job) {
             node.jobs.insert(job, Stay::Finishing { depart: true });
         }
     }
@@ -173,14 +173,14 @@
             _ => return,
         };
         at.jobs.insert(job.clone(), Stay::Removing { depart });
-        let txn = at.board.leaving(&job, &at.cell, depart).unwrap_or_default();
+        let txn = at.board.begin_removal(&job, &at.cell, depart).unwrap_or_default();
         let outcome = self.write(&txn, fate);
         // A lost answer is settled by reading, which is the same as asking again.
         if outcome.is_ok_and(|verdict| verdict.applied) {
             let at = &mut self.nodes[node];
             at.jobs.remove(&job);
             let mut actions = Vec::new();
-            at.board.left(&job, &mut actions);
+            at.board.removal_written(&job, &mut actions);
             self.tell(node, actions);
         }
     }
@@ -203,11 +203,11 @@
         for action in actions {
             match action {
                 Action::Claim { .. } => panic!("only a tick claims"),
-                Action::Job { cell, name, .. } => {
+                Action::Assigned { cell, name, .. } => {
                     assert_eq!(cell, node.cell);
                     node.jobs.insert(name, Stay::Active);
                 }
-                Action::Gone { cell, name } => {
+                Action::Removed { cell, name } => {
                     assert_eq!(cell, node.cell);
                     if node.jobs.get(&name) == Some(&Stay::Active) {
                         node.jobs.insert(name, Stay::Finishing { depart: false });
--- a/crates/tenure/tests/plan.rs
+++ b/crates/tenure/tests/plan.rs
@@ -7,7 +7,7 @@
 use cowslipchute_ports::list::Role;
 use cowslipchute_ports::list::State;
 use cowslipchute_ports::list::View;
-use cowslipchute_tenure::former::has_ended;
+use cowslipchute_tenure::inquiry::has_ended;
 use cowslipchute_tenure::owner::Owner;
 use cowslipchute_tenure::plan::Plan;
 use proptest::prelude::*;
@@ -49,10 +49,10 @@
             let before = plan.clone();
             plan = plan.extended(&workers(racks), LIMIT).unwrap_or(plan);
             for (rack, slice) in &before.racks {
-                prop_assert_eq!(plan.slice(rack), Some(*slice));
+                prop_assert_eq!(plan.cell_index(rack), Some(*slice));
             }
             for rack in racks.keys() {
-                let slice = plan.slice(&format!("r{rack}"));
+                let slice = plan.cell_index(&format!("r{rack}"));
                 prop_assert!(slice.is_some());
             }
             prop_assert!(plan.extended(&workers(racks), LIMIT).is_none());
@@ -64,10 +64,10 @@
         let plan = Plan::default().extended(&workers(&racks), LIMIT).expect("no rack is planned yet");
         let mut cells: BTreeMap<u32, Vec<usize>> = BTreeMap::new();
         for (rack, &size) in &racks {
-            let slice = plan.slice(&format!("r{rack}")).expect("every rack is planned");
+            let slice = plan.cell_index(&format!("r{rack}")).expect("every rack is planned");
             cells.entry(slice).or_default().push(size);
         }
-        prop_assert_eq!(cells.len() as u32, plan.slices());
+        prop_assert_eq!(cells.len() as u32, plan.cell_count());
         for sizes in cells.values() {
             prop_assert!(sizes.iter().sum::<usize>() <= LIMIT || sizes.len() == 1);
         }
@@ -91,7 +91,7 @@
     ended: bool,
 ) {
     let address = ([127, 0, 0, 1], 1).into();
-    let owner = Owner { instance: "p1".into(), incarnation: 2, address, listed: 4 };
+    let owner = Owner { instance: "p1".into(), incarnation: 2, address, list_version: 4 };
     let members = listed.map(|life| member(Role::Placer, "p1", life, "")).into_iter().collect();
     assert_eq!(has_ended(&owner, &View { version, members }), ended);
 }
--- a/crates/tenure/tests/scenarios.rs
+++ b/crates/tenure/tests/scenarios.rs
@@ -78,7 +78,7 @@
         "worker" => {
             let cell = key::name(world::DOMAIN, number(case, "slice", 0) as u32);
             let epoch = number(case, "epoch", 0);
-            world.tell(name, Event::Outranked { cell, epoch });
+            world.tell(name, Event::HigherEpoch { cell, epoch });
         }
         "run" => {
             world.run(Duration::from_millis(number(case, "ms", 1000)));
--- a/crates/tenure/tests/world/mod.rs
+++ b/crates/tenure/tests/world/mod.rs
@@ -21,11 +21,11 @@
 use cowslipchute_tenure::action::Action;
 use cowslipchute_tenure::event::Event;
 use cowslipchute_tenure::event::Ticket;
-use cowslipchute_tenure::keeper::Keeper;
-use cowslipchute_tenure::keeper::Settings;
 use cowslipchute_tenure::key;
 use cowslipchute_tenure::owner::Claim;
 use cowslipchute_tenure::owner::Owner;
+use cowslipchute_tenure::ownership::Manager;
+use cowslipchute_tenure::ownership::Settings;
 use cowslipchute_tenure::plan::Plan;
 
 use store::Memory;
@@ -47,7 +47,7 @@
 /// One placer process.
 #[derive(Debug)]
 pub struct Node {
-    pub keeper: Keeper,
+    pub keeper: Manager,
     pub incarnation: id::Incarnation,
     pub inbox: VecDeque<Event>,
     pub frozen: bool,
@@ -115,16 +115,16 @@
 
     pub fn start(&mut self, name: &str, incarnation: id::Incarnation) {
         let port = 7000 + name.bytes().map(u16::from).sum::<u16>();
-        let keeper = Keeper::open(Settings {
+        let keeper = Manager::open(Settings {
             instance: name.into(),
             incarnation,
             address: ([127, 0, 0, 1], port).into(),
             domain: DOMAIN.into(),
             lease: LEASE,
-            cell_workers: 4,
+            max_cell_workers: 4,
             rank_delay: self.rank_delay,
-            settle: Duration::from_secs(20),
-            ask_every: Duration::from_secs(1),
+            handover_delay: Duration::from_secs(20),
+            query_interval: Duration::from_secs(1),
         });
         let node = Node {
             keeper,
@@ -223,10 +223,10 @@
 
     fn perform(&mut self, name: &str, action: Action) {
         match action {
-            Action::Look { ticket } => {
+            Action::ReadDomain { ticket } => {
                 let prefix = key::domain(DOMAIN);
                 let outcome = self.reach(name).map(|()| self.store.read(&prefix));
-                self.node(name).inbox.push_back(Event::Looked { ticket, outcome });
+                self.node(name).inbox.push_back(Event::DomainRead { ticket, outcome });
             }
             Action::Commit { ticket, txn } => self.commit(name, ticket, txn),
             Action::Grant { ticket, ttl } => {
@@ -248,16 +248,16 @@
                 self.say(name, format!("owns {cell} epoch {epoch} former {former:?}"));
                 self.node(name).acting.insert(cell, Term { epoch, former });
             }
-            Action::Former { cell, former } => {
+            Action::PreviousOwners { cell, former } => {
                 self.say(name, format!("learns of {cell} former {former:?}"));
                 let term = self.node(name).acting.get_mut(&cell);
                 term.expect("only an owner learns of former owners").former = former;
             }
-            Action::Quiesce { cell, epoch } | Action::Disown { cell, epoch } => {
+            Action::Quiesce { cell, epoch } | Action::Stop { cell, epoch } => {
                 self.say(name, format!("stops {cell} epoch {epoch}"));
                 self.node(name).inbox.push_back(Event::Quiesced { cell, epoch });
             }
-            Action::Ask { cell, epoch, owner } => self.ask(name, cell, epoch, owner),
+            Action::QueryStopped { cell, epoch, owner } => self.ask(name, cell, epoch, owner),
             Action::Answer { call, reply } => self.answer(call, &reply),
             Action::Note { event, reason, subject } => {
                 self.say(name, format!("notes {} {subject}: {reason}", event.name()));
@@ -307,7 +307,7 @@
     /// Checks that whoever takes a cell knows every rack that the former owner may have used.
     fn check_taken(&self, name: &str, txn: &kv::Txn) {
         let puts = txn.changes.iter().filter_map(|change| match change {
-            kv::Change::Put { key, value, .. } if key::cell_at(key).is_some() => Some(value),
+            kv::Change::Put { key, value, .. } if key::parse_cell(key).is_some() => Some(value),
             _ => None,
         });
         let takes = puts.filter_map(|value| Claim::from_bytes(value)).any(|claim| !claim.released);
@@ -342,7 +342,7 @@
         }
         self.last_call += 1;
         let call = self.last_call;
-        target.inbox.push_back(Event::Asked { call, cell: cell.clone(), epoch });
+        target.inbox.push_back(Event::StoppedQueried { call, cell: cell.clone(), epoch });
         self.calls.insert(call, Call { asker: name.to_owned(), cell, epoch, owner });
     }
 
@@ -353,7 +353,7 @@
         }
         let Call { asker, cell, epoch, owner } = call;
         if let Some(node) = self.nodes.get_mut(&asker) {
-            node.inbox.push_back(Event::Confirmed { cell, epoch, owner });
+            node.inbox.push_back(Event::StopConfirmed { cell, epoch, owner });
         }
     }
 
@@ -387,7 +387,7 @@
     pub fn describe(&self) -> String {
         let mut lines = Vec::new();
         for (name, node) in &self.nodes {
-            for standing in node.keeper.standings().filter(|s| s.stage != "vacant") {
+            for standing in node.keeper.cell_statuses().filter(|s| s.stage != "vacant") {
                 let epoch = standing.epoch.map_or(String::new(), |e| format!(" epoch {e}"));
                 lines.push(format!("{name} {} {}{epoch}", standing.cell, standing.stage));
             }
@@ -395,7 +395,7 @@
         for (key, entry) in &self.store.entries {
             let Some(claim) = Claim::from_bytes(&entry.value) else { continue };
             let released = if claim.released { " released" } else { "" };
-            let formers: Vec<&str> = claim.formers.iter().map(|f| &*f.instance).collect();
+            let formers: Vec<&str> = claim.previous_owners.iter().map(|f| &*f.instance).collect();
             let formers = match formers.is_empty() {
                 true => String::new(),
                 false => format!(" after {}", formers.join(" ")),
