--- a/crates/routing/examples/step_cost.rs
+++ b/crates/routing/examples/step_cost.rs
@@ -1,9 +1,9 @@
-//! Prints what one request costs the router: an arrival and the ending of its attempt.
+//! Prints the CPU time of one request in the router: its arrival and the ending of its attempt.
 //!
 //! `cargo run --release -p cowslipchute-routing --example step_cost -- [REQUESTS]`
 //!
-//! Fifty backend servers of eight slots, nine entries, a third of the slots busy; the middle of
-//! five rounds is what counts.
+//! There are fifty backend servers of eight slots and nine entries, and a third of the slots are
+//! busy. Prints the median of five rounds.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -62,8 +62,8 @@
     router
 }
 
-/// Runs requests through a router. Once as many are busy as may be, the first of them ends with
-/// each that arrives.
+/// Runs requests through a router. Once `busy_max` requests are in progress, each arrival ends the
+/// oldest of them.
 fn round(requests: u64, service: &str, most: usize) -> Duration {
     let mut router = open();
     let mut actions = Vec::with_capacity(16);
--- a/crates/routing/src/action.rs
+++ b/crates/routing/src/action.rs
@@ -1,4 +1,4 @@
-//! What the router wants done.
+//! Actions that the router requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 
 use crate::event::Attempt;
 
-/// What the router wants done.
+/// An action to be carried out by the caller of the router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to a backend server and tell how that ended.
+    /// Send the request to a backend server and report the ending of the attempt.
     Send {
         /// The request.
         request: id::Request,
@@ -21,39 +21,39 @@
         attempt: Attempt,
         /// The backend server.
         instance: id::Instance,
-        /// Which life of it; a connection to another one isn't used.
+        /// Its incarnation; a connection to another incarnation must not be used.
         incarnation: id::Incarnation,
         /// Its address.
         address: SocketAddr,
-        /// Time left until the request's deadline, to be passed on.
+        /// Time left until the request's deadline, to be forwarded with the request.
         remaining: Duration,
     },
-    /// Stop an attempt; its ending isn't wanted any more, but may still be told.
+    /// Stop an attempt; its ending is no longer needed but may still be reported.
     Cancel {
         /// The attempt.
         attempt: Attempt,
     },
-    /// Give the caller the whole answer of an attempt.
+    /// Give the caller the complete answer of an attempt.
     Forward {
-        /// The request, which is over with this.
+        /// The request, which ends with this action.
         request: id::Request,
         /// The attempt that answered.
         attempt: Attempt,
     },
-    /// Give the caller an answer kept from an earlier run under the same key.
+    /// Give the caller the stored answer of an earlier run under the same key.
     Replay {
-        /// The request, which is over with this.
+        /// The request, which ends with this action.
         request: id::Request,
         /// The answer.
         answer: peer::Answer,
     },
-    /// Give the caller an answer of our own.
+    /// Give the caller an answer made by this entry.
     Reply {
-        /// The request, which is over with this.
+        /// The request, which ends with this action.
         request: id::Request,
         /// The result.
         code: Code,
-        /// When it makes sense to come back.
+        /// Delay after which the caller may retry, if a retry makes sense.
         retry_after: Option<Duration>,
     },
     /// Ask the owner of a key whether the request may run.
@@ -65,8 +65,8 @@
         /// The key.
         key: id::IdempotencyKey,
     },
-    /// Tell the owner of a key what became of the request. If `attempt` is given, its answer is
-    /// kept for repeats.
+    /// Report the outcome of a request to the owner of its key, which stores the answer of a
+    /// request that ran for repeats.
     Settle {
         /// The request.
         request: id::Request,
@@ -74,26 +74,26 @@
         service: id::Service,
         /// The key.
         key: id::IdempotencyKey,
-        /// Whether it ran.
+        /// Whether the request ran.
         settled: Settled,
     },
-    /// Tell the other entries that a backend server is leaving.
+    /// Announce to the other entries that a backend server is leaving.
     Announce {
         /// The instance.
         instance: id::Instance,
-        /// Which life of it.
+        /// Its incarnation.
         incarnation: id::Incarnation,
     },
     /// Write a log event.
     Note {
         /// The event.
         event: Event,
-        /// The instance or service that it is about.
+        /// The instance or service that the event concerns.
         subject: id::Instance,
     },
 }
 
-/// What became of a keyed request.
+/// Outcome of a request with a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Settled {
     /// It ran, and this attempt has the answer.
@@ -101,7 +101,7 @@
         /// The attempt.
         attempt: Attempt,
     },
-    /// It surely did not run.
+    /// It certainly did not run.
     NotRun,
     /// It may have run.
     Unknown,
--- a/crates/routing/src/admit.rs
+++ b/crates/routing/src/admit.rs
@@ -1,25 +1,25 @@
-//! Which class may take a slot: paying requests always, trials up to the reserve, batch up to a
-//! larger one.
+//! Admission by class: paying requests are always admitted, trials up to the reserve, and batch up
+//! to a larger reserve.
 
 use cowslipchute_base::class::Class;
 use cowslipchute_base::code::Code;
 
-/// Thousandths of the slots that batch leaves free beyond the reserve, so that it gives way to
-/// trials before trials give way to paying requests.
+/// Thousandths of the slots that batch leaves free beyond the reserve, so that it is refused before
+/// trials are.
 const BATCH_MARGIN_PERMILLE: u64 = 100;
 
-/// How far this entry's share of a pool is taken.
+/// Use of this entry's share of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
     /// The share, in thousandths of a slot.
     pub slots_milli: u64,
-    /// Attempts in flight there.
+    /// Attempts in flight within the share.
     pub in_flight: u64,
-    /// Whether a request of an earlier class waits.
+    /// Whether a request of a higher class waits.
     pub has_higher_waiting: bool,
 }
 
-/// Tells whether a request of a class may take one more slot.
+/// Returns `true` if a request of `class` may take one more slot.
 pub fn admits(class: Class, load: Load, reserve_permille: u16) -> bool {
     let reserve = match class {
         Class::Paying => return true,
@@ -31,7 +31,7 @@
     !load.has_higher_waiting && (load.in_flight + 1) * 1000 <= open_milli
 }
 
-/// Returns the code for a request of a class that is refused so that others are served.
+/// Returns the code for a request that is shed in favour of others.
 pub fn shed(class: Class) -> Code {
     match class {
         Class::Paying => Code::QueueFull,
--- a/crates/routing/src/arrival.rs
+++ b/crates/routing/src/arrival.rs
@@ -1,4 +1,4 @@
-//! Takes in services and requests, and answers at once what can't be served.
+//! Handles service declarations and arriving requests, and refuses requests that can't be served.
 
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
 use crate::timer::Timer;
 
 impl Router {
-    /// Puts a declaration in force.
+    /// Adds a declared service or updates its declaration.
     pub(crate) fn declare(&mut self, name: id::Service, spec: Arc<Spec>) {
         self.is_ready = true;
         let backing = match &spec.backends_of {
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Ends a declaration: what waits is answered at once, what runs goes on.
+    /// Removes the declaration of a service; answers its waiting requests and lets running ones
+    /// finish.
     pub(crate) fn withdraw(&mut self, name: &id::Service, step: &mut Step<'_>) {
         let Some(service) = self.service_ids.remove(name) else { return };
         self.services[service].declared = false;
@@ -59,7 +60,7 @@
         self.remove_unused_service(service);
     }
 
-    /// Finds the pool of a name, or opens it.
+    /// Returns the pool of a service name; creates it if there is none.
     pub(crate) fn pool_id(&mut self, name: &id::Service) -> Id<Pool> {
         if let Some(&pool) = self.pool_ids.get(name) {
             return pool;
@@ -69,7 +70,7 @@
         pool
     }
 
-    /// Takes in a request.
+    /// Handles the arrival of a request.
     pub(crate) fn arrived(&mut self, number: id::Request, arrival: Arrival, step: &mut Step<'_>) {
         match self.admit(number, arrival, step.now) {
             Ok(request) => self.begin(request, step),
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Checks what doesn't depend on load, and stores the request.
+    /// Applies the checks that don't depend on load of the backend servers, and stores the request.
     fn admit(
         &mut self,
         number: id::Request,
@@ -130,7 +131,7 @@
         Ok(id)
     }
 
-    /// Claims the key of a request that has one, or places the request.
+    /// Claims the request's key, or dispatches a request without one.
     fn begin(&mut self, id: Id<Request>, step: &mut Step<'_>) {
         let request = &self.requests[id];
         if self.pools[request.pool].usable() == 0 {
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Asks the owner of a request's key whether it may run.
+    /// Asks the owner of the key whether the request may run.
     fn claim(&mut self, id: Id<Request>, key: id::IdempotencyKey, step: &mut Step<'_>) {
         let request = &self.requests[id];
         let service = self.services[request.service].name.clone();
@@ -156,7 +157,7 @@
         request.stage = Stage::Claiming(request.take_idle().claim());
     }
 
-    /// Acts on the verdict of a key's owner.
+    /// Handles the answer of a key's owner.
     pub(crate) fn claimed(&mut self, number: id::Request, verdict: Claimed, step: &mut Step<'_>) {
         let Some(&id) = self.request_ids.get(&number) else {
             self.orphan_claimed(number, &verdict, step);
@@ -184,7 +185,7 @@
         self.finish(id, end, step);
     }
 
-    /// Frees a key that was granted to a request which was already over.
+    /// Releases a key that was granted to a request which has already ended.
     fn orphan_claimed(&mut self, number: id::Request, verdict: &Claimed, step: &mut Step<'_>) {
         let Some(orphan) = self.ended_claims.remove(&number) else { return };
         if *verdict != Claimed::Granted {
@@ -198,14 +199,14 @@
         });
     }
 
-    /// Gives up on a request whose caller went away.
+    /// Finishes a request whose caller disconnected.
     pub(crate) fn abandoned(&mut self, number: id::Request, step: &mut Step<'_>) {
         let Some(&id) = self.request_ids.get(&number) else { return };
         self.finish(id, End::Abandoned, step);
     }
 
-    /// Returns the thousandths of a pool's slots that only paying requests may take: the paying
-    /// service says so, or the request's own where that service isn't declared.
+    /// Returns the thousandths of a pool's slots that are reserved for paying requests. The service
+    /// that owns the pool sets them, or the request's own service if that one isn't declared.
     pub(crate) fn reserve_permille(&self, request: &Request) -> u16 {
         if request.class == Class::Paying {
             return 0;
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight, and a short memory of those that were given up.
+//! Attempts in flight, and the backend servers of recently cancelled ones.
 
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 use crate::event::Attempt;
 use crate::request::Request;
 
-/// Given-up attempts whose backend servers are remembered; a power of two.
+/// Number of cancelled attempts whose backend servers are remembered; a power of two.
 const GIVEN_UP: usize = 1024;
 
 /// One attempt in flight.
@@ -19,21 +19,21 @@
     pub request: Id<Request>,
     /// Its backend server.
     pub backend: Id<Backend>,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent: Time,
-    /// Whether the backend server had no room left beside it.
+    /// Whether it took the last free slot of the backend server.
     pub at_limit: bool,
 }
 
-/// A given-up attempt.
+/// A cancelled attempt.
 #[derive(Clone, Copy, Debug)]
 struct GivenUp {
     attempt: Attempt,
     backend: Id<Backend>,
 }
 
-/// All attempts of one router, by number. A number is never given twice, so an ending can't be
-/// taken for that of another attempt.
+/// All attempts of one router by number. Numbers are never reused, so that an ending can't be
+/// attributed to another attempt.
 #[derive(Debug)]
 pub struct Attempts {
     last: Attempt,
@@ -48,19 +48,19 @@
 }
 
 impl Attempts {
-    /// Begins an attempt and numbers it.
+    /// Adds an attempt and returns its number.
     pub fn begin(&mut self, attempt: InFlight) -> Attempt {
         self.last += 1;
         self.in_flight.insert(self.last, attempt);
         self.last
     }
 
-    /// Takes out an attempt that ended; nothing, if it was given up or never begun.
+    /// Removes and returns an attempt that ended, or `None` if it was cancelled or never started.
     pub fn end(&mut self, attempt: Attempt) -> Option<InFlight> {
         self.in_flight.remove(&attempt)
     }
 
-    /// Takes out an attempt whose ending isn't waited for any more.
+    /// Removes and returns an attempt whose ending is no longer needed.
     pub fn cancel(&mut self, attempt: Attempt) -> InFlight {
         let ended = self.end(attempt).expect("an attempt is given up while it is in flight");
         let slot = attempt as usize % GIVEN_UP;
@@ -68,13 +68,13 @@
         ended
     }
 
-    /// Finds the backend server of a given-up attempt, if that is still remembered.
+    /// Returns the backend server of a cancelled attempt, if it is still remembered.
     pub fn cancelled_backend(&self, attempt: Attempt) -> Option<Id<Backend>> {
         let slot = attempt as usize % GIVEN_UP;
         self.given_up[slot].filter(|known| known.attempt == attempt).map(|known| known.backend)
     }
 
-    /// Tells whether the number was ever given.
+    /// Returns `true` if the number was ever issued.
     pub fn was_issued(&self, attempt: Attempt) -> bool {
         (1..=self.last).contains(&attempt)
     }
--- a/crates/routing/src/backend.rs
+++ b/crates/routing/src/backend.rs
@@ -1,4 +1,4 @@
-//! One life of a backend server, as this entry sees it.
+//! State that this entry keeps for one incarnation of a backend server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,48 +15,48 @@
 use crate::limit::Limit;
 use crate::pool::Pool;
 
-/// How much more than its usual latency a backend server may stay silent before it is avoided.
+/// Multiple of its expected latency for which a backend server may be silent before it is avoided.
 const SILENCE: f64 = 3.0;
 
-/// Whether an instance takes new requests.
+/// Availability of a backend server for new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
     /// Takes new requests.
     Live,
-    /// Finishes what it has.
+    /// Finishes its requests and takes no new ones.
     Leaving,
-    /// Is listed no more; goes with its last attempt.
+    /// Is no longer listed; removed with its last attempt.
     Gone,
 }
 
-/// Where a pool holds a backend server that can take a request now.
+/// Index of a backend server in the lists of its locality.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Position {
-    /// Nowhere: it is full, ejected, leaving or gone.
+    /// In no list: it is full, ejected, leaving or gone.
     None,
-    /// Among those with room.
+    /// In the list of those with free capacity.
     Ready(usize),
-    /// Among those that want one request to show that they answer.
+    /// In the list of those to be probed.
     Probe(usize),
 }
 
-/// What a backend server adds to its pool's sums at the moment.
+/// Capacity and use of a backend server, or the sums over a locality.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// This entry's share of its slots, in thousandths.
+    /// This entry's share of the slots, in thousandths of a slot.
     pub slots_milli: u64,
     /// Attempts in flight within that share.
     pub in_flight: u64,
-    /// One, if it may get a request now or when its attempts have ended.
+    /// Backend servers that can take a request now or when an attempt in flight ends.
     pub usable: usize,
 }
 
-/// One life of a backend server.
+/// One incarnation of a backend server.
 #[derive(Debug)]
 pub struct Backend {
     /// Its name.
     pub instance: id::Instance,
-    /// Which life of that name.
+    /// Its incarnation.
     pub incarnation: id::Incarnation,
     /// Its address.
     pub address: SocketAddr,
@@ -66,30 +66,30 @@
     pub is_local: bool,
     /// Whether it takes new requests.
     pub presence: Presence,
-    /// This entry's share of its connections, which bounds attempts in flight at any time.
+    /// This entry's share of its connections, an upper bound of its attempts in flight.
     pub connections: u32,
-    /// This entry's share of its slots, in thousandths.
+    /// This entry's share of its slots, in thousandths of a slot.
     pub slots_milli: u32,
     /// Attempts in flight.
     pub in_flight: u32,
-    /// Whether it is to be trusted.
+    /// Its health, which may reduce its concurrency limit.
     pub health: Health,
     /// Its recent latency.
     pub latency: Latency,
-    /// Its adaptive limit.
+    /// Its adaptive concurrency limit.
     pub limit: Limit,
-    /// When it last answered, or had its first attempt in flight after having none.
+    /// Time of its last answer, or of the first attempt after it had none in flight, if later.
     pub last_progress: Time,
-    /// Where its pool holds it.
+    /// Its index in the lists of its locality.
     pub position: Position,
-    /// What it adds to its pool's sums.
+    /// The totals last added to those of its locality.
     pub counted: Totals,
-    /// The version of the list that last had it.
+    /// Version of the last membership list that contained it.
     pub version: u64,
 }
 
 impl Backend {
-    /// Opens a listed backend server.
+    /// Creates the state of a newly listed backend server.
     pub fn open(member: &list::Member, pool: Id<Pool>, is_local: bool, health: Health) -> Backend {
         Backend {
             instance: member.instance.clone(),
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Sets this entry's share; the adaptive limit starts at the whole of it.
+    /// Sets this entry's share and resets the adaptive limit to the whole share if it changed.
     pub fn set_share(&mut self, connections: u32, slots_milli: u32) {
         if self.connections == connections && self.slots_milli == slots_milli {
             return;
@@ -121,13 +121,13 @@
         self.limit = Limit::open(self.concurrency_max());
     }
 
-    /// Returns the attempts that it may ever have at once: the share of its slots, rounded up, and
-    /// never more than the share of its connections.
+    /// Returns the upper bound of concurrent attempts: the share of its slots rounded up, and at
+    /// most the share of its connections.
     pub fn concurrency_max(&self) -> u32 {
         self.slots_milli.div_ceil(1000).min(self.connections)
     }
 
-    /// Returns the attempts that it may have at once now.
+    /// Returns the number of concurrent attempts allowed now.
     pub fn concurrency_limit(&self, now: Time) -> u32 {
         if self.presence != Presence::Live {
             return 0;
@@ -135,7 +135,7 @@
         self.health.concurrency_limit(self.limit.attempts(self.concurrency_max()), now)
     }
 
-    /// Works out what it adds to its pool's sums.
+    /// Returns its current contribution to the totals of its locality.
     pub fn totals(&self, now: Time) -> Totals {
         if self.concurrency_limit(now) == 0 {
             return Totals::default();
@@ -151,11 +151,12 @@
         }
     }
 
-    /// Returns what a request sent now has to expect, weighed by what is in flight already.
+    /// Returns the expected latency of a request sent now, multiplied by the attempts in flight
+    /// including this one.
     ///
-    /// A backend server that has attempts in flight and stays silent far beyond its usual latency
-    /// counts as slow as its silence is long, so that a frozen one is avoided before any attempt
-    /// has ended.
+    /// If a backend server with attempts in flight is silent for far longer than its expected
+    /// latency, the length of its silence counts instead, so that a frozen one is avoided before
+    /// any attempt has ended.
     pub fn cost(&self, now: Time, typical: Typical) -> f64 {
         let mut expected = self.latency.expected(now, typical);
         if self.in_flight > 0 {
@@ -167,7 +168,7 @@
         expected.max(f64::MIN_POSITIVE) * f64::from(self.in_flight + 1)
     }
 
-    /// Returns how long it has had something to answer without doing so.
+    /// Returns the time since it last answered or became busy.
     pub fn silence(&self, now: Time) -> Duration {
         now.saturating_sub(self.last_progress)
     }
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -1,4 +1,4 @@
-//! How long to wait before a retry, and when a caller should come back.
+//! Delays before retries by this entry and by callers.
 
 use std::time::Duration;
 
@@ -7,17 +7,18 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// Longest wait before the second retry; doubles with each further one.
+/// Upper bound of the delay before the first delayed retry; doubles with each further retry.
 const BASE: Duration = Duration::from_millis(10);
-/// Longest wait before any retry.
+/// Upper bound of the delay before any retry.
 const MAX: Duration = Duration::from_millis(500);
-/// Shortest time after which a caller that was refused should come back.
+/// Minimum delay after which a refused caller should retry.
 const COME_BACK: Duration = Duration::from_secs(1);
 
-/// Draws the wait before the given retry, from one.
+/// Returns a random delay before the given retry, counted from one.
 ///
-/// The first goes at once if there is another backend server to go to; the others are spread
-/// evenly from zero to a doubling bound, so that failures that came together don't stay together.
+/// The first retry has no delay if there is an untried backend server. The others are delayed by a
+/// uniform random time up to a doubling bound, so that simultaneous failures aren't retried
+/// simultaneously.
 pub fn delay(retry: u8, is_elsewhere: bool, rng: &mut SmallRng) -> Duration {
     if retry <= 1 && is_elsewhere {
         return Duration::ZERO;
@@ -27,12 +28,12 @@
     Duration::from_micros(rng.random_range(0..=bound.as_micros() as u64))
 }
 
-/// Tells a caller when it makes sense to come back; never, if the same request would fail again or
-/// must not be repeated.
+/// Returns the delay after which a caller should retry, or `None` if the same request would fail
+/// again or must not be repeated.
 pub fn retry_after(code: Code, repeatable: bool, rng: &mut SmallRng) -> Option<Duration> {
     match code {
         Code::TrialShed | Code::BatchShed | Code::QueueFull | Code::QueueTimeout => {
-            // Spread, so that refused callers don't return as the wave they came in.
+            // The jitter keeps callers that were refused together from retrying together.
             Some(COME_BACK + Duration::from_millis(rng.random_range(0..=1000)))
         }
         Code::NoBackend | Code::Refused | Code::Stopping | Code::NotReady | Code::Busy => {
--- a/crates/routing/src/budget.rs
+++ b/crates/routing/src/budget.rs
@@ -1,12 +1,12 @@
-//! How many retries and hedges a service may spend, so that they never multiply an overload.
+//! Budget of retries and hedges of a service, which keeps them from amplifying an overload.
 
-/// Cost of one retry or hedge, in the thousandths that each request earns.
+/// Cost of one retry or hedge, in thousandths of a token.
 const COST: u32 = 1000;
-/// Retries and hedges that can be saved up for a burst of failures.
+/// Maximum number of tokens, for a burst of failures.
 const BURST: u32 = 20;
 
-/// A token bucket that is filled by requests, not by time: the share of extra attempts stays the
-/// same at any load.
+/// A token bucket that is filled by requests and not by time, so that the proportion of extra
+/// attempts is the same at any load.
 #[derive(Debug)]
 pub struct Budget {
     milli: u32,
@@ -14,13 +14,13 @@
 }
 
 impl Budget {
-    /// Opens a budget of so many extra attempts for each thousand requests, saved up in full.
+    /// Creates a full budget that earns `earned_permille` extra attempts per thousand requests.
     pub fn open(permille: u16) -> Budget {
         let permille = u32::from(permille);
         Budget { milli: if permille == 0 { 0 } else { BURST * COST }, permille }
     }
 
-    /// Changes the share and keeps what is saved up.
+    /// Changes the extra attempts per thousand requests; keeps the tokens unless it is zero.
     pub fn set_permille(&mut self, permille: u16) {
         self.permille = u32::from(permille);
         if permille == 0 {
@@ -28,12 +28,12 @@
         }
     }
 
-    /// Earns the share of one request.
+    /// Adds the tokens earned by one request.
     pub fn earn(&mut self) {
         self.milli = (self.milli + self.permille).min(BURST * COST);
     }
 
-    /// Spends one extra attempt, or tells that none is left.
+    /// Takes the token of one extra attempt; returns `false` if none is left.
     pub fn spend(&mut self) -> bool {
         if self.milli < COST {
             return false;
@@ -42,7 +42,8 @@
         true
     }
 
-    /// Tells whether over half of the burst is left, so that hedges leave enough for retries.
+    /// Returns `true` if more than half of the maximum is left, so that hedges leave tokens for
+    /// retries.
     pub fn allows_hedge(&self) -> bool {
         self.milli > BURST * COST / 2
     }
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -1,5 +1,5 @@
-//! Which backend server gets a request: the better of two that are drawn by lot from those with
-//! room, so that no entry herds onto the one that looks best.
+//! Choice of a backend server: the better of two random ones with free capacity, so that entries
+//! don't all send to the one that looks best.
 
 use cowslipchute_base::entity::Id;
 use cowslipchute_base::entity::Table;
@@ -11,7 +11,7 @@
 use crate::latency::Typical;
 use crate::pool::Locality;
 
-/// Two random draws, for the two candidates.
+/// Two random numbers, one per candidate.
 #[derive(Clone, Copy, Debug)]
 pub struct Draw {
     first: u32,
@@ -19,28 +19,28 @@
 }
 
 impl Draw {
-    /// Draws.
+    /// Draws both numbers.
     pub fn sample(rng: &mut SmallRng) -> Draw {
         Draw { first: rng.random(), second: rng.random() }
     }
 }
 
-/// What is asked for.
+/// Criteria of a choice.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria<'a> {
-    /// The random draws.
+    /// The random numbers.
     pub draw: Draw,
     /// The time.
     pub now: Time,
-    /// The usual latency.
+    /// The pool's typical latency.
     pub typical: Typical,
-    /// Backend servers that were tried already.
+    /// Backend servers that must not be chosen.
     pub exclude: &'a [Id<Backend>],
-    /// Whether a backend server may be tried out that was ejected.
+    /// Whether a risky backend server may be probed with the request.
     pub may_probe: bool,
 }
 
-/// Chooses within one side of a pool.
+/// Chooses a backend server within one locality of a pool.
 pub fn choose(
     side: &Locality,
     wish: Criteria<'_>,
@@ -49,7 +49,7 @@
     probe(side, wish, backends).or_else(|| better_of_two(side, wish, backends))
 }
 
-/// Finds a backend server that wants one request to show that it answers.
+/// Returns a backend server that is to be probed with one request.
 fn probe(side: &Locality, wish: Criteria<'_>, backends: &Table<Backend>) -> Option<Id<Backend>> {
     let fits = |id: &Id<Backend>| {
         !wish.exclude.contains(id) && (wish.may_probe || !backends[*id].health.is_risky(wish.now))
@@ -83,7 +83,7 @@
     ((u64::from(draw) * count as u64) >> u32::BITS) as usize
 }
 
-/// Finds the first that fits from a place on, going round.
+/// Returns the first backend server at or cyclically after `start` for which `fits` holds.
 fn next_from(
     ready: &[Id<Backend>],
     place: usize,
--- a/crates/routing/src/cooldown.rs
+++ b/crates/routing/src/cooldown.rs
@@ -1,20 +1,20 @@
-//! Keeps a log event that could come with every request down to one in a while.
+//! Rate limit of a log event that could otherwise be written for every request.
 
 use std::time::Duration;
 
 use cowslipchute_base::id::Time;
 
-/// Time between two log events of the same cause.
+/// Minimum time between two log events of the same cause.
 const EVERY: Duration = Duration::from_secs(10);
 
-/// When something was last noted.
+/// Time of the last log event of one cause.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cooldown {
     last: Option<Time>,
 }
 
 impl Cooldown {
-    /// Tells whether it is to be noted now, and takes it as noted.
+    /// Starts a new interval and returns `true`, unless the last one hasn't passed yet.
     pub fn start(&mut self, now: Time) -> bool {
         if self.last.is_some_and(|last| now.saturating_sub(last) < EVERY) {
             return false;
--- a/crates/routing/src/eject.rs
+++ b/crates/routing/src/eject.rs
@@ -1,94 +1,98 @@
-//! Whether a backend server is to be trusted: ejection on failures and slowness, probing by one
-//! request at a time, and a slow start afterwards.
+//! Outlier ejection of backend servers: ejection on failures and slowness, probing with one request
+//! at a time, and a slow start afterwards.
 
 use std::time::Duration;
 
 use cowslipchute_base::id::Time;
 
-/// Failures in a row after which a backend server is ejected.
+/// Number of consecutive failures after which a backend server is ejected.
 const STREAK_MAX: u32 = 4;
-/// Slow answers in a row after which a backend server is ejected.
+/// Number of consecutive slow answers after which a backend server is ejected.
 const SLOW_MAX: u32 = 5;
-/// Share of failures above which a backend server is ejected.
+/// Failure rate above which a backend server is ejected.
 const RATE_MAX: f32 = 0.5;
-/// Endings needed before the share of failures counts.
+/// Minimum number of endings before the failure rate counts.
 const SAMPLES_MIN: u32 = 10;
-/// Weight of one ending in the share of failures of a backend server.
+/// Weight of one ending in the failure rate of a backend server.
 const WEIGHT: f32 = 0.1;
-/// Weight of one ending in the share of failures of a pool.
+/// Weight of one ending in the failure rate of a pool.
 const WEIGHT_POOL: f32 = 0.02;
-/// How often above the pool's own share of failures a backend server must fail.
+/// Multiple of the pool's failure rate that a backend server must exceed to be ejected.
 const FACTOR: f32 = 2.0;
-/// How long the first ejection lasts; doubles each time that the probes fail.
+/// Duration of the first ejection; doubles with each further one until the backend server is
+/// restored.
 const EJECTION: Duration = Duration::from_secs(1);
-/// The same for a backend server that can't be reached, where no request is put at risk by trying.
+/// Duration of the first ejection of an unreachable backend server, which can be probed without
+/// risk to a request.
 const EJECTION_UNREACHABLE: Duration = Duration::from_millis(250);
-/// Doublings of the ejection at most.
+/// Maximum number of doublings of the ejection time.
 const DOUBLINGS_MAX: u32 = 5;
-/// Answers in a row that end the probing of an ejected backend server.
+/// Consecutive successful probes that end the probing of an ejected backend server.
 const PROBES: u8 = 2;
-/// How long requests that must not be repeated are kept from a harmful backend server's probing.
+/// Time for which a backend server ejected for failures isn't probed with requests that must not be
+/// repeated.
 const DOUBT: Duration = Duration::from_secs(1);
-/// How long a slow start takes.
+/// Duration of a slow start.
 const RAMP: Duration = Duration::from_secs(2);
-/// Thousandths of a pool, and one of two, that may be ejected for anything but being out of reach.
+/// Maximum thousandths of a pool, but at least one of several backend servers, ejected for reasons
+/// other than being unreachable.
 const EJECTED_PERMILLE: usize = 340;
 
-/// What an ending says about the backend server.
+/// Health signal of a backend server, derived from the ending of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// It answered well.
+    /// A successful answer.
     Success,
-    /// It answered well, but far slower than its kind.
+    /// A successful answer, far slower than is typical of the pool.
     Slow,
-    /// It failed.
+    /// A failure.
     Failure,
-    /// It can't be reached, which no request can be the cause of.
+    /// A failed connection, which can't be caused by the request.
     Unreachable,
 }
 
-/// Where a backend server stands.
+/// Ejection status of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Takes its full share.
+    /// Takes its full share of requests.
     Healthy,
-    /// Takes a share that grows with time.
+    /// Takes a share of requests that grows with time.
     SlowStart {
-        /// Since when.
+        /// Start of the status.
         since: Time,
     },
     /// Takes one request at a time.
     Probing {
-        /// Answers that are still needed.
+        /// Number of successful probes still needed.
         needed: u8,
-        /// Since when.
+        /// Start of the status.
         since: Time,
     },
     /// Takes no requests.
     Ejected {
-        /// Until then.
+        /// End of the ejection.
         until: Time,
     },
 }
 
-/// The failures of a whole pool, against which one backend server's are held.
+/// Failure rate of a whole pool, to which those of its backend servers are compared.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Failures {
     rate: f32,
-    /// Backend servers that are listed and not leaving.
+    /// Number of backend servers that are listed and not leaving.
     pub listed: usize,
-    /// Those of them that are ejected.
+    /// Number of them that are ejected.
     pub ejected: usize,
 }
 
 impl Failures {
-    /// Takes in the ending of one attempt.
+    /// Records the signal of one attempt.
     pub fn observe(&mut self, sign: Signal) {
         let sample = if matches!(sign, Signal::Failure | Signal::Unreachable) { 1.0 } else { 0.0 };
         self.rate += WEIGHT_POOL * (sample - self.rate);
     }
 
-    /// Tells whether one more may be ejected.
+    /// Returns `true` if one more backend server may be ejected.
     fn has_room(&self) -> bool {
         let least = usize::from(self.listed > 1);
         let most = (self.listed * EJECTED_PERMILLE / 1000).max(least);
@@ -96,14 +100,14 @@
     }
 }
 
-/// One backend server's standing and what it rests on.
+/// Ejection status of one backend server and the statistics behind it.
 #[derive(Clone, Copy, Debug)]
 pub struct Health {
     standing: Status,
     streak: u32,
     unreachable: u32,
     slow: u32,
-    /// Whether it was ejected for more than being out of reach, and not restored since.
+    /// Whether it was ejected for another reason than being unreachable and not restored since.
     is_harmful: bool,
     rate: f32,
     samples: u32,
@@ -111,7 +115,7 @@
 }
 
 impl Health {
-    /// The health of a backend server that is taken at its word, because none is known better.
+    /// Returns the health of a backend server that takes requests without a probe.
     pub fn healthy() -> Health {
         Health {
             standing: Status::Healthy,
@@ -125,25 +129,25 @@
         }
     }
 
-    /// The health of a backend server that was just listed beside known ones.
+    /// Returns the health of a newly listed backend server that has to pass one probe.
     pub fn probing(now: Time) -> Health {
         Health { standing: Status::Probing { needed: 1, since: now }, ..Health::healthy() }
     }
 
-    /// Returns where the backend server stands.
+    /// Returns the ejection status.
     pub fn status(&self) -> Status {
         self.standing
     }
 
-    /// Tells whether a request that must not be repeated is better sent elsewhere: it was ejected
-    /// for what it did to requests and has not answered since. For a while only, because a service
-    /// may have no other requests to probe with.
+    /// Returns `true` if a request that must not be repeated should go elsewhere, because the
+    /// backend server was ejected for failures and is still being probed. Limited in time, because
+    /// a service may have no other requests to probe with.
     pub fn is_risky(&self, now: Time) -> bool {
         let Status::Probing { since, .. } = self.standing else { return false };
         self.is_harmful && now.saturating_sub(since) < DOUBT
     }
 
-    /// Returns the attempts that it may have at once, out of its full share.
+    /// Returns the number of concurrent attempts allowed, out of `full`.
     pub fn concurrency_limit(&self, full: u32, now: Time) -> u32 {
         match self.standing {
             Status::Healthy => full,
@@ -156,7 +160,7 @@
         }
     }
 
-    /// Takes in an ending and tells whether the backend server is to be ejected.
+    /// Records a signal and returns `true` if the backend server is to be ejected.
     pub fn observe(&mut self, sign: Signal, pool: &Failures) -> bool {
         let failed = matches!(sign, Signal::Failure | Signal::Unreachable);
         self.rate += WEIGHT * (if failed { 1.0 } else { 0.0 } - self.rate);
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Ejects the backend server and tells until when.
+    /// Ejects the backend server and returns the end of the ejection.
     pub fn eject(&mut self, sign: Signal, now: Time) -> Time {
         let first = if sign == Signal::Unreachable { EJECTION_UNREACHABLE } else { EJECTION };
         self.is_harmful |= sign != Signal::Unreachable;
@@ -194,12 +198,12 @@
         until
     }
 
-    /// Ends an ejection.
+    /// Ends an ejection and starts probing.
     pub fn probe(&mut self, now: Time) {
         self.standing = Status::Probing { needed: PROBES, since: now };
     }
 
-    /// Takes in a good answer while probing, and tells whether it was the last one needed.
+    /// Records a successful probe and returns `true` if it was the last one needed.
     pub fn probe_succeeded(&mut self, now: Time) -> bool {
         let Status::Probing { needed, since } = self.standing else { return false };
         if needed > 1 {
@@ -215,7 +219,8 @@
         true
     }
 
-    /// Ends a slow start that has lasted long enough, and tells whether it did.
+    /// Ends a slow start whose time has passed; returns `true` if that restored a backend server
+    /// that was ejected before.
     pub fn end_slow_start(&mut self, now: Time) -> bool {
         let Status::SlowStart { since } = self.standing else { return false };
         if now.saturating_sub(since) < RAMP {
--- a/crates/routing/src/ending.rs
+++ b/crates/routing/src/ending.rs
@@ -1,4 +1,5 @@
-//! What the ending of an attempt means: for its backend server, and for its request.
+//! Handles the endings of attempts: health of the backend server, and retry or answer of the
+//! request.
 
 use std::time::Duration;
 
@@ -24,20 +25,21 @@
 use crate::router::Step;
 use crate::timer::Timer;
 
-/// First status by which a backend server says that it failed.
+/// Lowest HTTP status that reports a failure of the backend server.
 const SERVER_ERROR: u16 = 500;
-/// How many times the usual latency a failure counts as, so that failing fast never looks good.
+/// Multiple of the typical latency as which a failure counts, so that a fast failure doesn't make a
+/// backend server look fast.
 const PENALTY: f64 = 5.0;
-/// How many times the usual latency of its pool makes an answer a slow one.
+/// Multiple of the pool's typical latency above which an answer is slow.
 const SLOW: f64 = 5.0;
-/// How many times the usual latency an attempt may take before giving it up counts as a failure of
-/// its backend server.
+/// Multiple of the pool's typical latency above which a cancelled attempt counts against its
+/// backend server.
 const OVERDUE: f64 = 3.0;
-/// Longest latency that a penalty stands for.
+/// Maximum latency that a failure counts as.
 const PENALTY_MAX: Duration = Duration::from_secs(60);
 
 impl Router {
-    /// Takes in the ending of an attempt.
+    /// Handles the ending of an attempt.
     pub(crate) fn ended(&mut self, attempt: Attempt, ending: Ending, step: &mut Step<'_>) {
         let Some(ended) = self.attempts.end(attempt) else {
             self.ended_late(attempt, ending, step);
@@ -65,8 +67,8 @@
         }
     }
 
-    /// Drops the ending of an attempt that was given up. Its request is over or has another
-    /// attempt; only what it says about the backend server is of use.
+    /// Drops the ending of a cancelled attempt, except for a report that the backend server is
+    /// leaving. Its request has ended or has another attempt.
     fn ended_late(&mut self, attempt: Attempt, ending: Ending, step: &mut Step<'_>) {
         if !self.attempts.was_issued(attempt) {
             return;
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Goes on with a request after an attempt that brought no answer.
+    /// Handles an attempt without an answer; retries the request unless another attempt runs.
     fn failed(
         &mut self,
         id: Id<Request>,
@@ -109,7 +111,8 @@
         request.stage = running.ended(attempt);
     }
 
-    /// Tries a request again if that is safe, paid for and can still succeed; else answers at once.
+    /// Retries a request if that is safe, within budget and before the deadline; otherwise finishes
+    /// it.
     fn retry(&mut self, id: Id<Request>, code: Code, step: &mut Step<'_>) {
         let Some(delay) = self.retry_delay(id, step) else {
             self.finish(id, End::Reply(code), step);
@@ -125,7 +128,7 @@
         self.timers.set(until, Timer::Retry(id));
     }
 
-    /// Pays for a retry and tells how long to wait before it; nothing, if there is to be none.
+    /// Takes a retry from the budget and returns its delay, or `None` if there is no retry.
     fn retry_delay(&mut self, id: Id<Request>, step: &mut Step<'_>) -> Option<Duration> {
         let request = &self.requests[id];
         let is_elsewhere = self.has_untried(request);
@@ -151,7 +154,7 @@
         None
     }
 
-    /// Gives up an attempt: its ending isn't waited for, and one that comes is dropped.
+    /// Cancels an attempt; an ending that arrives later is dropped.
     pub(crate) fn cancel(&mut self, attempt: Attempt, step: &mut Step<'_>) {
         let ended = self.attempts.cancel(attempt);
         step.act(Action::Cancel { attempt });
@@ -168,7 +171,7 @@
         self.release(&ended, step);
     }
 
-    /// Frees the place of an attempt at its backend server.
+    /// Frees the slot of an attempt at its backend server.
     fn release(&mut self, ended: &InFlight, step: &mut Step<'_>) {
         let backend = &mut self.backends[ended.backend];
         let pool = backend.pool;
@@ -182,9 +185,9 @@
         self.mark_changed(pool);
     }
 
-    /// Draws from an ending what it says about the backend server. One that is leaving isn't
-    /// chosen again, and what it does on its way out says nothing about the others; nor does an
-    /// attempt that was in flight while this process stood still.
+    /// Records an ending in the statistics of the backend server and its pool. Ignores those of
+    /// leaving backend servers, which say nothing about the others, and of attempts that were in
+    /// flight during a stall of this process.
     fn judge(&mut self, ended: &InFlight, ending: Ending, step: &mut Step<'_>) {
         let is_live = self.backends[ended.backend].presence == Presence::Live;
         if !is_live || ended.sent < self.stall_ended {
@@ -248,7 +251,7 @@
         self.weigh(id, sign, step);
     }
 
-    /// Weighs a sign against a backend server: it may be ejected, or pass its probing.
+    /// Records a health signal, which may eject or restore the backend server.
     fn weigh(&mut self, id: Id<Backend>, sign: Signal, step: &mut Step<'_>) {
         let backend = &mut self.backends[id];
         let pool = &mut self.pools[backend.pool];
--- a/crates/routing/src/event.rs
+++ b/crates/routing/src/event.rs
@@ -1,4 +1,4 @@
-//! What the router is told.
+//! Events that the router receives.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use cowslipchute_ports::peer;
 use cowslipchute_resource::service;
 
-/// Number of one attempt, unique within the router; never reused.
+/// Number of an attempt, never reused within a router.
 pub type Attempt = u64;
 
 /// A request as it arrives, without its body.
@@ -17,29 +17,29 @@
 pub struct Arrival {
     /// The service named by the caller.
     pub service: id::Service,
-    /// The class that the caller asks for, if it names one; never above the service's own.
+    /// The class that the caller asks for, if any; it can't be higher than the service's own.
     pub class: Option<Class>,
-    /// Whether running it twice is the same as running it once (GET, HEAD, OPTIONS, PUT, DELETE).
+    /// Whether it is idempotent (GET, HEAD, OPTIONS, PUT, DELETE).
     pub idempotent: bool,
     /// The caller's idempotency key, if it sent one.
     pub key: Option<id::IdempotencyKey>,
-    /// The time that the caller allows, if it names one.
+    /// The time limit set by the caller, if any.
     pub deadline: Option<Duration>,
 }
 
-/// How an attempt ended, as seen by whoever carried it.
+/// Ending of an attempt, as seen by the sender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// The whole answer is here.
+    /// The complete answer has arrived.
     Answered {
         /// Its HTTP status.
         status: u16,
-        /// Whether the backend server said that it is leaving.
+        /// Whether the backend server reported that it is leaving.
         leaving: bool,
     },
-    /// The backend server said that it did not run the request.
+    /// The backend server reported that it did not run the request.
     Refused {
-        /// Whether it said so because it is leaving.
+        /// Whether it refused because it is leaving.
         leaving: bool,
     },
     /// No byte of the request can have reached the backend server.
@@ -48,11 +48,11 @@
     Broken,
     /// The answer began and ended early.
     Truncated,
-    /// The answer is larger than may be held.
+    /// The answer exceeds the size limit.
     TooLarge,
 }
 
-/// What the router is told.
+/// An event for the router.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A service is in force, or its declaration changed.
@@ -67,47 +67,48 @@
         /// Its name.
         name: id::Service,
     },
-    /// The platform's list was read; an older version than the last is ignored.
+    /// The platform's membership list was read; one that isn't newer than the last is ignored.
     Listed {
         /// The list.
         view: list::View,
     },
-    /// An instance was heard to be leaving, before the list says so.
+    /// An instance was reported to be leaving, possibly before the list says so.
     Leaving {
         /// The instance.
         instance: id::Instance,
-        /// Which life of it.
+        /// Its incarnation.
         incarnation: id::Incarnation,
     },
     /// A caller's request arrived.
     Arrived {
-        /// Its number.
+        /// Number of the request.
         request: id::Request,
-        /// What it asks.
+        /// The request's properties.
         arrival: Arrival,
     },
-    /// The caller went away; no answer is wanted any more.
+    /// The caller disconnected; no answer is needed.
     Abandoned {
-        /// Its number.
+        /// Number of the request.
         request: id::Request,
     },
     /// An attempt ended.
     Ended {
-        /// The attempt, which may have been given up already.
+        /// The attempt, which may already be cancelled.
         attempt: Attempt,
         /// How it ended.
         ending: Ending,
     },
-    /// The owner of an idempotency key gave its verdict; a lost one is `NotOwner`.
+    /// The owner of an idempotency key answered a claim; a lost answer counts as that of an
+    /// instance that isn't the owner.
     Claimed {
         /// The request.
         request: id::Request,
-        /// The verdict.
+        /// The owner's answer.
         verdict: peer::Claimed,
     },
-    /// Time passed; something was due. To be told when [`next_due`](crate::router::Router::next_due)
-    /// is reached, however busy the process is, but after endings that are at hand.
+    /// A timer is due. To be sent when [`next_due`](crate::router::Router::next_due) is reached,
+    /// however busy the process is, but after the endings that have already arrived.
     Tick,
-    /// Take no new requests and finish those in progress.
+    /// Refuse new requests and finish those in progress.
     Drain,
 }
--- a/crates/routing/src/finish.rs
+++ b/crates/routing/src/finish.rs
@@ -1,4 +1,4 @@
-//! Ends requests: whatever the reason, with one final action and nothing left behind.
+//! Finishes requests, each with one final action and no state left behind.
 
 use cowslipchute_base::code::Code;
 use cowslipchute_base::code::Outcome;
@@ -18,21 +18,21 @@
 use crate::router::Step;
 use crate::service::Service;
 
-/// How a request ends.
+/// Reason and answer with which a request ends.
 #[derive(Debug)]
 pub(crate) enum End {
-    /// With the answer of this attempt.
+    /// The answer of this attempt.
     Forward(Attempt),
-    /// With the answer of an earlier run.
+    /// The stored answer of an earlier run.
     Replay(Answer),
-    /// With an answer of our own.
+    /// An answer made by this entry.
     Reply(Code),
-    /// Without any, because the caller went away.
+    /// No answer, because the caller disconnected.
     Abandoned,
 }
 
 impl Router {
-    /// Ends a request: gives up its other attempts, settles its key and answers.
+    /// Finishes a request: cancels its other attempts, settles its key and answers.
     pub(crate) fn finish(&mut self, id: Id<Request>, end: End, step: &mut Step<'_>) {
         if matches!(self.requests[id].stage, Stage::Queued(_)) {
             self.leave_queue(id);
@@ -57,8 +57,8 @@
         self.remove_unused_service(service);
     }
 
-    /// Tells the owner of the request's key what became of it, or remembers to do so when the
-    /// owner's verdict comes.
+    /// Reports the outcome to the owner of the request's key; if its claim is still open, that is
+    /// done when the owner answers.
     fn settle(&mut self, closed: &Closed, end: &End, step: &mut Step<'_>) {
         let request = &closed.request;
         let Some(key) = &request.key else { return };
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Drops a service that is not declared any more and has no request left.
+    /// Removes a service that is no longer declared and has no request left.
     pub(crate) fn remove_unused_service(&mut self, id: Id<Service>) {
         let is_over = |service: &Service| !service.declared && service.requests == 0;
         if self.services.get(id).is_some_and(is_over) {
@@ -99,7 +99,7 @@
 }
 
 impl Closed {
-    /// Returns what the owner of the request's key has to know.
+    /// Returns the outcome to report to the owner of the request's key.
     fn settled(&self, end: &End) -> Settled {
         let may_have_run =
             self.request.may_have_run.is_some() || !self.request.running().is_empty();
--- a/crates/routing/src/hedge.rs
+++ b/crates/routing/src/hedge.rs
@@ -1,21 +1,21 @@
-//! When an attempt is late: a running estimate of a service's 95th percentile of latency.
+//! Hedge delay: a running estimate of the 95th percentile of a service's latency.
 
 use std::time::Duration;
 
-/// Parts of each doubling of latency that are told apart.
+/// Number of buckets per doubling of latency; a power of two.
 const PARTS: u32 = 4;
-/// Buckets, which reach past an hour in microseconds.
+/// Number of buckets; the range exceeds one hour.
 const BUCKETS: usize = 160;
-/// Samples after which every count is halved, so that old samples fade.
+/// Number of samples at which all counts are halved, so that old samples decay.
 const FADE: u32 = 4096;
-/// Samples needed before the estimate is used.
+/// Minimum number of samples before there is an estimate.
 const SAMPLES_MIN: u32 = 50;
-/// Samples between two readings of the estimate.
+/// Number of samples between two updates of the estimate.
 const STRIDE: u32 = 32;
-/// The share of latencies, in thousandths, below the estimate.
+/// Quantile that is estimated, in thousandths.
 const QUANTILE_PERMILLE: u32 = 950;
 
-/// A fading histogram of latencies in buckets that widen with latency.
+/// A decaying histogram of latencies with exponentially growing buckets.
 #[derive(Debug)]
 pub struct Histogram {
     counts: [u32; BUCKETS],
@@ -31,7 +31,7 @@
 }
 
 impl Histogram {
-    /// Takes in the latency of one answer.
+    /// Records the latency of one answer.
     pub fn observe(&mut self, latency: Duration) {
         self.counts[bucket(latency)] += 1;
         self.total += 1;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Returns the latency after which an attempt is late, once enough is known.
+    /// Returns the latency after which an attempt is hedged, once there are enough samples.
     pub fn delay(&self) -> Option<Duration> {
         self.estimate
     }
@@ -78,7 +78,7 @@
     (index as usize).min(BUCKETS - 1)
 }
 
-/// The least latency above a bucket.
+/// Returns the exclusive upper bound of a bucket.
 fn upper(index: usize) -> Duration {
     let index = index as u32 + 1;
     let micros = u64::from(PARTS + index % PARTS) << (index / PARTS);
--- a/crates/routing/src/leaving.rs
+++ b/crates/routing/src/leaving.rs
@@ -1,14 +1,14 @@
-//! Instances that were heard to be leaving before the list says so.
+//! Instances that were reported to be leaving before the membership list says so.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
 
 use cowslipchute_base::id;
 
-/// Instances that are remembered at most; the list has caught up with older ones long since.
+/// Maximum number of remembered instances; the list already shows older ones as leaving.
 const HEARD_MAX: usize = 4096;
 
-/// Which life of which instance is leaving. Another life of the same name is not.
+/// Leaving instances with the incarnation that is leaving; later incarnations are not.
 #[derive(Debug, Default)]
 pub struct Instances {
     lives: HashMap<id::Instance, id::Incarnation>,
@@ -16,7 +16,7 @@
 }
 
 impl Instances {
-    /// Remembers that a life of an instance is leaving; an older one than known changes nothing.
+    /// Adds the leaving incarnation of an instance; an older one than known is ignored.
     pub fn insert(&mut self, instance: &id::Instance, incarnation: id::Incarnation) {
         if let Some(known) = self.lives.get_mut(instance) {
             *known = incarnation.max(*known);
@@ -30,7 +30,7 @@
         self.lives.insert(instance.clone(), incarnation);
     }
 
-    /// Tells whether that life was heard to be leaving, or is older than one that was.
+    /// Returns `true` if this incarnation or a later one was reported to be leaving.
     pub fn contains(&self, instance: &id::Instance, incarnation: id::Incarnation) -> bool {
         self.lives.get(instance).is_some_and(|&heard| incarnation <= heard)
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,15 +1,14 @@
-//! Decisions about requests at one entry instance: which backend server, when, how often, and what
-//! the caller is told when it comes to nothing.
+//! Decisions about requests at one entry instance: which backend server, when, how often, and the
+//! answer to the caller when no backend server gives one.
 //!
-//! [`router::Router`] has one door: an [`event::Event`] and the time go in, [`action::Action`]s
-//! come out. It does no I/O, reads no clock and draws randomness only from its seed, so the entry
-//! process, the scenario files, the property tests and the measurements all drive the same code.
-//! It never sees a body; it knows attempts by number. `docs/design/requests.md` gives the reasons.
+//! [`router::Router`] takes an [`event::Event`] and the time and returns [`action::Action`]s. It
+//! does no I/O, reads no clock and draws randomness only from its seed, so that the entry process,
+//! the scenario files, the property tests and the measurements all drive the same code. It never
+//! sees a body and knows attempts by number. `docs/design/requests.md` gives the reasons.
 //!
-//! A request comes in through `arrival`, is placed by `place`, and its attempts end in `ending`;
-//! `finish` makes its one final action. `membership` keeps the backend servers, `timeout` the timers.
-//! The other modules each hold one rule and know nothing of the router.
-
+//! `arrival` accepts requests, `place` sends or queues them, `ending` handles ended attempts, and
+//! `finish` emits the one final action of each request. `membership` tracks the backend servers and
+//! `timeout` fires timers. The other modules each implement one rule and don't use the router.
 pub mod action;
 mod admit;
 mod arrival;
--- a/crates/routing/src/limit.rs
+++ b/crates/routing/src/limit.rs
@@ -1,5 +1,5 @@
-//! How many attempts one backend server gets at once: lowered when its latency rises over its own
-//! least, raised again while it is used in full.
+//! Adaptive concurrency limit of a backend server, lowered when its latency rises above its minimum
+//! and raised while the limit is fully used.
 
 use std::time::Duration;
 
@@ -7,39 +7,39 @@
 
 /// Weight of one latency in the average.
 const WEIGHT: f64 = 0.03;
-/// Growth of the least average with each sample, so that a lasting change is accepted.
+/// Growth of the minimum with each sample, so that a lasting change of latency is accepted.
 const DRIFT: f64 = 1.001;
-/// The average may rise to this multiple of its least.
+/// Multiple of its minimum up to which the average may rise.
 const TOLERANCE: f64 = 2.5;
-/// Rise that is never held against a backend server, in seconds.
+/// Rise of the average that never lowers the limit, in seconds.
 const SLACK: f64 = 0.001;
-/// What the limit is multiplied by when latency has risen.
+/// Factor by which the limit is lowered.
 const DECREASE: f64 = 0.8;
-/// The limit at the least.
+/// Minimum of the limit.
 const FLOOR: f64 = 1.0;
 
-/// The adaptive limit of one backend server.
+/// The adaptive concurrency limit of one backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limit {
     value: f64,
     average: f64,
     least: f64,
-    /// No second decrease before the first can have shown its effect.
+    /// Time before which the limit isn't lowered again, so that a decrease can take effect.
     hold_until: Time,
 }
 
 impl Limit {
-    /// Opens a limit at its cap.
+    /// Creates a limit that starts at `cap`.
     pub fn open(cap: u32) -> Limit {
         Limit { value: f64::from(cap), average: 0.0, least: 0.0, hold_until: Time::ZERO }
     }
 
-    /// Returns the attempts allowed at once, within the cap.
+    /// Returns the number of concurrent attempts allowed, at most `cap`.
     pub fn attempts(&self, cap: u32) -> u32 {
         (self.value as u32).max(FLOOR as u32).min(cap)
     }
 
-    /// Takes in the latency of an answer; `full` tells whether the limit was used in full.
+    /// Records the latency of an answer; `full` is `true` if the limit was fully used.
     pub fn observe(&mut self, now: Time, latency: Duration, full: bool, cap: u32) {
         let sample = latency.as_secs_f64();
         if self.average == 0.0 {
@@ -55,14 +55,14 @@
         }
     }
 
-    /// The backend server said that it has no room, or was out of time.
+    /// Lowers the limit, because the backend server refused a request or its latency rose.
     pub fn decrease(&mut self, now: Time) {
         if now < self.hold_until {
             return;
         }
         if self.value <= FLOOR {
-            // Fewer attempts can't be the cure, so neither were they the cause: this is how fast
-            // the backend server is now.
+            // A single attempt at a time is slow too, so concurrency isn't the cause: this is the
+            // backend server's latency now.
             self.least = self.average;
         }
         self.value = (self.value * DECREASE).max(FLOOR);
--- a/crates/routing/src/membership.rs
+++ b/crates/routing/src/membership.rs
@@ -1,4 +1,5 @@
-//! Keeps the backend servers in step with the platform's list and with what is heard before it.
+//! Updates the backend servers from the platform's membership list and from reports of leaving
+//! instances, which may precede it.
 
 use std::collections::BTreeSet;
 
@@ -21,13 +22,13 @@
 use crate::share::Partition;
 
 impl Router {
-    /// Takes in a reading of the list; one that isn't newer changes nothing.
+    /// Applies a membership list; one that isn't newer than the last is ignored.
     pub(crate) fn apply_list(&mut self, view: &list::View, step: &mut Step<'_>) {
         if self.list_version.is_some_and(|known| view.version <= known) {
             return;
         }
         self.list_version = Some(view.version);
-        // A list without any declared service is an answer too: no service is in force.
+        // A list that arrives before any declaration means that no service is declared.
         self.is_ready = true;
         let home_entries = self.home_entries(view);
         for member in &view.members {
@@ -39,8 +40,8 @@
         self.drop_unused_pools();
     }
 
-    /// Counts the entries that share the own failure domain's slots. If the list has none of them,
-    /// all entries are taken to be spread evenly over the failure domains.
+    /// Returns the number of entries that share the slots of the local failure domain. If the list
+    /// has none of them, all entries are assumed to be spread evenly over the failure domains.
     fn home_entries(&self, view: &list::View) -> u16 {
         let is_peer = |member: &&list::Member| {
             member.role == list::Role::Entry
@@ -83,10 +84,10 @@
         self.mark_changed(pool);
     }
 
-    /// Finds a listed backend server, or opens it.
+    /// Returns a listed backend server; adds it if it is new.
     ///
-    /// The first of a pool are trusted, because there is no better one to send requests to; those
-    /// that join later have to show that they answer.
+    /// The first backend servers of a pool start healthy, because there are no others to send
+    /// requests to; those that join later have to pass a probe.
     fn backend_id(&mut self, member: &list::Member, version: u64, now: Time) -> Id<Backend> {
         let life = Identity { instance: member.instance.clone(), incarnation: member.incarnation };
         if let Some(&known) = self.backend_ids.get(&life) {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Drops pools that nothing refers to, so that services which come and go leave nothing behind.
+    /// Removes pools that nothing refers to, so that removed services leave no state behind.
     fn drop_unused_pools(&mut self) {
         let mut used = BTreeSet::new();
         used.extend(self.services.iter().map(|(_, service)| service.pool));
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Takes in that an instance is leaving, as told by a peer or seen by the entry.
+    /// Handles a report by a peer or by this entry process that an instance is leaving.
     pub(crate) fn notified_leaving(
         &mut self,
         instance: &id::Instance,
@@ -152,7 +153,8 @@
         }
     }
 
-    /// Takes in that a backend server itself said that it is leaving, and tells the other entries.
+    /// Handles a backend server's own report that it is leaving, and announces it to the other
+    /// entries.
     pub(crate) fn reported_leaving(&mut self, id: Id<Backend>, step: &mut Step<'_>) {
         let Some(backend) = self.backends.get(id) else { return };
         if backend.presence != Presence::Live {
@@ -166,7 +168,7 @@
         self.depart(id, Presence::Leaving, step);
     }
 
-    /// Takes a backend server out of choice; its attempts in flight go on.
+    /// Excludes a backend server from new requests; its attempts in flight continue.
     fn depart(&mut self, id: Id<Backend>, presence: Presence, step: &mut Step<'_>) {
         let backend = &mut self.backends[id];
         let pool_id = backend.pool;
@@ -182,7 +184,7 @@
         self.mark_changed(pool_id);
     }
 
-    /// Drops a backend server that is listed no more and has no attempt left.
+    /// Removes a backend server that is no longer listed and has no attempt left.
     pub(crate) fn remove_backend(&mut self, id: Id<Backend>) {
         let backend = self.backends.remove(id).expect("a backend server is dropped once");
         assert_eq!(backend.in_flight, 0, "attempts hold their backend server");
--- a/crates/routing/src/pick.rs
+++ b/crates/routing/src/pick.rs
@@ -1,4 +1,4 @@
-//! Chooses the backend server for a request: in which failure domain, and which to avoid.
+//! Chooses the failure domain and the backend server for a request.
 
 use cowslipchute_base::class::Class;
 use cowslipchute_base::entity::Id;
@@ -14,7 +14,7 @@
 use crate::router::Step;
 
 impl Router {
-    /// Chooses a backend server for a request, one that it has not tried if there is one.
+    /// Chooses a backend server for a request, preferring those that it has not tried.
     pub(crate) fn pick(&mut self, id: Id<Request>, step: &mut Step<'_>) -> Option<Id<Backend>> {
         let draw = Draw::sample(&mut self.rng);
         let request = &self.requests[id];
@@ -36,7 +36,7 @@
         found
     }
 
-    /// Tells whether a backend server is left that a request has not tried and may use.
+    /// Returns `true` if there is a backend server that the request may use and has not tried.
     pub(crate) fn has_untried(&self, request: &Request) -> bool {
         let pool = &self.pools[request.pool];
         let home = pool.local.totals.usable;
@@ -45,7 +45,7 @@
         usable > self.tried_usable(request, stays)
     }
 
-    /// Counts the usable backend servers that a request has tried.
+    /// Returns the number of usable backend servers that a request has tried.
     fn tried_usable(&self, request: &Request, at_home: bool) -> usize {
         let counts =
             |backend: &Backend| backend.counted.usable > 0 && (backend.is_local || !at_home);
@@ -54,7 +54,7 @@
         first_tries.filter(|(_, id)| self.backends.get(**id).is_some_and(counts)).count()
     }
 
-    /// Chooses among backend servers that were all tried, the last one only if there is no other.
+    /// Chooses among backend servers that were all tried; the last one only if there is no other.
     fn pick_again(&self, request: &Request, wish: Criteria<'_>) -> Option<Id<Backend>> {
         if self.has_untried(request) {
             return None;
@@ -65,8 +65,8 @@
         self.pick_wished(request, others).or_else(|| self.pick_wished(request, any))
     }
 
-    /// Chooses in the own failure domain first; in another one when the own is short, and once as
-    /// the last thing tried.
+    /// Chooses in the local failure domain first, and in a remote one when the local one lacks
+    /// capacity. The last attempt goes to a remote one if none was tried.
     fn pick_wished(&self, request: &Request, wish: Criteria<'_>) -> Option<Id<Backend>> {
         let pool = &self.pools[request.pool];
         let choose = |side| choice::choose(side, wish, &self.backends);
@@ -82,7 +82,7 @@
         second.or_else(|| if may_spill { choose(&pool.remote) } else { None })
     }
 
-    /// Keeps account of whether a pool's requests go to other failure domains.
+    /// Starts or stops the spilling of a pool's requests to remote failure domains.
     fn track_spill(&mut self, pool: Id<Pool>, backend: Id<Backend>, step: &mut Step<'_>) {
         let pool = &mut self.pools[pool];
         if self.backends[backend].is_local {
--- a/crates/routing/src/place.rs
+++ b/crates/routing/src/place.rs
@@ -1,4 +1,4 @@
-//! Places requests: sends them, or lets them wait, or refuses them so that others are served.
+//! Places requests: sends, queues or sheds them.
 
 use std::time::Duration;
 
@@ -22,17 +22,19 @@
 use crate::router::Step;
 use crate::timer::Timer;
 
-/// Retries that wait for a backend server which they have not tried and let others go first.
+/// Maximum number of queued retries that are bypassed because they wait for an untried backend
+/// server.
 const PASSED_MAX: usize = 8;
-/// The part of the reserve, one in so many, that hedges leave free.
+/// Divisor of the reserve; hedges leave the resulting fraction of it free.
 const HEDGE_SPARES: u16 = 3;
-/// The part of the usual latency that must be left for a request that has waited.
+/// Minimum time left for a request that has waited, as a multiple of the typical latency.
 const TOO_LATE: f64 = 0.5;
-/// How long a paying request waits for a slot before another failure domain is worth its distance.
+/// Time that a paying request waits for a slot before a remote failure domain is used despite its
+/// higher network latency.
 const SPILL_WAIT: Duration = Duration::from_millis(2);
 
 impl Router {
-    /// Places a request that is idle: it is sent, waits or is refused.
+    /// Sends, queues or refuses an idle request.
     pub(crate) fn dispatch(&mut self, id: Id<Request>, step: &mut Step<'_>) {
         let request = &self.requests[id];
         if step.now >= request.deadline {
@@ -69,7 +71,7 @@
         admit::admits(request.class, load, self.reserve_permille(request))
     }
 
-    /// Refuses a request so that others are served.
+    /// Refuses a request in favour of others.
     fn shed(&mut self, id: Id<Request>, step: &mut Step<'_>) {
         let request = &self.requests[id];
         let code = admit::shed(request.class);
@@ -80,7 +82,7 @@
         self.finish(id, End::Reply(code), step);
     }
 
-    /// Lets a request wait for a slot, if its queue has room.
+    /// Queues a request for a slot, if the queue of its service isn't full.
     fn wait(&mut self, id: Id<Request>, is_first: bool, step: &mut Step<'_>) {
         let request = &mut self.requests[id];
         let service = &mut self.services[request.service];
@@ -102,13 +104,13 @@
             self.timers.set(step.now + SPILL_WAIT, Timer::Spill(id));
         }
         if pool.queue.has_others(request.class) {
-            // Those before it may wait for a backend server that they have not tried.
+            // The requests before it may be waiting for an untried backend server.
             let pool = request.pool;
             self.mark_changed(pool);
         }
     }
 
-    /// Takes a request out of its queue.
+    /// Removes a request from its queue.
     pub(crate) fn leave_queue(&mut self, id: Id<Request>) {
         let request = &mut self.requests[id];
         let Stage::Queued(queued) = request.take_stage() else {
@@ -121,14 +123,14 @@
         service.queued -= 1;
     }
 
-    /// Sends a request that is idle, if a backend server has room.
+    /// Sends an idle request and returns `true`, if a backend server has a free slot.
     fn place(&mut self, id: Id<Request>, step: &mut Step<'_>) -> bool {
         let Some(backend) = self.pick(id, step) else { return false };
         self.send(id, backend, step);
         true
     }
 
-    /// Begins an attempt of an idle request.
+    /// Starts an attempt of an idle request.
     fn send(&mut self, id: Id<Request>, backend: Id<Backend>, step: &mut Step<'_>) {
         let attempt = self.begin_attempt(id, backend, step);
         let hedge_at = self.hedge_at(id, step.now);
@@ -175,7 +177,7 @@
         attempt
     }
 
-    /// Tells when a second attempt beside the first is worth its cost, if ever.
+    /// Returns the time at which to hedge the attempt sent now, if the request may be hedged.
     fn hedge_at(&self, id: Id<Request>, now: Time) -> Option<Time> {
         let request = &self.requests[id];
         let service = &self.services[request.service];
@@ -192,7 +194,7 @@
         (at < request.deadline).then_some(at)
     }
 
-    /// Sends a second attempt beside a late first one, if the budget and the load allow it.
+    /// Sends a hedge, if the budget and the load allow it.
     pub(crate) fn hedge(&mut self, id: Id<Request>, step: &mut Step<'_>) {
         let request = &self.requests[id];
         let is_rich = self.services[request.service].budget.allows_hedge();
@@ -214,8 +216,9 @@
         }
     }
 
-    /// Tells whether a hedge would only take what is to spare. It takes up to two thirds of the reserve:
-    /// trials leave the rest of the slots full at times, and paying requests still are to be hedged.
+    /// Returns `true` if there is spare capacity for a hedge. Hedges may use two thirds of the
+    /// reserve, because trials can fill all slots outside it and paying requests should still be
+    /// hedged then.
     fn has_spare(&self, request: &Request) -> bool {
         let sum = self.pools[request.pool].trial_locality().totals;
         let load = Load {
@@ -234,7 +237,7 @@
         }
     }
 
-    /// Places waiting requests wherever something has changed.
+    /// Places the waiting requests of all marked pools.
     pub(crate) fn place_waiting(&mut self, step: &mut Step<'_>) {
         while let Some(pool) = self.changed_pools.pop() {
             if self.pools.get(pool).is_none() {
@@ -246,16 +249,16 @@
         }
     }
 
-    /// Tells whether a request that has waited could not be answered in time any more, so that
-    /// sending it would only turn "not run" into "unknown".
+    /// Returns `true` if a request that has waited can't be answered before its deadline any more;
+    /// sending it would only change its outcome from "not run" to "unknown".
     fn is_too_late(&self, request: &Request, now: Time) -> bool {
         let left = request.deadline.saturating_sub(now);
         let usual = self.pools[request.pool].typical.seconds();
         left.is_zero() || left.as_secs_f64() < TOO_LATE * usual
     }
 
-    /// Places waiting requests of one class until one has to go on waiting; a few that only wait for
-    /// a backend server which they have not tried are passed over.
+    /// Places the waiting requests of one class until one has to continue waiting. Bypasses a few
+    /// retries that wait for an untried backend server.
     fn pump(&mut self, pool: Id<Pool>, class: Class, step: &mut Step<'_>) {
         let mut passed = 0;
         while let Some(id) = self.pools[pool].queue.nth(class, passed) {
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -1,4 +1,4 @@
-//! The backend servers of one service, which its trials share.
+//! Pool of the backend servers of one service, which its trial services share.
 
 use std::time::Duration;
 
@@ -15,34 +15,35 @@
 use crate::latency::Typical;
 use crate::queue::Queue;
 
-/// How long the own failure domain must have had room before requests stop going elsewhere.
+/// Time for which the local failure domain must have free capacity before spilling stops.
 const SPILL_HOLD: Duration = Duration::from_secs(1);
 
-/// The backend servers of a pool in the own failure domain, or in all others.
+/// The backend servers of a pool in the local failure domain, or in all remote ones.
 #[derive(Debug, Default)]
 pub struct Locality {
-    /// Those that have room, in no order that means anything.
+    /// Backend servers with free capacity, in arbitrary order.
     pub ready: Vec<Id<Backend>>,
-    /// Those that want one request to show that they answer.
+    /// Backend servers to be probed with one request.
     pub probes: Vec<Id<Backend>>,
     /// Sums over the backend servers.
     pub totals: Totals,
 }
 
-/// Whether requests go to other failure domains because the own one is short.
+/// Spilling of requests to remote failure domains while the local one lacks capacity.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Spill {
-    /// When the own failure domain was last short; none while requests stay in it.
+    /// Time at which the local failure domain last lacked capacity; `None` while not spilling.
     short: Option<Time>,
 }
 
 impl Spill {
-    /// The own failure domain is short; tells whether it wasn't before.
+    /// Starts or prolongs spilling; returns `true` if it was off.
     pub fn start(&mut self, now: Time) -> bool {
         self.short.replace(now).is_none()
     }
 
-    /// The own failure domain has room; tells whether it has had it for long enough to stop.
+    /// Stops spilling if the local failure domain has had free capacity for long enough; returns
+    /// `true` if it was stopped.
     pub fn stop(&mut self, now: Time) -> bool {
         let Some(short) = self.short else { return false };
         if now.saturating_sub(short) < SPILL_HOLD {
@@ -52,7 +53,7 @@
         true
     }
 
-    /// Tells whether requests may go to other failure domains.
+    /// Returns `true` if requests may go to remote failure domains.
     pub fn is_on(&self) -> bool {
         self.short.is_some()
     }
@@ -63,24 +64,24 @@
 pub struct Pool {
     /// Name of the service.
     pub name: id::Service,
-    /// Those in the own failure domain.
+    /// Backend servers in the local failure domain.
     pub local: Locality,
-    /// Those in the others.
+    /// Backend servers in remote failure domains.
     pub remote: Locality,
     /// Requests that wait for a slot.
     pub queue: Queue,
-    /// The usual latency.
+    /// Typical latency.
     pub typical: Typical,
-    /// The usual failures.
+    /// Failure rate of the pool.
     pub failures: Failures,
-    /// Whether requests go to other failure domains.
+    /// Spilling to remote failure domains.
     pub spill: Spill,
-    /// The version of the list with which the pool got its first backend servers.
+    /// Version of the membership list that had the pool's first backend servers.
     pub initial_version: Option<u64>,
 }
 
 impl Pool {
-    /// Opens a pool without backend servers.
+    /// Creates a pool without backend servers.
     pub fn open(name: id::Service) -> Pool {
         Pool {
             name,
@@ -94,17 +95,18 @@
         }
     }
 
-    /// Counts the backend servers that may get a request now or when their attempts have ended.
+    /// Returns the number of backend servers that can take a request now or when an attempt ends.
     pub fn usable(&self) -> usize {
         self.local.totals.usable + self.remote.totals.usable
     }
 
-    /// Returns the side that trials may use: the own failure domain, unless nothing is there.
+    /// Returns the locality that trials may use: the local one, unless it has no usable backend
+    /// server.
     pub fn trial_locality(&self) -> &Locality {
         if self.local.totals.usable > 0 { &self.local } else { &self.remote }
     }
 
-    /// Brings sums and places up to date after anything about a backend server has changed.
+    /// Updates totals and lists after a change of a backend server.
     pub fn refresh(&mut self, now: Time, id: Id<Backend>, backends: &mut Table<Backend>) {
         let backend = &mut backends[id];
         let portion = backend.totals(now);
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a slot, first come first served within a class.
+//! Queue of requests that wait for a slot, in order of arrival within a class.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 
 use crate::request::Request;
 
-/// Rank of a request's arrival; a retry keeps it and so goes before later arrivals.
+/// Sequence number of a request's arrival; a retry keeps it and goes before later arrivals.
 pub type Sequence = u64;
 
-/// The waiting requests of one pool. Their number is bounded by each service's own limit.
+/// The waiting requests of one pool. The limit of each service bounds their number.
 #[derive(Debug, Default)]
 pub struct Queue {
     paying: BTreeMap<Sequence, Id<Request>>,
@@ -33,23 +33,23 @@
         assert!(old.is_none(), "a request waits in one place");
     }
 
-    /// Takes a request out, wherever it stands.
+    /// Removes a request from any position.
     pub fn remove(&mut self, class: Class, rank: Sequence) {
         let old = self.of(class).remove(&rank);
         assert!(old.is_some(), "a waiting request is in its queue");
     }
 
-    /// Finds the request of a class that is next.
+    /// Returns the first request of a class.
     pub fn head(&self, class: Class) -> Option<Id<Request>> {
         self.nth(class, 0)
     }
 
-    /// Finds the request of a class before which so many others wait.
+    /// Returns the request of a class that has `before` others in front of it.
     pub fn nth(&self, class: Class, before: usize) -> Option<Id<Request>> {
         self.class(class).values().nth(before).copied()
     }
 
-    /// Tells whether more than one request of a class waits.
+    /// Returns `true` if more than one request of a class waits.
     pub fn has_others(&self, class: Class) -> bool {
         self.class(class).len() > 1
     }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Tells whether a request of that class or of one served before it waits.
+    /// Returns `true` if a request of `class` or of a higher class waits.
     pub fn has_waiting(&self, class: Class) -> bool {
         Class::ALL.into_iter().any(|other| other <= class && self.head(other).is_some())
     }
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -1,8 +1,8 @@
-//! The life of one request, from its arrival to its one final answer.
+//! State machine of one request, from its arrival to its one final answer.
 //!
-//! The states that a request passes through are types, and a step from one to the next takes the
-//! earlier one by value. A [`Request`] leaves its table by value when it is over, and only a
-//! [`Closed`] one can make a final action, so that a second final answer can't be written down.
+//! Each state is a type, and a transition consumes the previous state by value. A [`Request`] is
+//! moved out of its table when it ends, and only a [`Closed`] request can emit a final action, so
+//! that a second final answer doesn't compile.
 
 use cowslipchute_base::class::Class;
 use cowslipchute_base::code::Code;
@@ -18,89 +18,89 @@
 use crate::queue::Sequence;
 use crate::service::Service;
 
-/// Waits for the verdict of its key's owner; nothing was sent.
+/// State of a request that waits for the answer of its key's owner; nothing was sent.
 #[derive(Debug)]
 pub struct Claiming(());
 
-/// Waits for a slot.
+/// State of a request that waits for a slot.
 #[derive(Debug)]
 pub struct Queued {
-    /// When it has waited long enough.
+    /// End of the wait, at which the request is refused.
     pub until: Time,
 }
 
-/// Waits before its next attempt.
+/// State of a request that waits before a retry.
 #[derive(Debug)]
 pub struct Backoff {
-    /// When it is tried again.
+    /// Time of the retry.
     pub until: Time,
 }
 
-/// Has at least one attempt at a backend server.
+/// State of a request that has at least one attempt in flight.
 #[derive(Debug)]
 pub struct Running {
-    /// Its attempts that have not ended; two while it is hedged.
+    /// Attempts in flight; two while the request is hedged.
     pub attempts: SmallVec<[Attempt; 2]>,
-    /// When a second attempt is worth its cost, if it ever is.
+    /// Time at which to send a hedge, if the request may be hedged.
     pub hedge_at: Option<Time>,
 }
 
-/// Is between two states: it is being placed, and nothing of it runs or waits.
+/// State of a request that is being placed: it has no attempt in flight and isn't waiting.
 #[derive(Debug)]
 pub struct Idle(());
 
 impl Idle {
-    /// Begins to wait for the owner of the key.
+    /// Starts to wait for the owner of the key.
     pub fn claim(self) -> Claiming {
         Claiming(())
     }
 
-    /// Begins to wait for a slot.
+    /// Starts to wait for a slot.
     pub fn queue(self, until: Time) -> Queued {
         Queued { until }
     }
 
-    /// Begins to wait before a retry.
+    /// Starts to wait before a retry.
     pub fn back_off(self, until: Time) -> Backoff {
         Backoff { until }
     }
 
-    /// Begins an attempt.
+    /// Starts an attempt.
     pub fn send(self, attempt: Attempt, hedge_at: Option<Time>) -> Running {
         Running { attempts: SmallVec::from_slice(&[attempt]), hedge_at }
     }
 }
 
 impl Claiming {
-    /// The owner of the key allowed the run.
+    /// Ends the wait for the owner of the key.
     pub fn granted(self) -> Idle {
         Idle(())
     }
 }
 
 impl Queued {
-    /// A slot is free.
+    /// Ends the wait for a slot.
     pub fn leave(self) -> Idle {
         Idle(())
     }
 }
 
 impl Backoff {
-    /// The wait is over.
+    /// Ends the wait before a retry.
     pub fn leave(self) -> Idle {
         Idle(())
     }
 }
 
 impl Running {
-    /// Adds the one hedge.
+    /// Adds the attempt of a hedge.
     pub fn hedge(&mut self, attempt: Attempt) {
         assert_eq!(self.attempts.len(), 1, "a request is hedged once");
         self.attempts.push(attempt);
         self.hedge_at = None;
     }
 
-    /// Takes out an attempt that ended; without another, nothing of the request runs.
+    /// Removes an attempt that ended; the request becomes idle if it was the last one.
     pub fn ended(mut self, attempt: Attempt) -> Stage {
         self.attempts.retain(|other| *other != attempt);
         if self.attempts.is_empty() {
@@ -110,7 +110,7 @@
     }
 }
 
-/// Where a request is in its life.
+/// State of a request.
 #[derive(Debug)]
 pub enum Stage {
     /// See [`Idle`].
@@ -128,41 +128,41 @@
 /// A request without a final answer.
 #[derive(Debug)]
 pub struct Request {
-    /// Its number, as the entry process knows it.
+    /// Its number, given by the entry process.
     pub number: id::Request,
-    /// The service that it names.
+    /// The requested service.
     pub service: Id<Service>,
-    /// The backend servers that may answer.
+    /// The pool of backend servers that may answer.
     pub pool: Id<Pool>,
     /// Its class.
     pub class: Class,
-    /// Whether running it twice is the same as running it once.
+    /// Whether it is idempotent.
     pub idempotent: bool,
-    /// Its key, if it is one that must be claimed.
+    /// Its idempotency key, if that has to be claimed.
     pub key: Option<id::IdempotencyKey>,
-    /// Whether its key is claimed and has to be settled.
+    /// Whether its claim was granted and has to be settled.
     pub claimed: bool,
-    /// When its caller stops waiting.
+    /// Time at which its caller stops waiting.
     pub deadline: Time,
-    /// Rank of its arrival.
+    /// Sequence number of its arrival.
     pub sequence: Sequence,
     /// Attempts made, hedges included.
     pub attempts: u8,
     /// Whether it was hedged.
     pub hedged: bool,
-    /// Why it may have run, if an attempt that ended may have run it.
+    /// Code to report if an ended attempt may have run it.
     pub may_have_run: Option<Code>,
-    /// Why its last attempt did not run it.
+    /// Code of its last failed attempt.
     pub last_failure: Code,
-    /// The backend servers that were tried.
+    /// The backend server of each attempt, in order.
     pub tried: SmallVec<[Id<Backend>; 3]>,
-    /// Whether another failure domain was tried.
+    /// Whether a remote failure domain was tried.
     pub tried_remote: bool,
-    /// Where it is in its life.
+    /// Its state.
     pub stage: Stage,
 }
 
-/// A request that is over.
+/// A request that has ended.
 #[derive(Debug)]
 pub struct Closed {
     /// The request.
@@ -170,17 +170,17 @@
 }
 
 impl Request {
-    /// The stage of a request that has just arrived.
+    /// Returns the state of a request that has just arrived.
     pub fn arrived() -> Stage {
         Stage::Idle(Idle(()))
     }
 
-    /// Takes the stage out to move it on; the request is idle until the next stage is stored.
+    /// Takes the state for a transition; the request is idle until the next state is stored.
     pub fn take_stage(&mut self) -> Stage {
         std::mem::replace(&mut self.stage, Stage::Idle(Idle(())))
     }
 
-    /// Takes the stage of a request that is neither waiting nor running.
+    /// Takes the state of a request that must be idle.
     pub fn take_idle(&mut self) -> Idle {
         match self.take_stage() {
             Stage::Idle(idle) => idle,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Returns its attempts that have not ended.
+    /// Returns its attempts in flight.
     pub fn running(&self) -> &[Attempt] {
         match &self.stage {
             Stage::Running(running) => &running.attempts,
@@ -196,24 +196,26 @@
         }
     }
 
-    /// Tells whether a further attempt could run it a second time to any effect.
+    /// Returns `true` if another attempt is safe: the request is idempotent, or no attempt has run
+    /// it or is running it.
     pub fn may_repeat(&self) -> bool {
         self.idempotent || (self.may_have_run.is_none() && self.running().is_empty())
     }
 
-    /// Tells whether the caller may send it again without asking what became of it.
+    /// Returns `true` if the caller may repeat it without knowing its outcome.
     pub fn is_repeatable(&self) -> bool {
         self.idempotent || self.key.is_some()
     }
 
-    /// Ends the request's life.
+    /// Marks the request as ended.
     pub fn close(self) -> Closed {
         Closed { request: self }
     }
 }
 
 impl Closed {
-    /// Returns the code that is true of the request: "not run" only if no attempt may have run it.
+    /// Returns the code to answer with: one whose outcome is "not run" only if no attempt may have
+    /// run the request.
     pub fn final_code(&self, code: Code) -> Code {
         if code.outcome() != Outcome::NotRun {
             return code;
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router: one entry instance's decisions about requests.
+//! The router, which makes one entry instance's decisions about requests.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 use crate::service::Service;
 use crate::timer::Timers;
 
-/// How late this process may do what is due before its own pause explains what it finds.
+/// Delay of a due timer above which this process is taken to have stalled.
 const PAUSE: Duration = Duration::from_millis(100);
 
 /// Settings of a router that no operator changes while it runs.
@@ -31,31 +31,31 @@
 pub struct Settings {
     /// The failure domain of this entry.
     pub domain: id::Domain,
-    /// How many entries share the backend servers' connections.
+    /// Number of entries that share the backend servers' connections.
     pub entries: u16,
-    /// This entry's place among them, from zero.
+    /// Index of this entry among them, from zero.
     pub entry: u16,
-    /// Requests in progress that this entry holds at most.
+    /// Maximum number of requests in progress at this entry.
     pub requests_max: usize,
-    /// Seeds all sampling.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// One life of one instance, as a key.
+/// An instance and its incarnation, as a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Identity {
     pub(crate) instance: id::Instance,
     pub(crate) incarnation: id::Incarnation,
 }
 
-/// A claim whose request was over before the verdict came.
+/// A claim whose request ended before the key's owner answered.
 #[derive(Debug)]
 pub(crate) struct Claim {
     pub(crate) service: id::Service,
     pub(crate) key: id::IdempotencyKey,
 }
 
-/// What one step works with.
+/// Time and output of one step.
 #[derive(Debug)]
 pub(crate) struct Step<'a> {
     pub(crate) now: Time,
@@ -74,8 +74,7 @@
 
 /// Decides about every request of one entry instance.
 ///
-/// Hash maps are only looked up in, never walked, so that the same events and seed give the same
-/// actions.
+/// Hash maps are never iterated over, so that the same events and seed give the same actions.
 #[derive(Debug)]
 pub struct Router {
     pub(crate) settings: Settings,
@@ -92,15 +91,15 @@
     pub(crate) ended_claims: HashMap<id::Request, Claim>,
     pub(crate) timers: Timers,
     pub(crate) leaving: Instances,
-    /// Pools in which room may have come free, or the last backend server gone, in this step.
+    /// Pools that may have gained free capacity or lost their last backend server in this step.
     pub(crate) changed_pools: SmallVec<[Id<Pool>; 4]>,
     pub(crate) last_sequence: Sequence,
-    /// When this process last did something far later than it was due, as one does that was frozen
-    /// or starved. Attempts sent before say nothing about their backend servers.
+    /// End of the last stall of this process, which was frozen or starved of CPU. The endings of
+    /// attempts sent before it say nothing about their backend servers.
     pub(crate) stall_ended: Time,
-    /// The version of the list in use.
+    /// Version of the membership list in use.
     pub(crate) list_version: Option<u64>,
-    /// Whether any service was ever declared here.
+    /// Whether a service declaration or a membership list has arrived.
     pub(crate) is_ready: bool,
     pub(crate) is_draining: bool,
 }
@@ -132,10 +131,11 @@
         }
     }
 
-    /// Takes one event at a time and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions in order.
     ///
-    /// `now` never goes back from one call to the next. What is due is done on a tick alone: after a
-    /// pause of this process, answers that are at hand are given before deadlines are counted.
+    /// `now` must not decrease from one call to the next. Timers fire only on [`Event::Tick`], so
+    /// that after a stall of this process the answers already received are handled before deadlines
+    /// expire.
     pub fn step(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let mut step = Step { now, actions };
         self.notice_waking(now);
@@ -164,12 +164,12 @@
         }
     }
 
-    /// Tells when a [`Event::Tick`] is next due; nothing while no request waits.
+    /// Returns when an [`Event::Tick`] is next due, or `None` while no request is in progress.
     pub fn next_due(&self) -> Option<Time> {
         if self.requests.is_empty() { None } else { self.timers.next() }
     }
 
-    /// Counts the requests that have no final answer yet.
+    /// Returns the number of requests without a final answer.
     pub fn in_progress(&self) -> usize {
         self.requests.len()
     }
--- a/crates/routing/src/service.rs
+++ b/crates/routing/src/service.rs
@@ -1,4 +1,4 @@
-//! A declared service, as the router keeps it.
+//! State of a declared service.
 
 use std::sync::Arc;
 
@@ -11,33 +11,33 @@
 use crate::hedge::Histogram;
 use crate::pool::Pool;
 
-/// One service and what its requests share.
+/// One service and the state shared by its requests.
 #[derive(Debug)]
 pub struct Service {
     /// Its name.
     pub name: id::Service,
     /// Its desired state.
     pub spec: Arc<Spec>,
-    /// The backend servers that answer.
+    /// The pool of backend servers that answer.
     pub pool: Id<Pool>,
-    /// Whether it is still declared; if not, it goes with its last request.
+    /// Whether it is still declared; if not, it is removed with its last request.
     pub declared: bool,
-    /// Its requests that have no final answer.
+    /// Number of its requests without a final answer.
     pub requests: usize,
-    /// Its requests that wait for a slot.
+    /// Number of its requests that wait for a slot.
     pub queued: u32,
-    /// Its retries and hedges.
+    /// Budget of its retries and hedges.
     pub budget: Budget,
-    /// Its recent latencies.
+    /// Histogram of its recent latencies.
     pub latencies: Histogram,
-    /// When the spent budget was last noted.
+    /// Cooldown of the log event for a spent budget.
     pub budget_cooldown: Cooldown,
-    /// When the refusal of trials was last noted.
+    /// Cooldown of the log event for shed requests.
     pub shed_cooldown: Cooldown,
 }
 
 impl Service {
-    /// Opens a service that was just declared.
+    /// Creates the state of a newly declared service.
     pub fn open(name: id::Service, spec: Arc<Spec>, pool: Id<Pool>) -> Service {
         Service {
             name,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Puts a changed declaration in force; requests in progress keep their pool.
+    /// Applies a changed declaration; requests in progress keep their pool.
     pub fn redeclare(&mut self, spec: Arc<Spec>, pool: Id<Pool>) {
         self.budget.set_permille(spec.retry_permille);
         self.spec = spec;
--- a/crates/routing/src/timeout.rs
+++ b/crates/routing/src/timeout.rs
@@ -1,4 +1,4 @@
-//! Does what is due.
+//! Fires due timers: deadlines, queue waits, spills, retries, hedges and probes.
 
 use cowslipchute_base::code::Code;
 use cowslipchute_base::entity::Id;
@@ -16,7 +16,7 @@
 use crate::timer::Timer;
 
 impl Router {
-    /// Does everything that is due.
+    /// Fires all due timers.
     pub(crate) fn run_due(&mut self, step: &mut Step<'_>) {
         while let Some(timer) = self.timers.pop_due(step.now) {
             self.run(timer, step);
@@ -35,12 +35,12 @@
         }
     }
 
-    /// Answers a request whose deadline has passed.
+    /// Finishes a request whose deadline has passed.
     pub(crate) fn expire(&mut self, id: Id<Request>, step: &mut Step<'_>) {
         let request = &self.requests[id];
         let code = match &request.stage {
             Stage::Running(_) => Code::Timeout,
-            // An earlier request with the key may have run; only the owner could have told.
+            // An earlier request with the key may have run, which only the key's owner knows.
             Stage::Claiming(_) => Code::KeyOwnerUnreachable,
             Stage::Queued(_) => Code::QueueTimeout,
             Stage::Idle(_) if request.attempts == 0 => Code::QueueTimeout,
@@ -59,7 +59,8 @@
         }
     }
 
-    /// Lets requests go to other failure domains, because one has waited too long for the own.
+    /// Starts spilling to remote failure domains because a request has waited too long for the
+    /// local one.
     fn spill(&mut self, id: Id<Request>, step: &mut Step<'_>) {
         let Some(request) = self.requests.get(id) else { return };
         if !matches!(request.stage, Stage::Queued(_)) {
@@ -99,7 +100,7 @@
         self.hedge(id, step);
     }
 
-    /// Ends an ejection: the backend server gets one request at a time.
+    /// Ends an ejection; the backend server is then probed with one request at a time.
     fn probe(&mut self, id: Id<Backend>, step: &mut Step<'_>) {
         let Some(backend) = self.backends.get_mut(id) else { return };
         let Status::Ejected { until } = backend.health.status() else { return };
@@ -115,7 +116,7 @@
         self.mark_changed(pool_id);
     }
 
-    /// Drops stale timers, so that what is next due is something to do.
+    /// Removes stale timers, so that the next due timer is never a stale one.
     pub(crate) fn prune_timers(&mut self) {
         let requests = &self.requests;
         let backends = &self.backends;
--- a/crates/routing/src/timer.rs
+++ b/crates/routing/src/timer.rs
@@ -1,4 +1,4 @@
-//! What is due when: a heap of timers whose stale entries are dropped instead of searched for.
+//! A heap of timers with lazy deletion of stale entries.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,30 +9,31 @@
 use crate::backend::Backend;
 use crate::request::Request;
 
-/// Stale entries that are kept before the heap is rebuilt without them.
+/// Maximum number of stale entries, beyond the live ones, before the heap is rebuilt without them.
 const STALE_MAX: usize = 1024;
 
-/// What is due. A timer whose subject is gone or has moved on is stale and does nothing.
+/// A timer and its subject. It is stale, and does nothing, if the subject is gone or its state has
+/// changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// The request's deadline passes.
     Deadline(Id<Request>),
-    /// The request has waited for a slot as long as it may.
+    /// The request's maximum wait for a slot has passed.
     QueueWait(Id<Request>),
-    /// The request has waited for a slot so long that another failure domain is worth its distance.
+    /// The request has waited for a slot long enough to use a remote failure domain.
     Spill(Id<Request>),
-    /// The request's backoff is over.
+    /// The request's backoff has ended.
     Retry(Id<Request>),
-    /// The request's attempt is late, and a second one is worth its cost.
+    /// The request's attempt has exceeded the hedge delay.
     Hedge(Id<Request>),
-    /// The backend server's ejection is over.
+    /// The backend server's ejection has ended.
     Probe(Id<Backend>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Entry {
     at: Time,
-    /// Keeps timers that are due together in the order in which they were set.
+    /// Sequence number, by which timers due at the same time fire in the order they were set.
     serial: u64,
     timer: Timer,
 }
@@ -52,7 +53,7 @@
         self.heap.push(Reverse(Entry { at, serial: self.serial, timer }));
     }
 
-    /// Takes out the next timer that is due, stale or not.
+    /// Removes and returns the next due timer, which may be stale.
     pub fn pop_due(&mut self, now: Time) -> Option<Timer> {
         if self.heap.peek()?.0.at > now {
             return None;
@@ -60,10 +61,11 @@
         self.heap.pop().map(|entry| entry.0.timer)
     }
 
-    /// Drops stale timers from the front, and all of them once they may outnumber the others.
+    /// Removes stale timers from the front of the heap, and all stale timers once they may
+    /// outnumber the live ones.
     ///
-    /// A sweep leaves the heap at its live size, and the next comes only when it has doubled, so
-    /// that the cost of a timer stays constant and memory stays linear in what is live.
+    /// The next full sweep happens only when the heap has doubled since the last one, so that the
+    /// amortized cost per timer is constant and memory is linear in the number of live timers.
     pub fn prune(&mut self, alive: impl Fn(Time, Timer) -> bool) {
         if self.heap.len() > 2 * self.kept + STALE_MAX {
             self.heap.retain(|entry| alive(entry.0.at, entry.0.timer));
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Tells when the next timer is due.
+    /// Returns when the next timer is due.
     pub fn next(&self) -> Option<Time> {
         self.heap.peek().map(|entry| entry.0.at)
     }
--- a/crates/routing/tests/interleavings.rs
+++ b/crates/routing/tests/interleavings.rs
@@ -1,4 +1,4 @@
-//! Random events in random order against the promises of `support/check.rs`.
+//! Property tests: random events in random order against the invariants of `support/check.rs`.
 
 mod support;
 
@@ -56,7 +56,7 @@
     Pass {
         micros: u64,
     },
-    /// The process stands still, and what was due is done late.
+    /// The process stalls, so that due timers fire late.
     Freeze {
         micros: u64,
     },
@@ -143,7 +143,7 @@
     ]
 }
 
-/// A world and what can be told to it next.
+/// A world and the events that can follow.
 struct Play {
     world: World,
     attempts: Vec<Attempt>,
@@ -290,8 +290,8 @@
 }
 
 proptest! {
-    /// Whatever happens in whatever order, the promises hold after every step, and in the end no
-    /// request is left.
+    /// The invariants hold after every step of any sequence of events, and no request is left at
+    /// the end.
     #[test]
     fn promises_hold_in_any_order(
         seed in any::<u64>(),
--- a/crates/routing/tests/scenarios.rs
+++ b/crates/routing/tests/scenarios.rs
@@ -1,10 +1,10 @@
 //! Runs the scenario files of `filetests/`.
 //!
-//! A block's first line says what it checks; the lines up to `----` are commands to one router,
-//! and what follows is what the router did. State lasts from block to block within a file. After
-//! each command the promises of `support/check.rs` are checked, whatever the file expects.
-//! `REWRITE=1 cargo test -p cowslipchute-routing --test scenarios` writes what was done into the
-//! files; read the difference before you take it.
+//! The first line of a block names what it checks; the lines up to `----` are commands to one
+//! router, and the lines after it are the expected actions. Blocks of a file share their state. The
+//! invariants of `support/check.rs` are also checked after each command.
+//! `REWRITE=1 cargo test -p cowslipchute-routing --test scenarios` writes the actual actions into
+//! the files; review the difference.
 
 #[path = "support/fake.rs"]
 mod fake;
@@ -33,7 +33,7 @@
 use support::world::member;
 use support::world::settings;
 
-/// One command line: a word, what it is about, and options.
+/// One command line: the command, its arguments and its options.
 struct Line<'a> {
     word: &'a str,
     words: Vec<&'a str>,
@@ -67,7 +67,7 @@
     Duration::from_millis(digits.parse().expect("a number"))
 }
 
-/// Numbers such as `7` or `1..5`, ends included.
+/// Parses a number such as `7` or an inclusive range such as `1..5`.
 fn numbers(text: &str) -> std::ops::RangeInclusive<u64> {
     let parse = |text: &str| text.parse().expect("a number");
     match text.split_once("..") {
@@ -116,7 +116,7 @@
     Behaviour { latency: line.time("latency"), ending: ending(line) }
 }
 
-/// A line such as `at 100ms behave b1 unsent latency=1ms`.
+/// Parses a line such as `at 100ms behave b1 unsent latency=1ms`.
 fn timed(text: &str) -> Timed {
     let mut parts = text.splitn(3, ' ').skip(1);
     let after = millis(parts.next().expect("a time"));
@@ -205,7 +205,7 @@
         if out.is_empty() { "nothing\n".to_owned() } else { out }
     }
 
-    /// Adds a load that runs beside the next `run`.
+    /// Adds a load to the next `run`.
     fn load(&mut self, line: &Line<'_>) {
         let range = numbers(line.words[0]);
         let load = Load {
--- a/crates/routing/tests/shares.rs
+++ b/crates/routing/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Holds the shares of all entries together within each backend server's connections.
+//! Checks that the shares of all entries add up to each backend server's connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,8 @@
 
 const REQUESTS: u64 = 100;
 
-/// Offers one entry more than it may send to one backend server, and counts what it sends.
+/// Offers one entry more requests than its share of one backend server, and returns how many it
+/// sends.
 fn sent(entries: u16, entry: u16, connections: u16, instance: &str) -> u32 {
     let settings =
         Settings { domain: "a".into(), entries, entry, requests_max: 1000, seed: entry.into() };
--- a/crates/routing/tests/support/check.rs
+++ b/crates/routing/tests/support/check.rs
@@ -1,7 +1,6 @@
-//! The promises about requests, held against every step from outside the router.
+//! Invariants about requests, checked after every step of the router.
 //!
-//! The checker sees only events and actions, and judges by rules of its own; it shares no code with
-//! the router.
+//! The checker sees only events and actions and shares no code with the router.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -32,7 +31,7 @@
     deadline: Time,
     attempts_max: u8,
     attempts: u8,
-    /// Whether an attempt may have run it: broken, cut short, cancelled or still in flight.
+    /// Whether an ended attempt may have run it: broken, truncated, too large or cancelled.
     may_have_run: bool,
     running: BTreeSet<Attempt>,
     is_over: bool,
@@ -41,7 +40,7 @@
     settled: Option<Settled>,
 }
 
-/// Everything seen so far.
+/// State derived from all events and actions so far.
 #[derive(Debug)]
 pub struct Check {
     settings: Settings,
@@ -58,14 +57,15 @@
     version: Option<u64>,
     ejected: BTreeSet<Life>,
     probing: BTreeSet<Life>,
-    /// The life of each name whose attempt ended last, which a note about the name is about.
+    /// The incarnation of each name whose attempt ended last, which a log event with that name
+    /// means.
     judged: BTreeMap<Instance, Life>,
     announced: BTreeSet<Life>,
     last_attempt: Attempt,
 }
 
 impl Check {
-    /// Opens a checker that has seen nothing.
+    /// Creates a checker that has seen nothing.
     pub fn open(settings: Settings) -> Check {
         Check {
             settings,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes in what the router is about to be told.
+    /// Records an event before the router handles it.
     pub fn before(&mut self, now: Time, event: &Event) {
         match event {
             Event::Service { name, spec } => {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Holds the actions of one step against the promises.
+    /// Checks the actions of one step against the invariants.
     pub fn after(&mut self, now: Time, event: &Event, actions: &[Action], router: &Router) {
         for action in actions {
             self.act(now, event, action);
--- a/crates/routing/tests/support/fake.rs
+++ b/crates/routing/tests/support/fake.rs
@@ -1,4 +1,4 @@
-//! Fake backend servers that answer by themselves, for scenarios about many requests.
+//! Fake backend servers that answer automatically, for scenarios with many requests.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -16,50 +16,50 @@
 
 use crate::support::world::World;
 
-/// What a backend server does with every request.
+/// Behaviour of a backend server for every request.
 #[derive(Clone, Copy, Debug)]
 pub struct Behaviour {
-    /// After how long; never, if frozen.
+    /// Time until the attempt ends; `None` if the backend server is frozen.
     pub latency: Option<Duration>,
-    /// How it ends.
+    /// Ending of the attempt.
     pub ending: Ending,
 }
 
-/// A run of requests at even intervals.
+/// A series of requests at even intervals.
 pub struct Load {
-    /// How many.
+    /// Number of requests.
     pub count: u64,
-    /// How far apart.
+    /// Interval between two requests.
     pub every: Duration,
-    /// How long after the start of the run.
+    /// Time of the first request, from the start of the run.
     pub after: Duration,
-    /// The first one's number.
+    /// Number of the first request.
     pub first: u64,
-    /// Each of them.
+    /// Properties of each request.
     pub arrival: Arrival,
 }
 
-/// What changes during a run.
+/// A change during a run.
 pub enum Change {
-    /// A backend server begins to behave otherwise.
+    /// A backend server changes its behaviour.
     Behave(String, Behaviour),
     /// The router reads the list.
     List,
-    /// The router is told to stop.
+    /// The router starts to drain.
     Drain,
-    /// The router's process is frozen for so long.
+    /// The router's process is frozen for this duration.
     Freeze(Duration),
 }
 
-/// A change and when it comes, counted from the start of the run.
+/// A change and its time.
 pub struct Timed {
-    /// When.
+    /// Time from the start of the run.
     pub after: Duration,
-    /// What.
+    /// The change.
     pub change: Change,
 }
 
-/// What became of a run.
+/// Summary of a run.
 #[derive(Default)]
 struct Summary {
     counts: BTreeMap<String, u64>,
@@ -117,8 +117,8 @@
     Arrive(u64),
 }
 
-/// Runs loads to their end against backend servers that behave as told, healthy ones in 10 ms, and
-/// returns one line for each kind of thing that happened.
+/// Runs loads to their end and returns one line for each kind of action. Backend servers without a
+/// configured behaviour answer with status 200 after 10 ms.
 pub fn run(
     world: &mut World,
     loads: &[Load],
@@ -173,7 +173,7 @@
                 },
             },
         };
-        // What came while the router's process was frozen is learnt when it wakes.
+        // Events that occur while the router's process is frozen are handled when it resumes.
         world.now = at.max(world.now);
         let actions = world.step(event);
         for action in &actions {
--- a/crates/routing/tests/support/mod.rs
+++ b/crates/routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this crate share: a router with a list to read, checked after every step.
+//! Shared parts of the tests: a router and a membership list, checked after every step.
 
 pub mod check;
 pub mod world;
--- a/crates/routing/tests/support/world.rs
+++ b/crates/routing/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! A router, its list and its clock, driven by hand.
+//! A router with its membership list and a manual clock.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,17 +21,17 @@
     pub now: Time,
     /// The router.
     pub router: Router,
-    /// What the platform knows; the router only after [`World::list`].
+    /// The platform's membership list, which the router receives on [`World::list`].
     pub view: list::View,
     check: Check,
 }
 
-/// The settings used unless a test says otherwise.
+/// Returns the default settings of the tests.
 pub fn settings() -> Settings {
     Settings { domain: "a".into(), entries: 1, entry: 0, requests_max: 1000, seed: 1 }
 }
 
-/// A backend server of eight slots.
+/// Returns a backend server of eight slots.
 pub fn member(name: &str, service: &str, domain: &str) -> list::Member {
     list::Member {
         instance: name.into(),
@@ -48,13 +48,13 @@
     }
 }
 
-/// A request without anything special.
+/// Returns a request without class, key and deadline.
 pub fn arrival(service: &str, idempotent: bool) -> Arrival {
     Arrival { service: service.into(), class: None, idempotent, key: None, deadline: None }
 }
 
 impl World {
-    /// Opens a router that was told nothing.
+    /// Opens a router that has received no event.
     pub fn open(settings: Settings) -> World {
         World {
             now: Time::ZERO,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Tells the router one thing, checks what it does and returns that.
+    /// Passes one event to the router, and checks and returns its actions.
     pub fn step(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.check.before(self.now, &event);
@@ -78,14 +78,14 @@
         self.step(Event::Service { name: name.into(), spec: Arc::new(spec) })
     }
 
-    /// Lets the router read the list.
+    /// Passes the membership list to the router.
     pub fn list(&mut self) -> Vec<Action> {
         self.view.version += 1;
         let view = self.view.clone();
         self.step(Event::Listed { view })
     }
 
-    /// Lets time pass, waking the router whenever it asked for it.
+    /// Advances the clock, with a tick whenever the router has a timer due.
     pub fn pass(&mut self, time: Duration) -> Vec<Action> {
         let end = self.now + time;
         let mut actions = Vec::new();
--- a/crates/spread/examples/ways/fleet.rs
+++ b/crates/spread/examples/ways/fleet.rs
@@ -1,4 +1,4 @@
-//! Instances in virtual time, which spread the changes of one store.
+//! Simulation of instances that distribute the changes of one store, in virtual time.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,49 +32,49 @@
 use crate::traffic;
 use crate::way::Way;
 
-/// 46,000 changes a day.
+/// Interval of changes, for 46,000 changes a day.
 const CHANGE_EVERY: Duration = Duration::from_millis(1878);
-/// Resources that exist at the start.
+/// Number of resources that exist at the start.
 const RESOURCES: u64 = 1000;
-/// Bytes of a resource as stored.
+/// Size of a stored resource in bytes.
 const VALUE: usize = 400;
-/// One way within a domain.
+/// One-way latency within a domain.
 const NEAR: Duration = Duration::from_micros(200);
-/// One way between domains.
+/// One-way latency between domains.
 const FAR: Duration = Duration::from_micros(1500);
-/// One way to the store, its own time included.
+/// One-way latency to the store, including its processing time.
 const STORE: Duration = Duration::from_millis(3);
-/// When a call that is lost is given up.
+/// Timeout of a call.
 const CALL_WITHIN: Duration = Duration::from_millis(800);
-/// Changes in the last seconds have no time to spread and are not judged.
+/// Changes in the last seconds of a run aren't evaluated, because they have no time to spread.
 const JUDGED_BEFORE_END: Duration = Duration::from_secs(15);
-/// The first change comes when every instance has its list.
+/// Time of the first change, at which every instance has its list.
 const QUIET: Duration = Duration::from_secs(3);
 
-/// How many instances, and in how many domains.
+/// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
 }
 
-/// What goes wrong.
+/// Fault injected into a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// One call between peers in ten gets no answer.
+    /// One in ten calls between peers gets no answer.
     LostCalls,
-    /// Every domain's holder dies a third into the run; the list goes on showing it.
+    /// Every instance that holds a watch crashes after a third of the run, but stays listed.
     KilledHolders,
-    /// The first domain is cut off from the store from a third into the run on.
+    /// The first domain is partitioned from the store after a third of the run.
     CutFromStore,
 }
 
 impl Fault {
-    /// Returns the words of the table.
+    /// Returns the text in the table.
     pub fn as_str(self) -> &'static str {
         match self {
             Fault::None => "none",
@@ -85,20 +85,20 @@
     }
 }
 
-/// What a run has shown.
+/// Measurements of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
-    /// Watches that wait at the end.
+    /// Number of open watches at the end.
     pub watches: usize,
-    /// Calls to the store a second, the opening of watches included.
+    /// Calls to the store per second, including those that open watches.
     pub store_calls: f64,
-    /// Bytes to and from the store a second.
+    /// Bytes to and from the store per second.
     pub store_bytes: f64,
-    /// Bytes of the busiest instance a second, both ways.
+    /// Bytes of the busiest instance per second, in both directions.
     pub busiest_bytes: f64,
-    /// Median time until a change was in force at every living instance.
+    /// Median time until a change was in force at every live instance.
     pub in_force_p50: Duration,
-    /// The longest such time.
+    /// Maximum of these times.
     pub in_force_max: Duration,
 }
 
@@ -124,7 +124,7 @@
     bytes: usize,
 }
 
-/// A run.
+/// A run of the simulation.
 pub struct Fleet {
     way: Way,
     fault: Fault,
@@ -146,7 +146,7 @@
 }
 
 impl Fleet {
-    /// Lays out the instances; all have the same configuration at the start.
+    /// Creates the instances, which all start with the same configuration.
     pub fn open(size: Size, way: Way, fault: Fault, seed: u64) -> Fleet {
         let history: Vec<Item> = (1..=RESOURCES).map(item).collect();
         let members: Vec<Member> = (0..size.instances).map(|at| member(at, size.domains)).collect();
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Runs to the end and sums up.
+    /// Runs to the end and returns the measurements.
     pub fn run(mut self, length: Duration) -> Outcome {
         self.queue.push(length / 3, Event::Fault);
         while let Some((at, event)) = self.queue.pop(length) {
@@ -277,7 +277,7 @@
         self.queue.push(now + next, Event::Tick(at));
     }
 
-    /// Opens or ends an instance's watch. A new one is told what it missed.
+    /// Opens or closes an instance's watch. A new watch receives the changes that it missed.
     fn watch(&mut self, at: usize, watches: bool) {
         let opened = watches && !self.instances[at].watching;
         self.instances[at].watching = watches;
@@ -314,7 +314,7 @@
         if same { NEAR } else { FAR }
     }
 
-    /// Tells whether a call is answered; one that isn't is given up after a while.
+    /// Returns `true` if a call is answered; otherwise it times out.
     fn answered(&mut self, to: usize) -> bool {
         let lost = self.fault == Fault::LostCalls && self.rng.random_range(0..10) == 0;
         self.instances[to].alive && !lost
@@ -436,7 +436,7 @@
         }
     }
 
-    /// Notes the changes that have come into force everywhere.
+    /// Records the changes that have come into force at every live instance.
     fn judge(&mut self) {
         let living = self.instances.iter().filter(|one| one.alive);
         let everywhere = living.map(|one| one.held.in_force()).min().unwrap_or(0);
@@ -484,7 +484,7 @@
     }
 }
 
-/// Addresses carry the numbers of the instances.
+/// Returns the index of an instance, which is encoded in its address.
 fn number(peer: &Peer) -> usize {
     peer.address.port().into()
 }
--- a/crates/spread/examples/ways/main.rs
+++ b/crates/spread/examples/ways/main.rs
@@ -1,8 +1,8 @@
-//! Compares ways of spreading configuration: store calls, bytes, time to be in force.
+//! Compares ways of distributing configuration by store calls, bytes and time to be in force.
 //!
-//! `cargo run --release -p cowslipchute-spread --example ways -- [SEED] [SECONDS]` prints the table of
-//! `docs/design/config.md`. Time is virtual. The chosen way runs the shipped decisions; the others are
-//! the least that they need. Sizes of messages are estimates, given in `traffic.rs`.
+//! `cargo run --release -p cowslipchute-spread --example ways -- [SEED] [SECONDS]` prints the table
+//! of `docs/design/config.md`. Time is virtual. The shipped way runs the production decisions; the
+//! others are minimal models. Sizes of messages are estimates, given in `traffic.rs`.
 
 mod fleet;
 mod queue;
@@ -15,7 +15,7 @@
 use fleet::Fleet;
 use way::Way;
 
-/// Instances and the failure domains that they are in.
+/// Sizes of the simulated fleets.
 const FLEETS: [fleet::Size; 2] =
     [fleet::Size { instances: 9, domains: 3 }, fleet::Size { instances: 500, domains: 18 }];
 
--- a/crates/spread/examples/ways/queue.rs
+++ b/crates/spread/examples/ways/queue.rs
@@ -1,4 +1,4 @@
-//! Events by rising virtual time; those of one time keep their order.
+//! A queue of events in order of virtual time; events of the same time keep their order.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -31,14 +31,14 @@
     }
 }
 
-/// The events to come.
+/// The pending events.
 pub struct Queue<T> {
     heap: BinaryHeap<Reverse<Entry<T>>>,
     number: u64,
 }
 
 impl<T> Queue<T> {
-    /// Opens an empty queue.
+    /// Creates an empty queue.
     pub fn open() -> Queue<T> {
         Queue { heap: BinaryHeap::new(), number: 0 }
     }
@@ -49,7 +49,7 @@
         self.heap.push(Reverse(Entry { at, number: self.number, event }));
     }
 
-    /// Takes the next event before a time.
+    /// Removes and returns the next event before a time.
     pub fn pop(&mut self, before: Time) -> Option<(Time, T)> {
         if self.heap.peek()?.0.at >= before {
             return None;
--- a/crates/spread/examples/ways/traffic.rs
+++ b/crates/spread/examples/ways/traffic.rs
@@ -1,23 +1,24 @@
-//! What travels, in bytes. The sizes are estimates of the shipped formats: a call between peers is a
-//! stream of QUIC with postcard inside; the store speaks HTTP with JSON and base64.
+//! Sizes of messages in bytes, estimated for the shipped formats: a call between peers is a QUIC
+//! stream with postcard, and the store uses HTTP with JSON and base64.
 
 use cowslipchute_ports::peer::Item;
 
-/// A call and its reply between peers, without items: packets' heads, acknowledgements, the message.
+/// Size of a call between peers and its reply without items: packet headers, acknowledgements and
+/// the message.
 pub const PEER_CALL: usize = 180;
-/// What an item adds to a message between peers, beside its key and value.
+/// Overhead of an item in a message between peers, beyond its key and value.
 const PEER_ITEM: usize = 8;
-/// A request to the store and its answer, without entries.
+/// Size of a request to the store and its answer without entries.
 pub const STORE_CALL: usize = 500;
-/// What a watch's line adds to an entry.
+/// Overhead of an entry from the store, beyond its encoded key and value.
 const STORE_LINE: usize = 160;
 
-/// Bytes of items between peers.
+/// Returns the size of items in a message between peers.
 pub fn peer_items(items: &[Item]) -> usize {
     items.iter().map(|item| PEER_ITEM + raw(item)).sum()
 }
 
-/// Bytes of an entry from the store.
+/// Returns the size of an entry from the store.
 pub fn store_entry(item: &Item) -> usize {
     STORE_LINE + raw(item) * 4 / 3
 }
--- a/crates/spread/examples/ways/way.rs
+++ b/crates/spread/examples/ways/way.rs
@@ -1,17 +1,17 @@
-//! The ways that are compared.
+//! The compared ways of distributing configuration.
 
-/// A way of spreading configuration.
+/// A way of distributing configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
     /// Every instance holds a watch on the store.
     WatchEach,
     /// Every instance reads the whole configuration once a second.
     Poll,
-    /// One watch in each domain; everyone asks a peer chosen at random once a second.
+    /// One watch in each domain; each instance pulls from a random peer once a second.
     RandomPull,
-    /// One watch in each domain; its holder tells every instance of the domain.
+    /// One watch in each domain; its holder pushes to every instance of the domain.
     Star,
-    /// The shipped decisions: one watch in each domain, a tree of pushes, pulls from the parent.
+    /// The production decisions: one watch in each domain, a tree of pushes, pulls from the parent.
     Shipped,
 }
 
@@ -19,7 +19,7 @@
     /// All ways, the shipped one last.
     pub const ALL: [Way; 5] = [Way::WatchEach, Way::Poll, Way::RandomPull, Way::Star, Way::Shipped];
 
-    /// Returns the words of the table.
+    /// Returns the text in the table.
     pub fn as_str(self) -> &'static str {
         match self {
             Way::WatchEach => "a watch for each instance",
--- a/crates/spread/src/batch.rs
+++ b/crates/spread/src/batch.rs
@@ -1,43 +1,42 @@
-//! Batches of changes, with what their sender claims about their completeness.
+//! Batches of changes, with the sender's claim about their completeness.
 
 use cowslipchute_base::id::Revision;
 use cowslipchute_ports::kv;
 use cowslipchute_ports::peer;
 
-/// How complete a batch is.
+/// Completeness of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// The items are every key that exists as of the batch's revision.
+    /// The items are all keys that exist at the batch's revision.
     Whole,
-    /// The items are every change above this revision up to the batch's revision, the last one of
+    /// The items are the changes above this revision up to the batch's revision, the last one of
     /// each key.
     After(Revision),
 }
 
-/// Changes of keys and how far they bring the receiver.
+/// Changes of keys and the revision to which they bring the receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// By rising revision.
+    /// The changes, in ascending order of revision.
     pub items: Vec<peer::Item>,
-    /// Everything up to this revision is contained, within the scope.
+    /// Revision up to which the batch is complete, within its scope.
     pub revision: Revision,
-    /// How complete the batch is.
+    /// Completeness of the batch.
     pub scope: Scope,
 }
 
 impl Batch {
-    /// Turns a read of the store into a batch.
+    /// Converts a snapshot of the store into a batch.
     pub fn from_snapshot(snapshot: kv::Snapshot) -> Batch {
         let mut items: Vec<_> = snapshot.entries.into_iter().map(item).collect();
         items.sort_by_key(|item| item.revision);
         Batch { items, revision: snapshot.revision, scope: Scope::Whole }
     }
 
-    /// Turns one step of a watch into a batch; nothing when the watch ended.
+    /// Converts one update of a watch into a batch; returns `None` when the watch ended.
     ///
-    /// `after` is where the watch had come to, so that the batch continues from there. An
-    /// operator's change writes one configuration key in one transaction, so a step that carries
-    /// a revision carries all of it.
+    /// `after` is the revision that the watch had reached. An operator's change writes one
+    /// configuration key in one transaction, so an update contains all changes of its revision.
     pub fn from_update(update: kv::Update, after: Revision) -> Option<Batch> {
         let (items, revision) = match update {
             kv::Update::Put(entry) => {
--- a/crates/spread/src/gossip.rs
+++ b/crates/spread/src/gossip.rs
@@ -1,14 +1,14 @@
-//! Whom to ask and whom to tell.
+//! Choice of the peers to pull from and push to.
 //!
-//! The instances of a failure domain form a tree by rank. The first one that answers holds the domain's
-//! watch on the store, and each one passes changes on to its children. Each one also pulls from its
-//! parent now and then, which repairs what a push missed; the holder of the watch pulls from another
-//! domain's first one, so that a domain cut off from the store still learns from the others.
+//! The instances of a failure domain form a tree by rank. The first responsive one, its root, holds
+//! the domain's watch on the store. Each instance pushes changes to its children and periodically
+//! pulls from its parent, which repairs lost pushes. The root pulls from the root of another
+//! domain, so that a domain partitioned from the store still receives changes.
 //!
-//! The places in the tree are those of the list, whoever answers. Where an instance doesn't, its
-//! parent takes over its children and these pull from its parent; so only its neighbours, who call
-//! it, need to know. When instances disagree all the same, some changes travel twice, which
-//! [`crate::replica`] ignores, or come with a pull instead of a push.
+//! Positions in the tree depend on the list only. The parent of an unresponsive instance takes over
+//! its children, and they pull from it; so only the neighbours, which call the instance, have to
+//! notice. If instances disagree, some changes are sent twice, which [`crate::replica`] ignores, or
+//! arrive by pull instead of push.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,30 +26,30 @@
 use crate::rank;
 use crate::rank::Peer;
 
-/// Children of one instance. A change costs an instance three times its size to pass on, however
-/// many instances its domain has, and four steps reach 121 of them.
+/// Number of children of an instance. An instance sends a change three times whatever the size of
+/// its domain, and four steps reach 121 instances.
 pub const FANOUT: usize = 3;
-/// Time between two pulls, before jitter.
+/// Interval of pulls, before jitter.
 pub const PULL_INTERVAL: Duration = Duration::from_secs(1);
-/// Time between two pulls of an instance that has no configuration yet.
+/// Interval of pulls of an instance that has no configuration yet, before jitter.
 pub const PULL_INTERVAL_INITIAL: Duration = Duration::from_millis(200);
-/// A peer that failed a call is left out for so long, and twice as long after each failed probe.
+/// Delay before a peer that failed a call is probed; doubles with each failed probe.
 pub const SUSPECT_DELAY: Duration = Duration::from_secs(2);
-/// The longest time that a peer is left out before it is probed again.
+/// Maximum delay before a suspect peer is probed again.
 pub const SUSPECT_DELAY_MAX: Duration = Duration::from_secs(30);
-/// One pull in so many goes to any peer, in case the parent answers but learns nothing.
+/// One in this many pulls goes to another peer, in case the parent answers but receives no changes.
 const STRAY_PULLS: u32 = 8;
 
-/// A call to make.
+/// A call to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask the peer for what changed.
+    /// Ask the peer for changes.
     Pull(Peer),
-    /// Find out whether a peer answers again.
+    /// Check whether a suspect peer answers again.
     Probe(Peer),
 }
 
-/// The calls to make now.
+/// The calls to be made now.
 pub type Actions = SmallVec<[Action; 4]>;
 
 #[derive(Clone, Copy, Debug)]
@@ -59,7 +59,7 @@
     wait: Duration,
 }
 
-/// What this instance knows about its peers.
+/// Peers of this instance: their ranks and which of them are suspect.
 #[derive(Clone, Debug)]
 pub struct Gossip {
     me: Peer,
@@ -70,15 +70,15 @@
 }
 
 impl Gossip {
-    /// Knows only this instance.
+    /// Creates a state that contains only this instance.
     pub fn open(me: Peer, seed: u64) -> Gossip {
         let domains = rank::rank(&me, &[]);
         let rng = SmallRng::seed_from_u64(seed);
         Gossip { me, domains, suspects: BTreeMap::new(), next_pull: Time::ZERO, rng }
     }
 
-    /// Takes the list of instances. A peer that is listed no more, or with another life, is no
-    /// longer suspect.
+    /// Sets the list of instances. A peer that is no longer listed, or has another incarnation, is
+    /// no longer suspect.
     pub fn set_members(&mut self, members: &[Member]) {
         self.domains = rank::rank(&self.me, members);
         let domains = &self.domains;
@@ -90,24 +90,24 @@
         });
     }
 
-    /// Tells whether this instance is the one to hold its domain's watch.
+    /// Returns `true` if this instance has to hold its domain's watch.
     pub fn holds_watch(&self) -> bool {
         self.first() == self.place()
     }
 
-    /// Returns the peers that changes are passed on to.
+    /// Returns the peers to push changes to.
     pub fn children(&self) -> impl Iterator<Item = &Peer> {
         let mut places = SmallVec::new();
         let place = self.place();
         self.answering_below(place, &mut places);
         if place > 0 && self.holds_watch() {
-            // None before this one answers, so it stands in for all of them.
+            // No instance of a lower rank answers, so this one takes over all their children.
             self.answering_below(0, &mut places);
         }
         places.into_iter().map(|place| &self.own()[place])
     }
 
-    /// Returns the peer that changes come from; nothing for the one that holds the watch.
+    /// Returns the peer that pushes changes to this one; `None` if this one holds the watch.
     pub fn parent(&self) -> Option<&Peer> {
         if self.holds_watch() {
             return None;
@@ -123,7 +123,7 @@
         Some(&self.own()[self.first()])
     }
 
-    /// Returns the calls that are due. `ready` tells whether there is a configuration yet.
+    /// Returns the calls that are due. `ready` is `true` if there is a configuration already.
     pub fn tick(&mut self, now: Time, ready: bool) -> Actions {
         let mut actions = self.probes(now);
         if now >= self.next_pull {
@@ -140,18 +140,18 @@
         probes.chain([self.next_pull]).min().expect("the next pull is always set")
     }
 
-    /// Notes that something is missing, so that the next tick pulls.
+    /// Makes the next tick pull, because changes are missing.
     pub fn request_pull(&mut self, now: Time) {
         self.next_pull = self.next_pull.min(now);
     }
 
-    /// Notes that a peer answered; tells whether it was suspect.
+    /// Records that a peer answered; returns `true` if it was suspect.
     pub fn answered(&mut self, peer: &Peer) -> bool {
         self.suspects.remove(&peer.instance).is_some()
     }
 
-    /// Notes that a call to a peer failed; tells whether that is news. The next tick pulls, from
-    /// whoever has taken its place.
+    /// Records that a call to a peer failed; returns `true` if it wasn't suspect before. The next
+    /// tick then pulls, as the parent may be another peer now.
     pub fn failed(&mut self, peer: &Peer, now: Time) -> bool {
         let before = self.suspects.get(&peer.instance);
         let wait = before.map_or(SUSPECT_DELAY, |before| SUSPECT_DELAY_MAX.min(before.wait * 2));
@@ -164,7 +164,7 @@
         news
     }
 
-    /// The instances of this domain by rank, with this one.
+    /// Returns the instances of this domain by rank, including this one.
     fn own(&self) -> &[Peer] {
         &self.domains[&self.me.domain]
     }
@@ -178,14 +178,14 @@
         self.own().iter().position(me).expect("an instance is in its own domain")
     }
 
-    /// The place of the first instance that answers; this one counts as answering.
+    /// Returns the index of the first responsive instance; this one counts as responsive.
     fn first(&self) -> usize {
         let answers = |peer: &Peer| !self.suspect(peer);
         self.own().iter().position(answers).expect("an instance is never suspect to itself")
     }
 
-    /// Adds the places below one, going on below those that don't answer. Places rise from parent
-    /// to child, so this ends.
+    /// Adds the indices of the responsive children, descending into unresponsive ones. Indices
+    /// increase from parent to child, so the recursion ends.
     fn answering_below(&self, place: usize, places: &mut SmallVec<[usize; 8]>) {
         let me = self.place();
         let end = self.own().len().min(place * FANOUT + FANOUT + 1);
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Walks a domain's peers that answer, by rank; this instance always counts itself.
+    /// Returns the responsive peers of a domain by rank; this instance counts as responsive.
     fn line(&self, domain: &Domain) -> impl Iterator<Item = &Peer> {
         let peers = self.domains.get(domain).into_iter().flatten();
         peers.filter(|peer| !self.suspect(peer))
@@ -212,7 +212,7 @@
         for peer in self.domains.values().flatten() {
             let Some(suspect) = self.suspects.get_mut(&peer.instance) else { continue };
             if now >= suspect.until {
-                // Until the probe has failed or succeeded, the next one waits as long again.
+                // The next probe is due after the same delay unless this one ends earlier.
                 suspect.until = now + suspect.wait;
                 actions.push(Action::Probe(peer.clone()));
             }
@@ -220,7 +220,7 @@
         actions
     }
 
-    /// Chooses whom to pull from.
+    /// Chooses the peer to pull from.
     fn pulled(&mut self) -> Option<Peer> {
         let stray = self.rng.random_range(0..STRAY_PULLS) == 0;
         let parent = if stray { None } else { self.parent().cloned() };
@@ -230,7 +230,7 @@
         if self.holds_watch() { self.other_first() } else { self.anyone() }
     }
 
-    /// Chooses the first peer of another domain, or anyone where there is no other domain.
+    /// Chooses the root of a random other domain, or any random peer if there is no other domain.
     fn other_first(&mut self) -> Option<Peer> {
         let own = &self.me.domain;
         let others = self.domains.keys().filter(|domain| *domain != own);
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decisions about the spread of configuration: what is in force at this instance, what a peer
-//! lacks, whom to ask and whom to tell.
+//! Decisions about the distribution of configuration: what is in force at this instance, what a
+//! peer lacks, and which peers to pull from and push to.
 //!
-//! A revision in force never goes back: a change of a key is taken only when its revision is above
-//! the one held, and a removal is remembered so that an older write can't bring the key back. The
-//! ways that were weighed and their measurements stand in `docs/design/config.md`. Nothing here
-//! does I/O or reads a clock; `cowslipchute-follow` drives it.
+//! The revision in force never decreases: a change of a key is applied only if its revision is
+//! above the present one, and removals are kept as tombstones so that an older write can't restore
+//! a key. The crate does no I/O and reads no clock; `cowslipchute-follow` drives it.
+//! `docs/design/config.md` has the alternatives and their measurements.
 
 pub mod batch;
 pub mod gossip;
--- a/crates/spread/src/pull.rs
+++ b/crates/spread/src/pull.rs
@@ -1,9 +1,8 @@
-//! A pull: asking one peer page by page until nothing is missing.
+//! A pull, which requests pages of changes from one peer until none are missing.
 //!
-//! Pages are put together before any of them is applied. A page holds the last change of each key up
-//! to the revision it reached, so it lacks changes that were overtaken later; only all pages
-//! together are what was so at one revision. The last page is empty, so neither side has to know the
-//! other's limit.
+//! Pages are assembled before any of them is applied. A page has only the last change of each key,
+//! so it lacks changes that were superseded later; only all pages together are consistent at one
+//! revision. The last page is empty, so that neither side has to know the other's page size.
 
 use std::collections::BTreeMap;
 
@@ -14,12 +13,12 @@
 use crate::batch::Scope;
 use crate::rank::Peer;
 
-/// What to do after a page.
+/// Next step after a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Ask the same peer for what comes after this revision.
+    /// Ask the same peer for the changes after this revision.
     Ask(Revision),
-    /// The pull is complete.
+    /// Apply the batch; the pull is complete.
     Apply(Batch),
 }
 
@@ -31,15 +30,15 @@
     items: BTreeMap<String, Item>,
 }
 
-/// The pull under way, if any.
+/// The pull in progress, if any.
 #[derive(Clone, Debug, Default)]
 pub struct Pull {
     run: Option<Run>,
 }
 
 impl Pull {
-    /// Begins a pull of what a peer has beyond `in_force`; nothing if one is under way. Returns the
-    /// revision to ask from.
+    /// Starts a pull of a peer's changes above `in_force` and returns the revision to ask from, or
+    /// `None` if a pull is in progress.
     pub fn begin(&mut self, peer: &Peer, in_force: Revision) -> Option<Revision> {
         if self.run.is_some() {
             return None;
@@ -49,8 +48,8 @@
         Some(in_force)
     }
 
-    /// Takes a page. `whole` tells that the peer doesn't know every removal since the revision that
-    /// was asked from, so that only a pull of everything helps.
+    /// Handles a page and returns the next step. `lacks_removals` means that the peer doesn't know
+    /// every removal since the requested revision; the pull then restarts from zero.
     pub fn receive(&mut self, items: Vec<Item>, revision: Revision, whole: bool) -> Option<Step> {
         let run = self.run.as_mut()?;
         if whole && run.from > 0 {
@@ -70,7 +69,7 @@
         Some(Step::Apply(run.batch()))
     }
 
-    /// Gives the pull up; what was put together is lost, nothing was applied.
+    /// Cancels the pull from this peer and drops its pages; nothing was applied.
     pub fn failed(&mut self, peer: &Peer) {
         if self.run.as_ref().is_some_and(|run| run.peer == *peer) {
             self.run = None;
@@ -79,7 +78,7 @@
 }
 
 impl Run {
-    /// A key that changed while the pull went on comes again, later.
+    /// Adds an item; a key that changes during the pull arrives again in a later page.
     fn take(&mut self, item: Item) {
         let newer = |held: &Item| held.revision < item.revision;
         if self.items.get(&item.key).is_none_or(newer) {
@@ -90,7 +89,7 @@
     fn batch(self) -> Batch {
         let mut items: Vec<_> = self.items.into_values().collect();
         items.sort_by_key(|item| item.revision);
-        // From nothing on, what was put together is everything that exists.
+        // All pages from zero on together are everything that exists.
         let scope = if self.from == 0 { Scope::Whole } else { Scope::After(self.from) };
         Batch { items, revision: self.reached, scope }
     }
--- a/crates/spread/src/push.rs
+++ b/crates/spread/src/push.rs
@@ -1,7 +1,8 @@
-//! What each child has been pushed.
+//! Pushes of changes to the children of this instance.
 //!
-//! At most one push to a child is under way; what changes meanwhile goes with the next one. A child
-//! that can't be served by changes alone is left to its own pull.
+//! At most one push to a child is in flight; changes made meanwhile are sent with the next one. A
+//! child that needs more than one page of changes, or the whole configuration, isn't pushed to: it
+//! pulls.
 
 use std::collections::BTreeMap;
 
@@ -14,12 +15,12 @@
 use crate::replica::PAGE_BYTES;
 use crate::replica::Replica;
 
-/// A push to make.
+/// A push to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Push {
-    /// To whom.
+    /// The receiver.
     pub peer: Peer,
-    /// What; its scope is always [`crate::batch::Scope::After`].
+    /// The changes; the scope is always [`crate::batch::Scope::After`].
     pub batch: Batch,
 }
 
@@ -29,14 +30,15 @@
     under_way: bool,
 }
 
-/// The children and how far each has been pushed.
+/// The children and the revision to which each has been pushed.
 #[derive(Clone, Debug, Default)]
 pub struct Children {
     children: BTreeMap<Instance, Child>,
 }
 
 impl Children {
-    /// Returns the pushes to make after changes that continue from `before`.
+    /// Returns the pushes to be made after changes. A new child is assumed to have everything up to
+    /// `before`.
     pub fn changed<'a>(
         &mut self,
         held: &Replica,
@@ -55,14 +57,14 @@
         pushes
     }
 
-    /// Returns the next push to a child that took the last one, if more changed meanwhile.
+    /// Records that a child accepted a push; returns the next one if more changed meanwhile.
     pub fn accepted(&mut self, held: &Replica, peer: &Peer) -> Option<Push> {
         let child = self.children.get_mut(&peer.instance)?;
         child.under_way = false;
         child.push(held, peer)
     }
 
-    /// Forgets a child that did not take a push.
+    /// Removes a child that failed to accept a push.
     pub fn failed(&mut self, peer: &Peer) {
         self.children.remove(&peer.instance);
     }
@@ -70,7 +72,7 @@
 
 impl Child {
     fn push(&mut self, held: &Replica, peer: &Peer) -> Option<Push> {
-        // A change ahead of `in_force` waits until what lies between is known.
+        // A change above `in_force` isn't pushed before the changes in between are known.
         let known = held.last_change().min(held.in_force());
         if self.under_way || self.pushed >= known {
             return None;
--- a/crates/spread/src/rank.rs
+++ b/crates/spread/src/rank.rs
@@ -1,7 +1,7 @@
-//! The order of a failure domain's instances, on which all of them agree without talking.
+//! Order of the instances of a failure domain, on which all of them agree without communication.
 //!
-//! Rendezvous hashing: each name has a weight of its own, so an instance that comes or goes moves
-//! no other one.
+//! Instances are ordered by a hash of their names (rendezvous hashing), so one that is added or
+//! removed doesn't change the order of the others.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,17 +19,17 @@
 pub struct Peer {
     /// Its name.
     pub instance: Instance,
-    /// Which life of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where it is.
+    /// Its failure domain.
     pub domain: Domain,
-    /// Where it answers calls.
+    /// Address at which it answers calls.
     pub address: SocketAddr,
 }
 
-/// Returns the live instances of ours, each domain's by rising rank.
+/// Returns the live instances that follow the configuration, by domain and in order of rank.
 ///
-/// `me` is always among them, since a list that lags may not know it yet.
+/// Always includes `me`, which an outdated list may lack.
 pub fn rank(me: &Peer, members: &[Member]) -> BTreeMap<Domain, Vec<Peer>> {
     let mut domains: BTreeMap<Domain, Vec<Peer>> = BTreeMap::new();
     let others =
@@ -43,7 +43,7 @@
     domains
 }
 
-/// Tells whether a member follows the configuration and stays.
+/// Returns `true` if a member follows the configuration and isn't leaving.
 pub fn is_follower(member: &Member) -> bool {
     let ours = matches!(member.role, Role::Entry | Role::Placer | Role::Operator);
     ours && member.state == State::Live
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -1,9 +1,9 @@
-//! The configuration held by this instance.
+//! This instance's replica of the configuration.
 //!
-//! Two marks order everything. `in_force`: every change up to it is reflected here. `floor`: below
-//! it not every removal is known, or still remembered, so a peer that lags behind it is given the
-//! whole configuration instead of changes. The invariant `floor <= in_force` makes forgetting safe:
-//! a change at or below `in_force` is never taken, remembered or not.
+//! `in_force` is the revision up to which every change is applied. `history_start` is the revision
+//! below which not every removal is known, because it was never seen or is compacted; a peer below
+//! it gets the whole configuration instead of changes. The invariant `history_start <= in_force`
+//! makes compaction safe: a change at or below `in_force` is never applied, remembered or not.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -16,60 +16,62 @@
 use crate::batch::Batch;
 use crate::batch::Scope;
 
-/// A key of the store, shared between the tables that hold it.
+/// A key of the store, shared between the maps that contain it.
 pub type Key = Arc<str>;
 
-/// Removals that are remembered one by one: more than a day of changes at the size of two years.
+/// Maximum number of remembered removals; more than a day of changes at the size expected in two
+/// years.
 pub const TOMBSTONES_MAX: usize = 65_536;
-/// Bytes of keys and values after which a page for a peer ends; the peer asks again from there.
+/// Bytes of keys and values after which a page for a peer ends; the peer then asks for the next
+/// one.
 pub const PAGE_BYTES: usize = 256 * 1024;
 
 /// The last change of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Version {
-    /// The value, or nothing when the key was removed.
+    /// The value, or `None` if the key was removed.
     pub value: Option<Arc<[u8]>>,
     /// Revision of the change.
     pub revision: Revision,
 }
 
-/// A change that has just come into force here.
+/// A change that has just come into force at this instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// The whole key.
+    /// The full key.
     pub key: Key,
-    /// What it was changed to. A removal may be forgotten again by the time this is read.
+    /// The new version. The replica may have compacted a removal by the time this is read.
     pub version: Version,
 }
 
-/// How a batch fitted onto what is held.
+/// Relation of a batch to the configuration in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Continuity {
-    /// It continued from what is held, or repeated it.
+    /// It continued from the revision in force, or repeated changes up to it.
     Joined,
-    /// Changes between what is held and the batch are missing; they have to be asked for.
+    /// Changes between the revision in force and the batch are missing and have to be pulled.
     Gap,
-    /// It claims less than what is in force here.
+    /// It reaches a lower revision than the one in force.
     Stale,
 }
 
-/// What applying a batch did.
+/// Result of applying a batch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// By rising revision.
+    /// The changes that came into force, in ascending order of revision.
     pub changes: Vec<Change>,
-    /// How the batch fitted.
+    /// Relation of the batch to the configuration in force before.
     pub continuity: Continuity,
 }
 
-/// A part of what is held, by rising revision.
+/// A page of changes, in ascending order of revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
     /// The changes.
     pub batch: Batch,
-    /// Whether removals may be missing among them.
+    /// Whether removals may be missing from the changes.
     pub lacks_removals: bool,
-    /// Whether nothing comes after them.
+    /// Whether this is the last page.
     pub last: bool,
 }
 
@@ -91,7 +93,7 @@
 }
 
 impl Replica {
-    /// Holds nothing, and will remember at most `max` removals.
+    /// Creates an empty replica that remembers at most `max` removals.
     pub fn with_tombstones_max(max: usize) -> Replica {
         Replica {
             slots: BTreeMap::new(),
@@ -103,35 +105,35 @@
         }
     }
 
-    /// Returns the revision up to which every change is in force here; zero before the first.
+    /// Returns the revision up to which every change is in force; zero before the first one.
     pub fn in_force(&self) -> Revision {
         self.in_force
     }
 
-    /// Returns the revision of the last change held, which a push to a peer continues from.
+    /// Returns the revision of the last change, from which a push to a peer continues.
     ///
-    /// Between this and [`Replica::in_force`] nothing changed, so a peer that has this one lacks
-    /// nothing, though the store's own revision went on for other reasons.
+    /// If [`Replica::in_force`] is higher, nothing changed in between, and a peer that has this
+    /// revision lacks nothing: the store's revision also rises with other writes.
     pub fn last_change(&self) -> Revision {
         self.by_revision.last().map_or(0, |(revision, _)| *revision)
     }
 
-    /// Finds the last change of a key.
+    /// Returns the last change of a key.
     pub fn get(&self, key: &str) -> Option<&Version> {
         self.slots.get(key)
     }
 
-    /// Walks the keys that exist, by rising key.
+    /// Returns the existing keys in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &Version)> {
         self.slots.iter().filter(|(_, slot)| slot.value.is_some())
     }
 
-    /// Counts the removals that are remembered.
+    /// Returns the number of remembered removals.
     pub fn tombstone_count(&self) -> usize {
         self.tombstones.len()
     }
 
-    /// Takes from a batch what is newer than what is held.
+    /// Applies the changes of a batch that are newer than those in the replica.
     pub fn apply(&mut self, batch: Batch) -> Applied {
         let before = self.in_force;
         let continuity = match batch.scope {
@@ -150,8 +152,8 @@
         }
         if continuity == Continuity::Joined {
             if batch.scope == Scope::Whole && batch.revision > self.in_force {
-                // Keys that came and went since `in_force` were never seen here, so their removals
-                // can't be told to a peer that lags behind this read.
+                // Keys that were created and removed since `in_force` were never seen here, so a
+                // peer below this revision can't be sent their removals.
                 self.floor = batch.revision;
             }
             self.in_force = batch.revision;
@@ -162,10 +164,11 @@
         Applied { changes, continuity }
     }
 
-    /// Removes the keys that a whole configuration no longer has. When they were removed isn't
-    /// known, only that it was no later than the batch's revision.
+    /// Removes the keys that a whole configuration no longer contains. The revision of their
+    /// removal is unknown but not above that of the batch.
     fn remove_missing(&mut self, batch: &Batch, changes: &mut Vec<Change>) {
-        // A removal among the items may be older than the last one, which its sender never saw.
+        // A removal among the items may be older than the key's last one, which the sender never
+        // saw; it doesn't count as present.
         let existing = batch.items.iter().filter(|item| item.value.is_some());
         let present: BTreeSet<&str> = existing.map(|item| item.key.as_str()).collect();
         let missing: Vec<Key> = self
@@ -181,8 +184,8 @@
     }
 
     fn take(&mut self, item: peer::Item, changes: &mut Vec<Change>) {
-        // Everything up to `in_force` is reflected, so such a change is a repeat or was overtaken,
-        // also where its key is no longer remembered.
+        // Every change up to `in_force` is applied, so this one is a repeat or superseded, even if
+        // its key is no longer remembered.
         if item.revision <= self.in_force {
             return;
         }
@@ -210,8 +213,8 @@
         self.by_revision.insert((revision, key));
     }
 
-    /// Forgets the oldest removals over the limit, but none above `in_force`: those still guard
-    /// against an older write that is on its way.
+    /// Drops the oldest removals over the limit, except those above `in_force`, which still protect
+    /// against older writes that arrive later.
     fn compact(&mut self) {
         while self.tombstones.len() > self.tombstones_max {
             let Some(oldest) = self.tombstones.first().cloned() else { return };
@@ -225,7 +228,7 @@
         }
     }
 
-    /// Returns everything that someone lacks who has everything up to `after` in force.
+    /// Returns everything that a peer lacks which has every change up to `after` in force.
     pub fn since(&self, after: Revision) -> Batch {
         if after < self.floor {
             return self.whole();
@@ -233,11 +236,12 @@
         self.page(after, usize::MAX).batch
     }
 
-    /// Returns the first changes above `after`, until they take more than `limit` bytes.
+    /// Returns the first changes above `after`, up to about `limit` bytes.
     ///
-    /// Below the floor not every removal is among them, which the page tells. The pages from
-    /// nothing on are nevertheless everything that exists, with the removals that happen meanwhile,
-    /// as long as the removals remembered outlast the asking; [`crate::pull`] puts them together.
+    /// If `after` is below `history_start`, removals may be missing, and the page says so. All
+    /// pages from zero on, assembled by [`crate::pull`], nevertheless contain every existing key
+    /// and the removals that happen meanwhile, as long as those aren't compacted before the last
+    /// page.
     pub fn page(&self, after: Revision, limit: usize) -> Page {
         let scope = Scope::After(after);
         let lacks_removals = after < self.floor;
@@ -246,9 +250,9 @@
         let mut reached = after;
         let range = (Bound::Excluded((after, Key::from(MAX_KEY))), Bound::Unbounded);
         for (revision, key) in self.by_revision.range(range) {
-            // Changes of one revision stay together, so that the revision reached is complete. So
-            // do the few that are ahead of `in_force`: each may have overtaken a change below it,
-            // which is then known here no more.
+            // Changes of one revision stay together, so that the page is complete up to the
+            // revision it reaches. So do the few above `in_force`: each may have superseded a
+            // change of its key below, which is no longer known here.
             if bytes >= limit && *revision > reached && *revision <= self.in_force {
                 let batch = Batch { items, revision: reached, scope };
                 return Page { batch, lacks_removals, last: false };
@@ -262,7 +266,7 @@
         Page { batch: Batch { items, revision, scope }, lacks_removals, last: true }
     }
 
-    /// Returns every key that exists, and the removals that are ahead of what the batch claims.
+    /// Returns every existing key and the removals above the batch's revision.
     fn whole(&self) -> Batch {
         let ahead = |slot: &Version| slot.value.is_some() || slot.revision > self.in_force;
         let slots = self.slots.iter().filter(|(_, slot)| ahead(slot));
@@ -278,5 +282,5 @@
     }
 }
 
-/// Sorts after every key of ours, which are ASCII.
+/// A string that sorts after every key, as keys are ASCII.
 const MAX_KEY: &str = "\u{10FFFF}";
--- a/crates/spread/tests/gossip.rs
+++ b/crates/spread/tests/gossip.rs
@@ -1,8 +1,8 @@
 //! Runs the scenario files of `filetests/gossip` against [`Gossip`], as seen by one instance.
 //!
-//! `open` names the instance and its domain; `members` takes one line for each listed instance
-//! (`name domain incarnation` and perhaps `leaving` or a role); `failed` and `answered` tell how a
-//! call ended; `view` prints who is whose parent; `calls` prints the calls of a stretch of time.
+//! `open` names the instance and its domain; `members` has one line for each listed instance (`name
+//! domain incarnation` and optionally `leaving` or a role); `failed` and `answered` report how a
+//! call ended; `view` prints the parent and the children; `calls` prints the calls of a period.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/spread/tests/held.rs
+++ b/crates/spread/tests/held.rs
@@ -1,8 +1,8 @@
 //! Runs the scenario files of `filetests/held` against [`Replica`].
 //!
-//! `apply` takes one line for each item (`revision key value` or `revision key -` for a removal)
-//! and prints what came into force; `since` prints what someone lacks, `page` the first of it that a
-//! peer is given; `state` prints all.
+//! `apply` has one line for each item (`revision key value` or `revision key -` for a removal) and
+//! prints the changes that came into force; `since` prints everything that a peer lacks, `page` its
+//! first page; `state` prints the whole replica.
 
 use std::fmt::Write as _;
 
--- a/crates/spread/tests/no_revert.rs
+++ b/crates/spread/tests/no_revert.rs
@@ -1,5 +1,5 @@
-//! Under any interleaving of steps, repeats, stale reads, gaps and exchanges between instances, what
-//! is in force never goes back and always agrees with the history of the store.
+//! Property test: under any interleaving of updates, repeats, stale reads, gaps and pulls between
+//! instances, the configuration in force never reverts and always agrees with the store's history.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,30 +20,30 @@
 
 const INSTANCES: usize = 3;
 
-/// One change of the history: its revision is its place, from one.
+/// One change of the history; its revision is its index, from one.
 #[derive(Clone, Debug)]
 struct Write {
     key: u8,
     removes: bool,
 }
 
-/// What happens to one instance; revisions are reduced to those of the history.
+/// One operation on an instance; revisions are taken modulo the length of the history.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A read of the store, perhaps late.
+    /// A snapshot of the store, possibly outdated.
     Snapshot { at: usize },
-    /// A stretch of a watch or a peer's answer, perhaps repeated or with a gap before it.
+    /// A range of changes from a watch or a peer, possibly repeated or with a gap before it.
     Stretch { after: usize, to: usize },
-    /// One exchange of a pull from another instance, which may take several.
+    /// One page of a pull from another instance, which may need several.
     Pull { from: usize },
-    /// The pull under way is given up.
+    /// The pull in progress is cancelled.
     GiveUp,
 }
 
 struct History(Vec<Write>);
 
 impl History {
-    /// The last change of each key within the revisions, by rising revision.
+    /// Returns the last change of each key within the given revisions.
     fn last(&self, after: usize, to: usize) -> BTreeMap<u8, Item> {
         let mut last = BTreeMap::new();
         for revision in after + 1..=to {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Every key is as the history has it at `in_force`, or later.
+/// Checks that every key has its state at `in_force` according to the history, or a later one.
 fn check(history: &History, held: &Replica) {
     let truth = history.last(0, held.in_force() as usize);
     for item in truth.values() {
@@ -108,7 +108,7 @@
     prop::collection::vec((0..INSTANCES, step), 0..60)
 }
 
-/// An instance and its pull under way.
+/// An instance and its pull in progress.
 #[derive(Clone)]
 struct Instance {
     held: Replica,
@@ -116,7 +116,7 @@
     asking: Option<(usize, Revision)>,
 }
 
-/// How much is remembered and sent at once.
+/// Limits of remembered removals and of page size.
 #[derive(Clone, Copy, Debug)]
 struct Limits {
     tombstones: usize,
@@ -124,7 +124,8 @@
 }
 
 impl Limits {
-    /// A pull is promised to be right only where the removals remembered outlast it.
+    /// Whether a pull has to run without interruption: it is correct only if no removal made during
+    /// it is compacted.
     fn at_once(self) -> bool {
         self.tombstones < 1000
     }
@@ -142,7 +143,8 @@
     Peer { instance: at.to_string().into(), incarnation: 1, domain: "a".into(), address }
 }
 
-/// Makes one exchange of the pull under way, or begins one; tells whether the pull has ended.
+/// Requests one page of the pull in progress, or of a new one; returns `true` if the pull has
+/// ended.
 fn pull(
     history: &History,
     instances: &mut [Instance],
@@ -204,7 +206,8 @@
                 }
             }
         }
-        // One instance reaches the end by the store, the others from it; then all agree.
+        // One instance reads the last revision from the store and the others pull from it; then all
+        // agree.
         take(&history, &mut instances[0].held, history.batch(0, end, Scope::Whole));
         for at in 1..INSTANCES {
             if let Some((from, _)) = instances[at].asking.take() {
--- a/crates/spread/tests/tree.rs
+++ b/crates/spread/tests/tree.rs
@@ -1,4 +1,4 @@
-//! Whatever the list holds, instances that agree on it form one tree for each domain.
+//! Property test: instances with the same list form exactly one tree for each domain.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -52,14 +52,14 @@
     }
 }
 
-/// Who has found out that an instance is silent.
+/// Instances that know that one is unresponsive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Known {
     ToAll,
     ToThoseThatCallIt,
 }
 
-/// What every following instance makes of the list.
+/// Returns the view of every instance that follows the configuration.
 fn views(members: &[Member]) -> Vec<(Peer, Gossip)> {
     let following = members.iter().filter(|member| rank::is_follower(member)).map(peer);
     following
@@ -71,7 +71,7 @@
         .collect()
 }
 
-/// Silences one instance.
+/// Makes one instance unresponsive.
 fn silence(views: &mut Vec<(Peer, Gossip)>, silent: &Peer, known: Known) {
     views.retain(|(me, _)| me != silent);
     for (_, gossip) in views {
--- a/crates/spread/tests/ways.rs
+++ b/crates/spread/tests/ways.rs
@@ -1,6 +1,7 @@
-//! The shipped decisions bring every change into force everywhere in virtual time, whatever fails.
+//! The production decisions bring every change into force at every instance under each simulated
+//! fault.
 
-// The example uses what is left over here.
+// The example uses the items that are unused here.
 #[allow(dead_code)]
 #[path = "../examples/ways/fleet.rs"]
 mod fleet;
@@ -22,11 +23,11 @@
 use yare::parameterized;
 
 const LENGTH: Duration = Duration::from_secs(60);
-/// The users' limit at the size of two years.
+/// Required maximum time until a change is in force, at the fleet size expected in two years.
 const WITHIN: Duration = Duration::from_secs(17);
-/// A change that comes by pushes is in force sooner than the next pull.
+/// Maximum median time to be in force by pushes, shorter than the interval of pulls.
 const PUSHED: Duration = Duration::from_millis(100);
-/// What a daemon may spend on control in a second.
+/// Maximum bytes per second that a daemon may spend on control traffic.
 const BYTES: f64 = 13_000.0;
 
 fn run(instances: usize, domains: usize, fault: Fault, seed: u64) -> Outcome {
