--- a/crates/routing/examples/step_cost.rs
+++ b/crates/routing/examples/step_cost.rs
@@ -64,7 +64,7 @@
 
 /// Runs requests through a router. Once `busy_max` requests are in progress, each arrival ends the
 /// oldest of them.
-fn round(requests: u64, service: &str, most: usize) -> Duration {
+fn round(requests: u64, service: &str, busy_max: usize) -> Duration {
     let mut router = open();
     let mut actions = Vec::with_capacity(16);
     let mut busy = VecDeque::with_capacity(BUSY + 1);
@@ -80,8 +80,8 @@
     for request in 0..requests {
         now += GAP;
         router.step(now, Event::Arrived { request, arrival: arrival.clone() }, &mut actions);
-        if busy.len() >= most {
-            let attempt = busy.pop_front().expect("some are busy");
+        if busy.len() >= busy_max {
+            let attempt = busy.pop_front().expect("a request is in progress");
             let ending = Ending::Answered { status: 200, leaving: false };
             router.step(now, Event::Ended { attempt, ending }, &mut actions);
         }
@@ -94,8 +94,9 @@
     start.elapsed()
 }
 
-fn report(what: &str, requests: u64, service: &str, most: usize) {
-    let mut rounds: Vec<Duration> = (0..ROUNDS).map(|_| round(requests, service, most)).collect();
+fn report(what: &str, requests: u64, service: &str, busy_max: usize) {
+    let mut rounds: Vec<Duration> =
+        (0..ROUNDS).map(|_| round(requests, service, busy_max)).collect();
     rounds.sort();
     let nanos = rounds[ROUNDS / 2].as_nanos() / u128::from(requests);
     println!("{what}: {nanos} ns a request");
--- a/crates/routing/src/arrival.rs
+++ b/crates/routing/src/arrival.rs
@@ -28,11 +28,11 @@
     /// Adds a declared service or updates its declaration.
     pub(crate) fn declare(&mut self, name: id::Service, spec: Arc<Spec>) {
         self.is_ready = true;
-        let backing = match &spec.backends_of {
+        let pool_name = match &spec.backends_of {
             Some(other) => id::Service::from(other.as_str()),
             None => name.clone(),
         };
-        let pool = self.pool_id(&backing);
+        let pool = self.pool_id(&pool_name);
         match self.service_ids.get(&name) {
             Some(&known) => self.services[known].redeclare(spec, pool),
             None => {
@@ -99,8 +99,8 @@
         }
         let service = *self.service_ids.get(&arrival.service).ok_or(Code::NoService)?;
         let Service { spec, pool, .. } = &self.services[service];
-        let allowed = arrival.deadline.unwrap_or(spec.deadline);
-        if allowed.is_zero() || allowed > spec.deadline_max {
+        let time_limit = arrival.deadline.unwrap_or(spec.deadline);
+        if time_limit.is_zero() || time_limit > spec.deadline_max {
             return Err(Code::BadDeadline);
         }
         self.last_sequence += 1;
@@ -112,7 +112,7 @@
             idempotent: arrival.idempotent,
             key: if arrival.idempotent { None } else { arrival.key },
             claimed: false,
-            deadline: now + allowed,
+            deadline: now + time_limit,
             sequence: self.last_sequence,
             attempts: 0,
             hedged: false,
@@ -124,7 +124,7 @@
         };
         let id = self.requests.insert(request);
         let old = self.request_ids.insert(number, id);
-        assert!(old.is_none(), "a request's number is its own while it is in progress");
+        assert!(old.is_none(), "the number of a request in progress is unique");
         let service = &mut self.services[service];
         service.requests += 1;
         service.budget.earn();
@@ -160,7 +160,7 @@
     /// Handles the answer of a key's owner.
     pub(crate) fn claimed(&mut self, number: id::Request, verdict: Claimed, step: &mut Step<'_>) {
         let Some(&id) = self.request_ids.get(&number) else {
-            self.orphan_claimed(number, &verdict, step);
+            self.release_ended_claim(number, &verdict, step);
             return;
         };
         let request = &mut self.requests[id];
@@ -168,7 +168,7 @@
             return;
         }
         let Stage::Claiming(claiming) = request.take_stage() else {
-            unreachable!("the stage was just looked at");
+            unreachable!("the stage was just checked");
         };
         request.stage = Stage::Idle(claiming.granted());
         let end = match verdict {
@@ -186,15 +186,15 @@
     }
 
     /// Releases a key that was granted to a request which has already ended.
-    fn orphan_claimed(&mut self, number: id::Request, verdict: &Claimed, step: &mut Step<'_>) {
-        let Some(orphan) = self.ended_claims.remove(&number) else { return };
+    fn release_ended_claim(&mut self, number: id::Request, verdict: &Claimed, step: &mut Step<'_>) {
+        let Some(claim) = self.ended_claims.remove(&number) else { return };
         if *verdict != Claimed::Granted {
             return;
         }
         step.act(Action::Settle {
             request: number,
-            service: orphan.service,
-            key: orphan.key,
+            service: claim.service,
+            key: claim.key,
             settled: Settled::NotRun,
         });
     }
@@ -211,8 +211,8 @@
         if request.class == Class::Paying {
             return 0;
         }
-        let owner = self.service_ids.get(&self.pools[request.pool].name);
-        let service = owner.copied().unwrap_or(request.service);
+        let pool_service = self.service_ids.get(&self.pools[request.pool].name);
+        let service = pool_service.copied().unwrap_or(request.service);
         self.services[service].spec.reserve_permille
     }
 }
--- a/crates/routing/src/attempt.rs
+++ b/crates/routing/src/attempt.rs
@@ -10,9 +10,9 @@
 use crate::request::Request;
 
 /// Number of cancelled attempts whose backend servers are remembered; a power of two.
-const GIVEN_UP: usize = 1024;
+const CANCELLED_MAX: usize = 1024;
 
-/// One attempt in flight.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlight {
     /// Its request.
@@ -27,7 +27,7 @@
 
 /// A cancelled attempt.
 #[derive(Clone, Copy, Debug)]
-struct GivenUp {
+struct Cancelled {
     attempt: Attempt,
     backend: Id<Backend>,
 }
@@ -38,12 +38,12 @@
 pub struct Attempts {
     last: Attempt,
     in_flight: HashMap<Attempt, InFlight>,
-    given_up: Vec<Option<GivenUp>>,
+    cancelled: Vec<Option<Cancelled>>,
 }
 
 impl Default for Attempts {
     fn default() -> Self {
-        Attempts { last: 0, in_flight: HashMap::new(), given_up: vec![None; GIVEN_UP] }
+        Attempts { last: 0, in_flight: HashMap::new(), cancelled: vec![None; CANCELLED_MAX] }
     }
 }
 
@@ -62,16 +62,18 @@
 
     /// Removes and returns an attempt whose ending is no longer needed.
     pub fn cancel(&mut self, attempt: Attempt) -> InFlight {
-        let ended = self.end(attempt).expect("an attempt is given up while it is in flight");
-        let slot = attempt as usize % GIVEN_UP;
-        self.given_up[slot] = Some(GivenUp { attempt, backend: ended.backend });
+        let ended = self.end(attempt).expect("a cancelled attempt is in flight");
+        let index = attempt as usize % CANCELLED_MAX;
+        self.cancelled[index] = Some(Cancelled { attempt, backend: ended.backend });
         ended
     }
 
     /// Returns the backend server of a cancelled attempt, if it is still remembered.
     pub fn cancelled_backend(&self, attempt: Attempt) -> Option<Id<Backend>> {
-        let slot = attempt as usize % GIVEN_UP;
-        self.given_up[slot].filter(|known| known.attempt == attempt).map(|known| known.backend)
+        let index = attempt as usize % CANCELLED_MAX;
+        self.cancelled[index]
+            .filter(|cancelled| cancelled.attempt == attempt)
+            .map(|cancelled| cancelled.backend)
     }
 
     /// Returns `true` if the number was ever issued.
--- a/crates/routing/src/backend.rs
+++ b/crates/routing/src/backend.rs
@@ -16,7 +16,7 @@
 use crate::pool::Pool;
 
 /// Multiple of its expected latency for which a backend server may be silent before it is avoided.
-const SILENCE: f64 = 3.0;
+const SILENCE_FACTOR: f64 = 3.0;
 
 /// Availability of a backend server for new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -161,7 +161,7 @@
         let mut expected = self.latency.expected(now, typical);
         if self.in_flight > 0 {
             let silent = self.silence(now).as_secs_f64();
-            if silent > SILENCE * expected {
+            if silent > SILENCE_FACTOR * expected {
                 expected = silent;
             }
         }
--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -8,23 +8,23 @@
 use rand::rngs::SmallRng;
 
 /// Upper bound of the delay before the first delayed retry; doubles with each further retry.
-const BASE: Duration = Duration::from_millis(10);
+const RETRY_DELAY_BASE: Duration = Duration::from_millis(10);
 /// Upper bound of the delay before any retry.
-const MAX: Duration = Duration::from_millis(500);
+const RETRY_DELAY_MAX: Duration = Duration::from_millis(500);
 /// Minimum delay after which a refused caller should retry.
-const COME_BACK: Duration = Duration::from_secs(1);
+const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
 /// Returns a random delay before the given retry, counted from one.
 ///
 /// The first retry has no delay if there is an untried backend server. The others are delayed by a
 /// uniform random time up to a doubling bound, so that simultaneous failures aren't retried
 /// simultaneously.
-pub fn delay(retry: u8, is_elsewhere: bool, rng: &mut SmallRng) -> Duration {
-    if retry <= 1 && is_elsewhere {
+pub fn delay(retry: u8, has_untried: bool, rng: &mut SmallRng) -> Duration {
+    if retry <= 1 && has_untried {
         return Duration::ZERO;
     }
     let doublings = u32::from(retry.saturating_sub(1)).min(16);
-    let bound = BASE.saturating_mul(1 << doublings).min(MAX);
+    let bound = RETRY_DELAY_BASE.saturating_mul(1 << doublings).min(RETRY_DELAY_MAX);
     Duration::from_micros(rng.random_range(0..=bound.as_micros() as u64))
 }
 
@@ -34,14 +34,14 @@
     match code {
         Code::TrialShed | Code::BatchShed | Code::QueueFull | Code::QueueTimeout => {
             // The jitter keeps callers that were refused together from retrying together.
-            Some(COME_BACK + Duration::from_millis(rng.random_range(0..=1000)))
+            Some(RETRY_AFTER_MIN + Duration::from_millis(rng.random_range(0..=1000)))
         }
         Code::NoBackend | Code::Refused | Code::Stopping | Code::NotReady | Code::Busy => {
-            Some(COME_BACK)
+            Some(RETRY_AFTER_MIN)
         }
-        Code::KeyInProgress | Code::KeyOwnerUnreachable => Some(COME_BACK),
+        Code::KeyInProgress | Code::KeyOwnerUnreachable => Some(RETRY_AFTER_MIN),
         Code::KeyAlreadyRun | Code::AnswerTooLarge => None,
-        _ if code.outcome() == Outcome::Unknown && repeatable => Some(COME_BACK),
+        _ if code.outcome() == Outcome::Unknown && repeatable => Some(RETRY_AFTER_MIN),
         _ => None,
     }
 }
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -42,53 +42,58 @@
 
 /// Chooses a backend server within one locality of a pool.
 pub fn choose(
-    side: &Locality,
-    wish: Criteria<'_>,
+    locality: &Locality,
+    criteria: Criteria<'_>,
     backends: &Table<Backend>,
 ) -> Option<Id<Backend>> {
-    probe(side, wish, backends).or_else(|| better_of_two(side, wish, backends))
+    probe(locality, criteria, backends).or_else(|| better_of_two(locality, criteria, backends))
 }
 
 /// Returns a backend server that is to be probed with one request.
-fn probe(side: &Locality, wish: Criteria<'_>, backends: &Table<Backend>) -> Option<Id<Backend>> {
+fn probe(
+    locality: &Locality,
+    criteria: Criteria<'_>,
+    backends: &Table<Backend>,
+) -> Option<Id<Backend>> {
     let fits = |id: &Id<Backend>| {
-        !wish.exclude.contains(id) && (wish.may_probe || !backends[*id].health.is_risky(wish.now))
+        !criteria.exclude.contains(id)
+            && (criteria.may_probe || !backends[*id].health.is_risky(criteria.now))
     };
-    side.probes.iter().copied().find(fits)
+    locality.probes.iter().copied().find(fits)
 }
 
 fn better_of_two(
-    side: &Locality,
-    wish: Criteria<'_>,
+    locality: &Locality,
+    criteria: Criteria<'_>,
     backends: &Table<Backend>,
 ) -> Option<Id<Backend>> {
-    let count = side.ready.len();
+    let count = locality.ready.len();
     if count == 0 {
         return None;
     }
-    let place = within(wish.draw.first, count);
-    let first = next_from(&side.ready, place, |id| !wish.exclude.contains(&id))?;
+    let start = scale(criteria.draw.first, count);
+    let first = next_from(&locality.ready, start, |id| !criteria.exclude.contains(&id))?;
     if count == 1 {
         return Some(first);
     }
-    let place = place + 1 + within(wish.draw.second, count - 1);
-    let other = |id| id != first && !wish.exclude.contains(&id);
-    let Some(second) = next_from(&side.ready, place, other) else { return Some(first) };
-    let cost = |id: Id<Backend>| backends[id].cost(wish.now, wish.typical);
+    let start = start + 1 + scale(criteria.draw.second, count - 1);
+    let other = |id| id != first && !criteria.exclude.contains(&id);
+    let Some(second) = next_from(&locality.ready, start, other) else { return Some(first) };
+    let cost = |id: Id<Backend>| backends[id].cost(criteria.now, criteria.typical);
     if cost(second) < cost(first) { Some(second) } else { Some(first) }
 }
 
 /// Scales a random draw to a number below `count`.
-fn within(draw: u32, count: usize) -> usize {
+fn scale(draw: u32, count: usize) -> usize {
     ((u64::from(draw) * count as u64) >> u32::BITS) as usize
 }
 
 /// Returns the first backend server at or cyclically after `start` for which `fits` holds.
 fn next_from(
     ready: &[Id<Backend>],
-    place: usize,
+    start: usize,
     fits: impl Fn(Id<Backend>) -> bool,
 ) -> Option<Id<Backend>> {
-    let (before, after) = ready.split_at(place % ready.len());
+    let (before, after) = ready.split_at(start % ready.len());
     after.iter().chain(before).copied().find(|&id| fits(id))
 }
--- a/crates/routing/src/cooldown.rs
+++ b/crates/routing/src/cooldown.rs
@@ -5,7 +5,7 @@
 use cowslipchute_base::id::Time;
 
 /// Minimum time between two log events of the same cause.
-const EVERY: Duration = Duration::from_secs(10);
+const INTERVAL: Duration = Duration::from_secs(10);
 
 /// Time of the last log event of one cause.
 #[derive(Clone, Copy, Debug, Default)]
@@ -16,7 +16,7 @@
 impl Cooldown {
     /// Starts a new interval and returns `true`, unless the last one hasn't passed yet.
     pub fn start(&mut self, now: Time) -> bool {
-        if self.last.is_some_and(|last| now.saturating_sub(last) < EVERY) {
+        if self.last.is_some_and(|last| now.saturating_sub(last) < INTERVAL) {
             return false;
         }
         self.last = Some(now);
--- a/crates/routing/src/ending.rs
+++ b/crates/routing/src/ending.rs
@@ -29,12 +29,12 @@
 const SERVER_ERROR: u16 = 500;
 /// Multiple of the typical latency as which a failure counts, so that a fast failure doesn't make a
 /// backend server look fast.
-const PENALTY: f64 = 5.0;
+const PENALTY_FACTOR: f64 = 5.0;
 /// Multiple of the pool's typical latency above which an answer is slow.
-const SLOW: f64 = 5.0;
+const SLOW_FACTOR: f64 = 5.0;
 /// Multiple of the pool's typical latency above which a cancelled attempt counts against its
 /// backend server.
-const OVERDUE: f64 = 3.0;
+const OVERDUE_FACTOR: f64 = 3.0;
 /// Maximum latency that a failure counts as.
 const PENALTY_MAX: Duration = Duration::from_secs(60);
 
@@ -42,13 +42,13 @@
     /// Handles the ending of an attempt.
     pub(crate) fn ended(&mut self, attempt: Attempt, ending: Ending, step: &mut Step<'_>) {
         let Some(ended) = self.attempts.end(attempt) else {
-            self.ended_late(attempt, ending, step);
+            self.ended_after_cancel(attempt, ending, step);
             return;
         };
-        if says_leaving(ending) {
+        if reports_leaving(ending) {
             self.reported_leaving(ended.backend, step);
         }
-        self.judge(&ended, ending, step);
+        self.record_ending(&ended, ending, step);
         self.release(&ended, step);
         let id = ended.request;
         match ending {
@@ -69,7 +69,7 @@
 
     /// Drops the ending of a cancelled attempt, except for a report that the backend server is
     /// leaving. Its request has ended or has another attempt.
-    fn ended_late(&mut self, attempt: Attempt, ending: Ending, step: &mut Step<'_>) {
+    fn ended_after_cancel(&mut self, attempt: Attempt, ending: Ending, step: &mut Step<'_>) {
         if !self.attempts.was_issued(attempt) {
             return;
         }
@@ -80,7 +80,7 @@
             None => Instance::from("unknown"),
         };
         step.log(log::Event::LateAnswer, &subject);
-        if let Some(id) = backend.filter(|_| says_leaving(ending)) {
+        if let Some(id) = backend.filter(|_| reports_leaving(ending)) {
             self.reported_leaving(id, step);
         }
     }
@@ -90,12 +90,12 @@
         &mut self,
         id: Id<Request>,
         attempt: Attempt,
-        doubt: Option<Code>,
+        may_have_run: Option<Code>,
         code: Code,
         step: &mut Step<'_>,
     ) {
         let request = &mut self.requests[id];
-        request.may_have_run = request.may_have_run.or(doubt);
+        request.may_have_run = request.may_have_run.or(may_have_run);
         request.last_failure = code;
         self.end_running(id, attempt);
         if self.requests[id].running().is_empty() {
@@ -106,7 +106,7 @@
     fn end_running(&mut self, id: Id<Request>, attempt: Attempt) {
         let request = &mut self.requests[id];
         let Stage::Running(running) = request.take_stage() else {
-            unreachable!("a request with an attempt in flight runs");
+            unreachable!("a request with an attempt in flight is running");
         };
         request.stage = running.ended(attempt);
     }
@@ -131,7 +131,7 @@
     /// Takes a retry from the budget and returns its delay, or `None` if there is no retry.
     fn retry_delay(&mut self, id: Id<Request>, step: &mut Step<'_>) -> Option<Duration> {
         let request = &self.requests[id];
-        let is_elsewhere = self.has_untried(request);
+        let has_untried = self.has_untried(request);
         let service = &mut self.services[request.service];
         let usable = self.pools[request.pool].usable();
         let is_allowed = request.may_repeat()
@@ -141,7 +141,7 @@
         if !is_allowed {
             return None;
         }
-        let delay = backoff::delay(request.attempts, is_elsewhere, &mut self.rng);
+        let delay = backoff::delay(request.attempts, has_untried, &mut self.rng);
         if step.now + delay >= request.deadline {
             return None;
         }
@@ -161,12 +161,12 @@
         let latency = step.now - ended.sent;
         let backend = &mut self.backends[ended.backend];
         let typical = self.pools[backend.pool].typical;
-        let is_overdue = latency.as_secs_f64() > OVERDUE * typical.seconds();
+        let is_overdue = latency.as_secs_f64() > OVERDUE_FACTOR * typical.seconds();
         let is_silent = backend.last_progress <= ended.sent;
         if is_overdue && ended.sent >= self.stall_ended {
             backend.latency.observe(step.now, latency, typical);
-            let sign = if is_silent { Signal::Failure } else { Signal::Slow };
-            self.weigh(ended.backend, sign, step);
+            let signal = if is_silent { Signal::Failure } else { Signal::Slow };
+            self.record_signal(ended.backend, signal, step);
         }
         self.release(&ended, step);
     }
@@ -175,11 +175,11 @@
     fn release(&mut self, ended: &InFlight, step: &mut Step<'_>) {
         let backend = &mut self.backends[ended.backend];
         let pool = backend.pool;
-        assert!(backend.in_flight > 0, "as many attempts end as were begun");
+        assert!(backend.in_flight > 0, "an attempt ends only once");
         backend.in_flight -= 1;
-        let is_over = backend.presence == Presence::Gone && backend.in_flight == 0;
+        let is_unused = backend.presence == Presence::Gone && backend.in_flight == 0;
         self.pools[pool].refresh(step.now, ended.backend, &mut self.backends);
-        if is_over {
+        if is_unused {
             self.remove_backend(ended.backend);
         }
         self.mark_changed(pool);
@@ -188,7 +188,7 @@
     /// Records an ending in the statistics of the backend server and its pool. Ignores those of
     /// leaving backend servers, which say nothing about the others, and of attempts that were in
     /// flight during a stall of this process.
-    fn judge(&mut self, ended: &InFlight, ending: Ending, step: &mut Step<'_>) {
+    fn record_ending(&mut self, ended: &InFlight, ending: Ending, step: &mut Step<'_>) {
         let is_live = self.backends[ended.backend].presence == Presence::Live;
         if !is_live || ended.sent < self.stall_ended {
             return;
@@ -196,29 +196,29 @@
         let latency = step.now - ended.sent;
         match ending {
             Ending::Answered { status, .. } if status < SERVER_ERROR => {
-                self.judge_answer(ended, latency, step);
+                self.record_answer(ended, latency, step);
             }
             Ending::TooLarge => self.backends[ended.backend].last_progress = step.now,
             Ending::Answered { .. } => {
                 self.backends[ended.backend].last_progress = step.now;
-                self.judge_failure(ended.backend, latency, Signal::Failure, step);
+                self.record_failure(ended.backend, latency, Signal::Failure, step);
             }
             Ending::Refused { .. } => {
                 let backend = &mut self.backends[ended.backend];
                 backend.last_progress = step.now;
                 backend.limit.decrease(step.now);
-                self.judge_failure(ended.backend, latency, Signal::Failure, step);
+                self.record_failure(ended.backend, latency, Signal::Failure, step);
             }
             Ending::Unsent => {
-                self.judge_failure(ended.backend, latency, Signal::Unreachable, step);
+                self.record_failure(ended.backend, latency, Signal::Unreachable, step);
             }
             Ending::Broken | Ending::Truncated => {
-                self.judge_failure(ended.backend, latency, Signal::Failure, step);
+                self.record_failure(ended.backend, latency, Signal::Failure, step);
             }
         }
     }
 
-    fn judge_answer(&mut self, ended: &InFlight, latency: Duration, step: &mut Step<'_>) {
+    fn record_answer(&mut self, ended: &InFlight, latency: Duration, step: &mut Step<'_>) {
         let backend = &mut self.backends[ended.backend];
         let pool = &mut self.pools[backend.pool];
         let request = &self.requests[ended.request];
@@ -226,45 +226,45 @@
         backend.latency.observe(step.now, latency, pool.typical);
         let cap = backend.concurrency_max();
         backend.limit.observe(step.now, latency, ended.at_limit, cap);
-        let usual = pool.typical.seconds();
-        let is_slow = usual > 0.0 && latency.as_secs_f64() > SLOW * usual;
+        let typical = pool.typical.seconds();
+        let is_slow = typical > 0.0 && latency.as_secs_f64() > SLOW_FACTOR * typical;
         pool.typical.observe(latency);
         if request.class == Class::Paying {
             self.services[request.service].latencies.observe(latency);
         }
-        let sign = if is_slow { Signal::Slow } else { Signal::Success };
-        self.weigh(ended.backend, sign, step);
+        let signal = if is_slow { Signal::Slow } else { Signal::Success };
+        self.record_signal(ended.backend, signal, step);
     }
 
-    fn judge_failure(
+    fn record_failure(
         &mut self,
         id: Id<Backend>,
         latency: Duration,
-        sign: Signal,
+        signal: Signal,
         step: &mut Step<'_>,
     ) {
         let backend = &mut self.backends[id];
         let typical = self.pools[backend.pool].typical;
-        let penalty = (PENALTY * typical.seconds()).min(PENALTY_MAX.as_secs_f64());
+        let penalty = (PENALTY_FACTOR * typical.seconds()).min(PENALTY_MAX.as_secs_f64());
         let counted = latency.max(Duration::from_secs_f64(penalty));
         backend.latency.observe(step.now, counted, typical);
-        self.weigh(id, sign, step);
+        self.record_signal(id, signal, step);
     }
 
     /// Records a health signal, which may eject or restore the backend server.
-    fn weigh(&mut self, id: Id<Backend>, sign: Signal, step: &mut Step<'_>) {
+    fn record_signal(&mut self, id: Id<Backend>, signal: Signal, step: &mut Step<'_>) {
         let backend = &mut self.backends[id];
         let pool = &mut self.pools[backend.pool];
-        let is_bad = backend.health.observe(sign, &pool.failures);
-        pool.failures.observe(sign);
+        let is_bad = backend.health.observe(signal, &pool.failures);
+        pool.failures.observe(signal);
         if backend.presence != Presence::Live {
             return;
         }
         if is_bad {
-            self.eject(id, sign, step);
+            self.eject(id, signal, step);
             return;
         }
-        let is_passed = sign == Signal::Success && backend.health.probe_succeeded(step.now);
+        let is_passed = signal == Signal::Success && backend.health.probe_succeeded(step.now);
         if is_passed {
             backend.latency.reset();
         }
@@ -273,10 +273,10 @@
         }
     }
 
-    fn eject(&mut self, id: Id<Backend>, sign: Signal, step: &mut Step<'_>) {
+    fn eject(&mut self, id: Id<Backend>, signal: Signal, step: &mut Step<'_>) {
         let backend = &mut self.backends[id];
         let pool_id = backend.pool;
-        let until: Time = backend.health.eject(sign, step.now);
+        let until: Time = backend.health.eject(signal, step.now);
         let pool = &mut self.pools[pool_id];
         pool.failures.ejected += 1;
         step.log(log::Event::BackendEjected, &backend.instance);
@@ -286,6 +286,6 @@
     }
 }
 
-fn says_leaving(ending: Ending) -> bool {
+fn reports_leaving(ending: Ending) -> bool {
     matches!(ending, Ending::Answered { leaving: true, .. } | Ending::Refused { leaving: true })
 }
--- a/crates/routing/src/finish.rs
+++ b/crates/routing/src/finish.rs
@@ -43,7 +43,7 @@
                 self.cancel(attempt, step);
             }
         }
-        let request = self.requests.remove(id).expect("a request ends while it is in its table");
+        let request = self.requests.remove(id).expect("a request that ends is in its table");
         self.request_ids.remove(&request.number);
         let closed = request.close();
         let end = match end {
@@ -91,8 +91,8 @@
 
     /// Removes a service that is no longer declared and has no request left.
     pub(crate) fn remove_unused_service(&mut self, id: Id<Service>) {
-        let is_over = |service: &Service| !service.declared && service.requests == 0;
-        if self.services.get(id).is_some_and(is_over) {
+        let is_unused = |service: &Service| !service.declared && service.requests == 0;
+        if self.services.get(id).is_some_and(is_unused) {
             self.services.remove(id);
         }
     }
--- a/crates/routing/src/latency.rs
+++ b/crates/routing/src/latency.rs
@@ -11,9 +11,9 @@
 /// Weight of a sample in the average of a whole pool.
 const WEIGHT_POOL: f64 = 0.02;
 /// Half-life of an idle backend server's difference from the pool's average.
-const FORGET: Duration = Duration::from_secs(1);
+const HALF_LIFE: Duration = Duration::from_secs(1);
 /// Multiple of the pool's average below which a latency counts as noise.
-const NOISE: f64 = 1.5;
+const NOISE_FACTOR: f64 = 1.5;
 
 /// Typical latency of a pool: a moving average in seconds.
 #[derive(Clone, Copy, Debug, Default)]
@@ -49,9 +49,9 @@
     /// Records the latency of an answer, or that counted for a failed or cancelled attempt.
     pub fn observe(&mut self, now: Time, latency: Duration, typical: Typical) {
         let sample = latency.as_secs_f64();
-        let known = if self.samples == 0 { sample } else { self.faded(now, typical) };
-        let weight = if sample > known { WEIGHT_UP } else { WEIGHT_DOWN };
-        self.seconds = known + weight * (sample - known);
+        let average = if self.samples == 0 { sample } else { self.decayed(now, typical) };
+        let weight = if sample > average { WEIGHT_UP } else { WEIGHT_DOWN };
+        self.seconds = average + weight * (sample - average);
         self.samples = self.samples.saturating_add(1);
         self.observed = now;
     }
@@ -64,16 +64,16 @@
         if self.samples == 0 {
             return typical.seconds;
         }
-        let seconds = self.faded(now, typical);
-        if seconds < NOISE * typical.seconds { typical.seconds } else { seconds }
+        let seconds = self.decayed(now, typical);
+        if seconds < NOISE_FACTOR * typical.seconds { typical.seconds } else { seconds }
     }
 
     /// Returns the average after its decay towards the pool's average, by which an idle backend
     /// server that was slow is tried again.
-    fn faded(&self, now: Time, typical: Typical) -> f64 {
+    fn decayed(&self, now: Time, typical: Typical) -> f64 {
         let idle = now.saturating_sub(self.observed).as_secs_f64();
-        let known = (-idle / FORGET.as_secs_f64()).exp2();
-        typical.seconds + known * (self.seconds - typical.seconds)
+        let weight = (-idle / HALF_LIFE.as_secs_f64()).exp2();
+        typical.seconds + weight * (self.seconds - typical.seconds)
     }
 
     /// Drops all samples.
--- a/crates/routing/src/limit.rs
+++ b/crates/routing/src/limit.rs
@@ -6,24 +6,24 @@
 use cowslipchute_base::id::Time;
 
 /// Weight of one latency in the average.
-const WEIGHT: f64 = 0.03;
+const SAMPLE_WEIGHT: f64 = 0.03;
 /// Growth of the minimum with each sample, so that a lasting change of latency is accepted.
-const DRIFT: f64 = 1.001;
+const MINIMUM_DRIFT: f64 = 1.001;
 /// Multiple of its minimum up to which the average may rise.
 const TOLERANCE: f64 = 2.5;
 /// Rise of the average that never lowers the limit, in seconds.
-const SLACK: f64 = 0.001;
+const SLACK_SECONDS: f64 = 0.001;
 /// Factor by which the limit is lowered.
-const DECREASE: f64 = 0.8;
+const DECREASE_FACTOR: f64 = 0.8;
 /// Minimum of the limit.
-const FLOOR: f64 = 1.0;
+const LIMIT_MIN: f64 = 1.0;
 
 /// The adaptive concurrency limit of one backend server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limit {
     value: f64,
     average: f64,
-    least: f64,
+    minimum: f64,
     /// Time before which the limit isn't lowered again, so that a decrease can take effect.
     hold_until: Time,
 }
@@ -31,12 +31,12 @@
 impl Limit {
     /// Creates a limit that starts at `cap`.
     pub fn open(cap: u32) -> Limit {
-        Limit { value: f64::from(cap), average: 0.0, least: 0.0, hold_until: Time::ZERO }
+        Limit { value: f64::from(cap), average: 0.0, minimum: 0.0, hold_until: Time::ZERO }
     }
 
     /// Returns the number of concurrent attempts allowed, at most `cap`.
     pub fn attempts(&self, cap: u32) -> u32 {
-        (self.value as u32).max(FLOOR as u32).min(cap)
+        (self.value as u32).max(LIMIT_MIN as u32).min(cap)
     }
 
     /// Records the latency of an answer; `full` is `true` if the limit was fully used.
@@ -44,14 +44,14 @@
         let sample = latency.as_secs_f64();
         if self.average == 0.0 {
             self.average = sample;
-            self.least = sample;
+            self.minimum = sample;
         }
-        self.average += WEIGHT * (sample - self.average);
-        self.least = (self.least * DRIFT).min(self.average);
-        if self.average > TOLERANCE * self.least + SLACK {
+        self.average += SAMPLE_WEIGHT * (sample - self.average);
+        self.minimum = (self.minimum * MINIMUM_DRIFT).min(self.average);
+        if self.average > TOLERANCE * self.minimum + SLACK_SECONDS {
             self.decrease(now);
         } else if full {
-            self.value = (self.value + 1.0 / self.value).min(f64::from(cap)).max(FLOOR);
+            self.value = (self.value + 1.0 / self.value).min(f64::from(cap)).max(LIMIT_MIN);
         }
     }
 
@@ -60,12 +60,12 @@
         if now < self.hold_until {
             return;
         }
-        if self.value <= FLOOR {
+        if self.value <= LIMIT_MIN {
             // A single attempt at a time is slow too, so concurrency isn't the cause: this is the
             // backend server's latency now.
-            self.least = self.average;
+            self.minimum = self.average;
         }
-        self.value = (self.value * DECREASE).max(FLOOR);
+        self.value = (self.value * DECREASE_FACTOR).max(LIMIT_MIN);
         self.hold_until = now + Duration::from_secs_f64(self.average);
     }
 }
--- a/crates/routing/src/membership.rs
+++ b/crates/routing/src/membership.rs
@@ -30,10 +30,10 @@
         self.list_version = Some(view.version);
         // A list that arrives before any declaration means that no service is declared.
         self.is_ready = true;
-        let home_entries = self.home_entries(view);
+        let local_entries = self.local_entries(view);
         for member in &view.members {
             if member.role == list::Role::Backend {
-                self.list(member, view.version, home_entries, step);
+                self.update_backend(member, view.version, local_entries, step);
             }
         }
         self.drop_unlisted(view.version, step);
@@ -42,13 +42,13 @@
 
     /// Returns the number of entries that share the slots of the local failure domain. If the list
     /// has none of them, all entries are assumed to be spread evenly over the failure domains.
-    fn home_entries(&self, view: &list::View) -> u16 {
-        let is_peer = |member: &&list::Member| {
+    fn local_entries(&self, view: &list::View) -> u16 {
+        let is_local_entry = |member: &&list::Member| {
             member.role == list::Role::Entry
                 && member.state == list::State::Live
                 && member.domain == self.settings.domain
         };
-        let listed = view.members.iter().filter(is_peer).count();
+        let listed = view.members.iter().filter(is_local_entry).count();
         if listed > 0 {
             return u16::try_from(listed).unwrap_or(u16::MAX);
         }
@@ -58,18 +58,18 @@
         self.settings.entries.div_ceil(domains.max(1))
     }
 
-    fn list(
+    fn update_backend(
         &mut self,
         member: &list::Member,
         version: u64,
-        home_entries: u16,
+        local_entries: u16,
         step: &mut Step<'_>,
     ) {
         let id = self.backend_id(member, version, step.now);
-        let place = Partition { entries: self.settings.entries, entry: self.settings.entry };
-        let connections = share::connections(member.connections, &member.instance, place);
+        let partition = Partition { entries: self.settings.entries, entry: self.settings.entry };
+        let connections = share::connections(member.connections, &member.instance, partition);
         let backend = &mut self.backends[id];
-        let entries = if backend.is_local { home_entries } else { self.settings.entries };
+        let entries = if backend.is_local { local_entries } else { self.settings.entries };
         backend.set_share(connections, share::slots_milli(member.slots, entries));
         backend.address = member.address;
         backend.version = version;
@@ -78,7 +78,7 @@
             || self.leaving.contains(&member.instance, member.incarnation);
         if is_leaving && backend.presence == Presence::Live {
             step.log(log::Event::BackendLeaving, &backend.instance);
-            self.depart(id, Presence::Leaving, step);
+            self.set_unavailable(id, Presence::Leaving, step);
         }
         self.pools[pool].refresh(step.now, id, &mut self.backends);
         self.mark_changed(pool);
@@ -89,8 +89,9 @@
     /// The first backend servers of a pool start healthy, because there are no others to send
     /// requests to; those that join later have to pass a probe.
     fn backend_id(&mut self, member: &list::Member, version: u64, now: Time) -> Id<Backend> {
-        let life = Identity { instance: member.instance.clone(), incarnation: member.incarnation };
-        if let Some(&known) = self.backend_ids.get(&life) {
+        let identity =
+            Identity { instance: member.instance.clone(), incarnation: member.incarnation };
+        if let Some(&known) = self.backend_ids.get(&identity) {
             return known;
         }
         let pool_id = self.pool_id(&member.service);
@@ -98,12 +99,12 @@
         if pool.failures.listed == 0 {
             pool.initial_version = Some(version);
         }
-        let is_first = pool.initial_version == Some(version);
-        let health = if is_first { Health::healthy() } else { Health::probing(now) };
+        let is_initial = pool.initial_version == Some(version);
+        let health = if is_initial { Health::healthy() } else { Health::probing(now) };
         pool.failures.listed += 1;
         let is_home = member.domain == self.settings.domain;
         let id = self.backends.insert(Backend::open(member, pool_id, is_home, health));
-        self.backend_ids.insert(life, id);
+        self.backend_ids.insert(identity, id);
         id
     }
 
@@ -116,7 +117,7 @@
             .map(|(id, _)| id)
             .collect();
         for id in unlisted {
-            self.depart(id, Presence::Gone, step);
+            self.set_unavailable(id, Presence::Gone, step);
             if self.backends[id].in_flight == 0 {
                 self.remove_backend(id);
             }
@@ -132,7 +133,7 @@
         let unused: Vec<Id<Pool>> =
             self.pools.iter().map(|(id, _)| id).filter(|id| !used.contains(id)).collect();
         for id in unused {
-            let pool = self.pools.remove(id).expect("it was just seen");
+            let pool = self.pools.remove(id).expect("the pool was just found");
             self.pool_ids.remove(&pool.name);
         }
     }
@@ -145,11 +146,11 @@
         step: &mut Step<'_>,
     ) {
         self.leaving.insert(instance, incarnation);
-        let life = Identity { instance: instance.clone(), incarnation };
-        let Some(&id) = self.backend_ids.get(&life) else { return };
+        let identity = Identity { instance: instance.clone(), incarnation };
+        let Some(&id) = self.backend_ids.get(&identity) else { return };
         if self.backends[id].presence == Presence::Live {
             step.log(log::Event::BackendLeaving, instance);
-            self.depart(id, Presence::Leaving, step);
+            self.set_unavailable(id, Presence::Leaving, step);
         }
     }
 
@@ -165,11 +166,11 @@
         self.leaving.insert(&instance, incarnation);
         step.log(log::Event::BackendLeaving, &instance);
         step.act(Action::Announce { instance, incarnation });
-        self.depart(id, Presence::Leaving, step);
+        self.set_unavailable(id, Presence::Leaving, step);
     }
 
     /// Excludes a backend server from new requests; its attempts in flight continue.
-    fn depart(&mut self, id: Id<Backend>, presence: Presence, step: &mut Step<'_>) {
+    fn set_unavailable(&mut self, id: Id<Backend>, presence: Presence, step: &mut Step<'_>) {
         let backend = &mut self.backends[id];
         let pool_id = backend.pool;
         let pool: &mut Pool = &mut self.pools[pool_id];
@@ -186,9 +187,9 @@
 
     /// Removes a backend server that is no longer listed and has no attempt left.
     pub(crate) fn remove_backend(&mut self, id: Id<Backend>) {
-        let backend = self.backends.remove(id).expect("a backend server is dropped once");
-        assert_eq!(backend.in_flight, 0, "attempts hold their backend server");
-        let life = Identity { instance: backend.instance, incarnation: backend.incarnation };
-        self.backend_ids.remove(&life);
+        let backend = self.backends.remove(id).expect("a backend server is removed only once");
+        assert_eq!(backend.in_flight, 0, "a backend server with attempts in flight isn't removed");
+        let identity = Identity { instance: backend.instance, incarnation: backend.incarnation };
+        self.backend_ids.remove(&identity);
     }
 }
--- a/crates/routing/src/pick.rs
+++ b/crates/routing/src/pick.rs
@@ -19,16 +19,16 @@
         let draw = Draw::sample(&mut self.rng);
         let request = &self.requests[id];
         let pool = &self.pools[request.pool];
-        let is_desperate = pool.local.totals.slots_milli + pool.remote.totals.slots_milli == 0;
-        let wish = Criteria {
+        let has_no_slots = pool.local.totals.slots_milli + pool.remote.totals.slots_milli == 0;
+        let criteria = Criteria {
             draw,
             now: step.now,
             typical: pool.typical,
             exclude: &request.tried,
-            may_probe: request.attempts == 0 && (request.idempotent || is_desperate),
+            may_probe: request.attempts == 0 && (request.idempotent || has_no_slots),
         };
-        let found = self.pick_wished(request, wish);
-        let found = found.or_else(|| self.pick_again(request, wish));
+        let found = self.pick_matching(request, criteria);
+        let found = found.or_else(|| self.pick_tried(request, criteria));
         let pool_id = request.pool;
         if let Some(backend) = found {
             self.track_spill(pool_id, backend, step);
@@ -39,45 +39,45 @@
     /// Returns `true` if there is a backend server that the request may use and has not tried.
     pub(crate) fn has_untried(&self, request: &Request) -> bool {
         let pool = &self.pools[request.pool];
-        let home = pool.local.totals.usable;
-        let stays = request.class != Class::Paying && home > 0;
-        let usable = if stays { home } else { pool.usable() };
-        usable > self.tried_usable(request, stays)
+        let local_usable = pool.local.totals.usable;
+        let is_local_only = request.class != Class::Paying && local_usable > 0;
+        let usable = if is_local_only { local_usable } else { pool.usable() };
+        usable > self.tried_usable(request, is_local_only)
     }
 
     /// Returns the number of usable backend servers that a request has tried.
-    fn tried_usable(&self, request: &Request, at_home: bool) -> usize {
+    fn tried_usable(&self, request: &Request, is_local_only: bool) -> usize {
         let counts =
-            |backend: &Backend| backend.counted.usable > 0 && (backend.is_local || !at_home);
+            |backend: &Backend| backend.counted.usable > 0 && (backend.is_local || !is_local_only);
         let tried = request.tried.iter().enumerate();
         let first_tries = tried.filter(|(index, id)| !request.tried[..*index].contains(id));
         first_tries.filter(|(_, id)| self.backends.get(**id).is_some_and(counts)).count()
     }
 
     /// Chooses among backend servers that were all tried; the last one only if there is no other.
-    fn pick_again(&self, request: &Request, wish: Criteria<'_>) -> Option<Id<Backend>> {
+    fn pick_tried(&self, request: &Request, criteria: Criteria<'_>) -> Option<Id<Backend>> {
         if self.has_untried(request) {
             return None;
         }
         let last = request.tried.len().saturating_sub(1);
-        let others = Criteria { exclude: &request.tried[last..], ..wish };
-        let any = Criteria { exclude: &[], ..wish };
-        self.pick_wished(request, others).or_else(|| self.pick_wished(request, any))
+        let others = Criteria { exclude: &request.tried[last..], ..criteria };
+        let any = Criteria { exclude: &[], ..criteria };
+        self.pick_matching(request, others).or_else(|| self.pick_matching(request, any))
     }
 
     /// Chooses in the local failure domain first, and in a remote one when the local one lacks
     /// capacity. The last attempt goes to a remote one if none was tried.
-    fn pick_wished(&self, request: &Request, wish: Criteria<'_>) -> Option<Id<Backend>> {
+    fn pick_matching(&self, request: &Request, criteria: Criteria<'_>) -> Option<Id<Backend>> {
         let pool = &self.pools[request.pool];
-        let choose = |side| choice::choose(side, wish, &self.backends);
+        let choose = |side| choice::choose(side, criteria, &self.backends);
         let is_paying = request.class == Class::Paying;
         let attempts = self.services[request.service].spec.attempts;
         let is_last = request.attempts > 0 && request.attempts + 1 >= attempts;
-        let away_first = is_paying && is_last && !request.tried_remote;
-        let home_usable = pool.local.totals.usable;
-        let is_home_tried = is_paying && home_usable <= self.tried_usable(request, true);
-        let may_spill = home_usable == 0 || is_home_tried || (is_paying && pool.spill.is_on());
-        let first = if away_first { choose(&pool.remote) } else { None };
+        let remote_first = is_paying && is_last && !request.tried_remote;
+        let local_usable = pool.local.totals.usable;
+        let is_local_tried = is_paying && local_usable <= self.tried_usable(request, true);
+        let may_spill = local_usable == 0 || is_local_tried || (is_paying && pool.spill.is_on());
+        let first = if remote_first { choose(&pool.remote) } else { None };
         let second = first.or_else(|| choose(&pool.local));
         second.or_else(|| if may_spill { choose(&pool.remote) } else { None })
     }
--- a/crates/routing/src/place.rs
+++ b/crates/routing/src/place.rs
@@ -24,11 +24,11 @@
 
 /// Maximum number of queued retries that are bypassed because they wait for an untried backend
 /// server.
-const PASSED_MAX: usize = 8;
+const BYPASSED_MAX: usize = 8;
 /// Divisor of the reserve; hedges leave the resulting fraction of it free.
-const HEDGE_SPARES: u16 = 3;
+const HEDGE_RESERVE_DIVISOR: u16 = 3;
 /// Minimum time left for a request that has waited, as a multiple of the typical latency.
-const TOO_LATE: f64 = 0.5;
+const REMAINING_MIN_FACTOR: f64 = 0.5;
 /// Time that a paying request waits for a slot before a remote failure domain is used despite its
 /// higher network latency.
 const SPILL_WAIT: Duration = Duration::from_millis(2);
@@ -50,12 +50,12 @@
             self.shed(id, step);
             return;
         }
-        let is_first = request.attempts == 0;
-        let goes_now = !is_first || !pool.queue.has_waiting(request.class);
-        if goes_now && self.place(id, step) {
+        let is_first_attempt = request.attempts == 0;
+        let may_send = !is_first_attempt || !pool.queue.has_waiting(request.class);
+        if may_send && self.place(id, step) {
             return;
         }
-        self.wait(id, is_first, step);
+        self.enqueue(id, is_first_attempt, step);
     }
 
     fn admits(&self, request: &Request) -> bool {
@@ -83,10 +83,10 @@
     }
 
     /// Queues a request for a slot, if the queue of its service isn't full.
-    fn wait(&mut self, id: Id<Request>, is_first: bool, step: &mut Step<'_>) {
+    fn enqueue(&mut self, id: Id<Request>, is_first_attempt: bool, step: &mut Step<'_>) {
         let request = &mut self.requests[id];
         let service = &mut self.services[request.service];
-        let is_full = is_first && service.queued >= service.spec.queue;
+        let is_full = is_first_attempt && service.queued >= service.spec.queue;
         if is_full || service.spec.queue_wait.is_zero() {
             self.finish(id, End::Reply(Code::QueueFull), step);
             return;
@@ -114,12 +114,12 @@
     pub(crate) fn leave_queue(&mut self, id: Id<Request>) {
         let request = &mut self.requests[id];
         let Stage::Queued(queued) = request.take_stage() else {
-            unreachable!("a request that leaves a queue waits in it");
+            unreachable!("a request that leaves a queue is in it");
         };
         request.stage = Stage::Idle(queued.leave());
         self.pools[request.pool].queue.remove(request.class, request.sequence);
         let service = &mut self.services[request.service];
-        assert!(service.queued > 0, "as many requests leave a queue as entered it");
+        assert!(service.queued > 0, "a request leaves a queue only once");
         service.queued -= 1;
     }
 
@@ -149,9 +149,12 @@
     ) -> Attempt {
         let request = &mut self.requests[id];
         let backend = &mut self.backends[backend_id];
-        assert!(request.may_repeat(), "what may have run is sent again only if idempotent");
+        assert!(
+            request.may_repeat(),
+            "a request that may have run is sent again only if idempotent"
+        );
         assert!(step.now < request.deadline, "nothing is sent after the deadline");
-        assert!(backend.in_flight < backend.connections, "this entry's share is kept");
+        assert!(backend.in_flight < backend.connections, "attempts stay within this entry's share");
         request.attempts += 1;
         request.tried.push(backend_id);
         request.tried_remote |= !backend.is_local;
@@ -197,8 +200,8 @@
     /// Sends a hedge, if the budget and the load allow it.
     pub(crate) fn hedge(&mut self, id: Id<Request>, step: &mut Step<'_>) {
         let request = &self.requests[id];
-        let is_rich = self.services[request.service].budget.allows_hedge();
-        if !is_rich || !self.has_spare(request) {
+        let allows_hedge = self.services[request.service].budget.allows_hedge();
+        if !allows_hedge || !self.has_hedge_capacity(request) {
             return;
         }
         let Some(backend) = self.pick(id, step) else { return };
@@ -206,20 +209,20 @@
             return;
         }
         let spent = self.services[self.requests[id].service].budget.spend();
-        assert!(spent, "a rich budget has one more to spend");
+        assert!(spent, "a budget that allows a hedge has a token");
         let attempt = self.begin_attempt(id, backend, step);
         let request = &mut self.requests[id];
         request.hedged = true;
         match &mut request.stage {
             Stage::Running(running) => running.hedge(attempt),
-            other => unreachable!("a request that is hedged runs, not {other:?}"),
+            other => unreachable!("a request that is hedged is running, not {other:?}"),
         }
     }
 
     /// Returns `true` if there is spare capacity for a hedge. Hedges may use two thirds of the
     /// reserve, because trials can fill all slots outside it and paying requests should still be
     /// hedged then.
-    fn has_spare(&self, request: &Request) -> bool {
+    fn has_hedge_capacity(&self, request: &Request) -> bool {
         let sum = self.pools[request.pool].trial_locality().totals;
         let load = Load {
             slots_milli: sum.slots_milli,
@@ -227,7 +230,7 @@
             has_higher_waiting: false,
         };
         let reserve = self.services[request.service].spec.reserve_permille;
-        admit::admits(Class::Trial, load, reserve / HEDGE_SPARES)
+        admit::admits(Class::Trial, load, reserve / HEDGE_RESERVE_DIVISOR)
     }
 
     /// Marks a pool for [`Router::place_waiting`].
@@ -244,7 +247,7 @@
                 continue;
             }
             for class in Class::ALL {
-                self.pump(pool, class, step);
+                self.place_queued(pool, class, step);
             }
         }
     }
@@ -252,16 +255,16 @@
     /// Returns `true` if a request that has waited can't be answered before its deadline any more;
     /// sending it would only change its outcome from "not run" to "unknown".
     fn is_too_late(&self, request: &Request, now: Time) -> bool {
-        let left = request.deadline.saturating_sub(now);
-        let usual = self.pools[request.pool].typical.seconds();
-        left.is_zero() || left.as_secs_f64() < TOO_LATE * usual
+        let remaining = request.deadline.saturating_sub(now);
+        let typical = self.pools[request.pool].typical.seconds();
+        remaining.is_zero() || remaining.as_secs_f64() < REMAINING_MIN_FACTOR * typical
     }
 
     /// Places the waiting requests of one class until one has to continue waiting. Bypasses a few
     /// retries that wait for an untried backend server.
-    fn pump(&mut self, pool: Id<Pool>, class: Class, step: &mut Step<'_>) {
-        let mut passed = 0;
-        while let Some(id) = self.pools[pool].queue.nth(class, passed) {
+    fn place_queued(&mut self, pool: Id<Pool>, class: Class, step: &mut Step<'_>) {
+        let mut bypassed = 0;
+        while let Some(id) = self.pools[pool].queue.nth(class, bypassed) {
             let request = &self.requests[id];
             if self.is_too_late(request, step.now) {
                 self.expire(id, step);
@@ -280,7 +283,7 @@
                     self.leave_queue(id);
                     self.send(id, backend, step);
                 }
-                None if is_retry && passed < PASSED_MAX => passed += 1,
+                None if is_retry && bypassed < BYPASSED_MAX => bypassed += 1,
                 None => return,
             }
         }
--- a/crates/routing/src/pool.rs
+++ b/crates/routing/src/pool.rs
@@ -33,29 +33,29 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Spill {
     /// Time at which the local failure domain last lacked capacity; `None` while not spilling.
-    short: Option<Time>,
+    last_short: Option<Time>,
 }
 
 impl Spill {
     /// Starts or prolongs spilling; returns `true` if it was off.
     pub fn start(&mut self, now: Time) -> bool {
-        self.short.replace(now).is_none()
+        self.last_short.replace(now).is_none()
     }
 
     /// Stops spilling if the local failure domain has had free capacity for long enough; returns
     /// `true` if it was stopped.
     pub fn stop(&mut self, now: Time) -> bool {
-        let Some(short) = self.short else { return false };
-        if now.saturating_sub(short) < SPILL_HOLD {
+        let Some(last_short) = self.last_short else { return false };
+        if now.saturating_sub(last_short) < SPILL_HOLD {
             return false;
         }
-        self.short = None;
+        self.last_short = None;
         true
     }
 
     /// Returns `true` if requests may go to remote failure domains.
     pub fn is_on(&self) -> bool {
-        self.short.is_some()
+        self.last_short.is_some()
     }
 }
 
@@ -109,31 +109,32 @@
     /// Updates totals and lists after a change of a backend server.
     pub fn refresh(&mut self, now: Time, id: Id<Backend>, backends: &mut Table<Backend>) {
         let backend = &mut backends[id];
-        let portion = backend.totals(now);
-        let old = std::mem::replace(&mut backend.counted, portion);
-        let is_home = backend.is_local;
-        let has_room = backend.in_flight < backend.concurrency_limit(now);
+        let totals = backend.totals(now);
+        let old = std::mem::replace(&mut backend.counted, totals);
+        let is_local = backend.is_local;
+        let has_free_slot = backend.in_flight < backend.concurrency_limit(now);
         let is_probing = matches!(backend.health.status(), Status::Probing { .. });
-        let spot = backend.position;
-        let side = if is_home { &mut self.local } else { &mut self.remote };
-        side.totals.slots_milli = side.totals.slots_milli + portion.slots_milli - old.slots_milli;
-        side.totals.in_flight = side.totals.in_flight + portion.in_flight - old.in_flight;
-        side.totals.usable = side.totals.usable + portion.usable - old.usable;
-        match spot {
-            Position::Ready(_) if has_room && !is_probing => return,
-            Position::Probe(_) if has_room && is_probing => return,
-            Position::None if !has_room => return,
+        let current = backend.position;
+        let locality = if is_local { &mut self.local } else { &mut self.remote };
+        locality.totals.slots_milli =
+            locality.totals.slots_milli + totals.slots_milli - old.slots_milli;
+        locality.totals.in_flight = locality.totals.in_flight + totals.in_flight - old.in_flight;
+        locality.totals.usable = locality.totals.usable + totals.usable - old.usable;
+        match current {
+            Position::Ready(_) if has_free_slot && !is_probing => return,
+            Position::Probe(_) if has_free_slot && is_probing => return,
+            Position::None if !has_free_slot => return,
             _ => {}
         }
-        side.take_out(id, backends);
-        if has_room {
-            side.put_in(id, is_probing, backends);
+        locality.discard(id, backends);
+        if has_free_slot {
+            locality.add(id, is_probing, backends);
         }
     }
 }
 
 impl Locality {
-    fn put_in(&mut self, id: Id<Backend>, is_probing: bool, backends: &mut Table<Backend>) {
+    fn add(&mut self, id: Id<Backend>, is_probing: bool, backends: &mut Table<Backend>) {
         let list = if is_probing { &mut self.probes } else { &mut self.ready };
         let index = list.len();
         list.push(id);
@@ -141,16 +142,16 @@
             if is_probing { Position::Probe(index) } else { Position::Ready(index) };
     }
 
-    fn take_out(&mut self, id: Id<Backend>, backends: &mut Table<Backend>) {
-        let spot = std::mem::replace(&mut backends[id].position, Position::None);
-        let (list, index) = match spot {
+    fn discard(&mut self, id: Id<Backend>, backends: &mut Table<Backend>) {
+        let old_position = std::mem::replace(&mut backends[id].position, Position::None);
+        let (list, index) = match old_position {
             Position::None => return,
             Position::Ready(index) => (&mut self.ready, index),
             Position::Probe(index) => (&mut self.probes, index),
         };
         list.swap_remove(index);
         if let Some(&moved) = list.get(index) {
-            backends[moved].position = spot;
+            backends[moved].position = old_position;
         }
     }
 }
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -19,7 +19,7 @@
 }
 
 impl Queue {
-    fn of(&mut self, class: Class) -> &mut BTreeMap<Sequence, Id<Request>> {
+    fn class_mut(&mut self, class: Class) -> &mut BTreeMap<Sequence, Id<Request>> {
         match class {
             Class::Paying => &mut self.paying,
             Class::Trial => &mut self.trial,
@@ -29,13 +29,13 @@
 
     /// Adds a request.
     pub fn insert(&mut self, class: Class, rank: Sequence, request: Id<Request>) {
-        let old = self.of(class).insert(rank, request);
-        assert!(old.is_none(), "a request waits in one place");
+        let old = self.class_mut(class).insert(rank, request);
+        assert!(old.is_none(), "a request is queued only once");
     }
 
     /// Removes a request from any position.
     pub fn remove(&mut self, class: Class, rank: Sequence) {
-        let old = self.of(class).remove(&rank);
+        let old = self.class_mut(class).remove(&rank);
         assert!(old.is_some(), "a waiting request is in its queue");
     }
 
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -222,7 +222,7 @@
         }
         let running = !self.request.running().is_empty();
         match self.request.may_have_run {
-            Some(doubt) => doubt,
+            Some(code_if_run) => code_if_run,
             None if running => Code::Lost,
             None => code,
         }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -24,7 +24,7 @@
 use crate::timer::Timers;
 
 /// Delay of a due timer above which this process is taken to have stalled.
-const PAUSE: Duration = Duration::from_millis(100);
+const STALL_MIN: Duration = Duration::from_millis(100);
 
 /// Settings of a router that no operator changes while it runs.
 #[derive(Clone, Debug)]
@@ -138,7 +138,7 @@
     /// expire.
     pub fn step(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let mut step = Step { now, actions };
-        self.notice_waking(now);
+        self.detect_stall(now);
         match event {
             Event::Service { name, spec } => self.declare(name, spec),
             Event::ServiceGone { name } => self.withdraw(&name, &mut step),
@@ -157,9 +157,9 @@
         self.prune_timers();
     }
 
-    fn notice_waking(&mut self, now: Time) {
+    fn detect_stall(&mut self, now: Time) {
         let due = self.next_due();
-        if due.is_some_and(|due| now.saturating_sub(due) > PAUSE) {
+        if due.is_some_and(|due| now.saturating_sub(due) > STALL_MIN) {
             self.stall_ended = now;
         }
     }
--- a/crates/routing/src/share.rs
+++ b/crates/routing/src/share.rs
@@ -18,19 +18,19 @@
 /// never add up to more than the connections. With more entries than connections, each backend
 /// server serves a subset of the entries, and a change of one backend server doesn't affect the
 /// shares of the others.
-pub fn connections(connections: u16, instance: &str, place: Partition) -> u32 {
-    let entries = u32::from(place.entries.max(1));
+pub fn connections(connections: u16, instance: &str, partition: Partition) -> u32 {
+    let entries = u32::from(partition.entries.max(1));
     let connections = u32::from(connections);
-    let whole = connections / entries;
-    let rest = connections % entries;
-    whole + u32::from(rank(instance, place) < rest)
+    let quotient = connections / entries;
+    let remainder = connections % entries;
+    quotient + u32::from(rank(instance, partition) < remainder)
 }
 
 /// Returns the number of entries that rank before this one for a backend server.
-fn rank(instance: &str, place: Partition) -> u32 {
+fn rank(instance: &str, partition: Partition) -> u32 {
     let weight = |entry: u16| (xxh3_64_with_seed(instance.as_bytes(), u64::from(entry)), entry);
-    let own = weight(place.entry);
-    (0..place.entries).filter(|&entry| weight(entry) > own).count() as u32
+    let own = weight(partition.entry);
+    (0..partition.entries).filter(|&entry| weight(entry) > own).count() as u32
 }
 
 /// Returns this entry's even share of a backend server's slots in thousandths of a slot, given the
--- a/crates/routing/src/timeout.rs
+++ b/crates/routing/src/timeout.rs
@@ -19,17 +19,17 @@
     /// Fires all due timers.
     pub(crate) fn run_due(&mut self, step: &mut Step<'_>) {
         while let Some(timer) = self.timers.pop_due(step.now) {
-            self.run(timer, step);
+            self.fire(timer, step);
         }
     }
 
-    fn run(&mut self, timer: Timer, step: &mut Step<'_>) {
+    fn fire(&mut self, timer: Timer, step: &mut Step<'_>) {
         match timer {
             Timer::Deadline(id) if self.requests.get(id).is_some() => self.expire(id, step),
-            Timer::QueueWait(id) => self.end_wait(id, step),
+            Timer::QueueWait(id) => self.end_queue_wait(id, step),
             Timer::Spill(id) => self.spill(id, step),
             Timer::Retry(id) => self.end_backoff(id, step),
-            Timer::Hedge(id) => self.run_hedge(id, step),
+            Timer::Hedge(id) => self.fire_hedge(id, step),
             Timer::Probe(id) => self.probe(id, step),
             Timer::Deadline(_) => {}
         }
@@ -49,7 +49,7 @@
         self.finish(id, End::Reply(code), step);
     }
 
-    fn end_wait(&mut self, id: Id<Request>, step: &mut Step<'_>) {
+    fn end_queue_wait(&mut self, id: Id<Request>, step: &mut Step<'_>) {
         let Some(Stage::Queued(queued)) = self.requests.get(id).map(|request| &request.stage)
         else {
             return;
@@ -83,13 +83,13 @@
             return;
         }
         let Stage::Backoff(backoff) = request.take_stage() else {
-            unreachable!("the stage was just looked at");
+            unreachable!("the stage was just checked");
         };
         request.stage = Stage::Idle(backoff.leave());
         self.dispatch(id, step);
     }
 
-    fn run_hedge(&mut self, id: Id<Request>, step: &mut Step<'_>) {
+    fn fire_hedge(&mut self, id: Id<Request>, step: &mut Step<'_>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         let deadline = request.deadline;
         let Stage::Running(running) = &mut request.stage else { return };
@@ -121,7 +121,7 @@
         let requests = &self.requests;
         let backends = &self.backends;
         let stage = |id| requests.get(id).map(|request: &Request| &request.stage);
-        let alive = |at: Time, timer: Timer| match timer {
+        let is_live = |at: Time, timer: Timer| match timer {
             Timer::Deadline(id) => requests.get(id).is_some(),
             Timer::QueueWait(id) => {
                 matches!(stage(id), Some(Stage::Queued(queued)) if queued.until == at)
@@ -137,6 +137,6 @@
                 .get(id)
                 .is_some_and(|backend| backend.health.status() == Status::Ejected { until: at }),
         };
-        self.timers.prune(alive);
+        self.timers.prune(is_live);
     }
 }
--- a/crates/routing/src/timer.rs
+++ b/crates/routing/src/timer.rs
@@ -43,7 +43,7 @@
 pub struct Timers {
     heap: BinaryHeap<Reverse<Entry>>,
     serial: u64,
-    kept: usize,
+    swept_len: usize,
 }
 
 impl Timers {
@@ -66,13 +66,13 @@
     ///
     /// The next full sweep happens only when the heap has doubled since the last one, so that the
     /// amortized cost per timer is constant and memory is linear in the number of live timers.
-    pub fn prune(&mut self, alive: impl Fn(Time, Timer) -> bool) {
-        if self.heap.len() > 2 * self.kept + STALE_MAX {
-            self.heap.retain(|entry| alive(entry.0.at, entry.0.timer));
-            self.kept = self.heap.len();
+    pub fn prune(&mut self, is_live: impl Fn(Time, Timer) -> bool) {
+        if self.heap.len() > 2 * self.swept_len + STALE_MAX {
+            self.heap.retain(|entry| is_live(entry.0.at, entry.0.timer));
+            self.swept_len = self.heap.len();
         }
         while let Some(entry) = self.heap.peek() {
-            if alive(entry.0.at, entry.0.timer) {
+            if is_live(entry.0.at, entry.0.timer) {
                 return;
             }
             self.heap.pop();
--- a/crates/routing/tests/interleavings.rs
+++ b/crates/routing/tests/interleavings.rs
@@ -69,7 +69,7 @@
     MarkLeaving {
         backend: usize,
     },
-    Heard {
+    NotifyLeaving {
         backend: usize,
     },
     List,
@@ -77,11 +77,11 @@
         queue: u32,
         attempts: u8,
     },
-    Gone {
+    RemoveService {
         service: usize,
     },
     /// Every backend server is replaced by one of another service.
-    Convert,
+    ReplaceAll,
     Drain,
 }
 
@@ -134,27 +134,27 @@
         2 => (0..BACKENDS).prop_map(|backend| Op::Replace { backend }),
         1 => (0..BACKENDS).prop_map(|backend| Op::Remove { backend }),
         1 => (0..BACKENDS).prop_map(|backend| Op::MarkLeaving { backend }),
-        1 => (0..BACKENDS).prop_map(|backend| Op::Heard { backend }),
+        1 => (0..BACKENDS).prop_map(|backend| Op::NotifyLeaving { backend }),
         4 => Just(Op::List),
         1 => (0..4_u32, 1..5_u8).prop_map(|(queue, attempts)| Op::Redeclare { queue, attempts }),
-        1 => prop::bool::weighted(0.2).prop_map(|yes| if yes { Op::Convert } else { Op::List }),
-        1 => (0..SERVICES.len()).prop_map(|service| Op::Gone { service }),
+        1 => prop::bool::weighted(0.2).prop_map(|yes| if yes { Op::ReplaceAll } else { Op::List }),
+        1 => (0..SERVICES.len()).prop_map(|service| Op::RemoveService { service }),
         1 => prop::bool::weighted(0.1).prop_map(|drain| if drain { Op::Drain } else { Op::List }),
     ]
 }
 
 /// A world and the events that can follow.
-struct Play {
+struct Driver {
     world: World,
     attempts: Vec<Attempt>,
     ended: Vec<Attempt>,
     claims: Vec<u64>,
     arrived: u64,
-    life: u64,
+    incarnation: u64,
 }
 
-impl Play {
-    fn open(seed: u64, entries: u16) -> Play {
+impl Driver {
+    fn open(seed: u64, entries: u16) -> Driver {
         let mut world = World::open(cowslipchute_routing::router::Settings {
             seed,
             entries,
@@ -164,17 +164,17 @@
         for index in 0..BACKENDS {
             world.view.members.push(backend(index, 1));
         }
-        let mut play = Play {
+        let mut driver = Driver {
             world,
             attempts: Vec::new(),
             ended: Vec::new(),
             claims: Vec::new(),
             arrived: 0,
-            life: 1,
+            incarnation: 1,
         };
-        play.declare(3, 3);
-        play.world.list();
-        play
+        driver.declare(3, 3);
+        driver.world.list();
+        driver
     }
 
     fn declare(&mut self, queue: u32, attempts: u8) {
@@ -188,12 +188,12 @@
         self.world.service(SERVICES[1], trial);
     }
 
-    fn tell(&mut self, event: Event) {
+    fn send(&mut self, event: Event) {
         let actions = self.world.step(event);
-        self.note(&actions);
+        self.collect(&actions);
     }
 
-    fn note(&mut self, actions: &[Action]) {
+    fn collect(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Send { attempt, .. } => self.attempts.push(*attempt),
@@ -203,7 +203,7 @@
         }
     }
 
-    fn play(&mut self, op: Op) {
+    fn apply(&mut self, op: Op) {
         match op {
             Op::Arrive { service, idempotent, keyed, class, deadline } => {
                 self.arrived += 1;
@@ -213,33 +213,33 @@
                     deadline: deadline.map(Duration::from_millis),
                     ..arrival(SERVICES[service], idempotent)
                 };
-                self.tell(Event::Arrived { request: self.arrived, arrival: request });
+                self.send(Event::Arrived { request: self.arrived, arrival: request });
             }
             Op::End { which, ending } if !self.attempts.is_empty() => {
                 let attempt = self.attempts.remove(which.index(self.attempts.len()));
                 self.ended.push(attempt);
-                self.tell(Event::Ended { attempt, ending });
+                self.send(Event::Ended { attempt, ending });
             }
             Op::EndAgain { which, ending } if !self.ended.is_empty() => {
                 let attempt = self.ended[which.index(self.ended.len())];
-                self.tell(Event::Ended { attempt, ending });
+                self.send(Event::Ended { attempt, ending });
             }
             Op::Claimed { which, verdict } if !self.claims.is_empty() => {
                 let request = self.claims.remove(which.index(self.claims.len()));
-                self.tell(Event::Claimed { request, verdict });
+                self.send(Event::Claimed { request, verdict });
             }
             Op::Abandon { which } if self.arrived > 0 => {
                 let request = 1 + which.index(self.arrived as usize) as u64;
-                self.tell(Event::Abandoned { request });
+                self.send(Event::Abandoned { request });
             }
             Op::Pass { micros } => {
                 let actions = self.world.pass(Duration::from_micros(micros));
-                self.note(&actions);
+                self.collect(&actions);
             }
             Op::Freeze { micros } => self.world.now += Duration::from_micros(micros),
             Op::Replace { backend: index } => {
-                self.life += 1;
-                let fresh = backend(index, self.life);
+                self.incarnation += 1;
+                let fresh = backend(index, self.incarnation);
                 let members = &mut self.world.view.members;
                 members.retain(|member| member.instance != fresh.instance);
                 members.push(fresh);
@@ -255,35 +255,35 @@
                     member.state = list::State::Leaving;
                 }
             }
-            Op::Heard { backend: index } => {
+            Op::NotifyLeaving { backend: index } => {
                 let instance = backend(index, 1).instance;
-                self.tell(Event::Leaving { instance, incarnation: self.life });
+                self.send(Event::Leaving { instance, incarnation: self.incarnation });
             }
             Op::List => {
                 let actions = self.world.list();
-                self.note(&actions);
+                self.collect(&actions);
             }
             Op::Redeclare { queue, attempts } => self.declare(queue, attempts),
-            Op::Gone { service } => {
-                self.tell(Event::ServiceGone { name: SERVICES[service].into() })
+            Op::RemoveService { service } => {
+                self.send(Event::ServiceGone { name: SERVICES[service].into() })
             }
-            Op::Convert => {
-                self.life += 1;
+            Op::ReplaceAll => {
+                self.incarnation += 1;
                 for member in &mut self.world.view.members {
-                    member.incarnation = self.life;
-                    member.service = format!("other-{}", self.life).into();
+                    member.incarnation = self.incarnation;
+                    member.service = format!("other-{}", self.incarnation).into();
                 }
             }
-            Op::Drain => self.tell(Event::Drain),
+            Op::Drain => self.send(Event::Drain),
             _ => {}
         }
     }
 }
 
-fn backend(index: usize, life: u64) -> list::Member {
+fn backend(index: usize, incarnation: u64) -> list::Member {
     let domain = if index.is_multiple_of(2) { "a" } else { "b" };
     let mut member = member(&format!("b{index}"), SERVICES[0], domain);
-    member.incarnation = life;
+    member.incarnation = incarnation;
     member.slots = 3;
     member.connections = 7;
     member
@@ -298,16 +298,16 @@
         entries in 1..4_u16,
         ops in vec(op(), 1..300),
     ) {
-        let mut play = Play::open(seed, entries);
+        let mut driver = Driver::open(seed, entries);
         for op in ops {
-            play.play(op);
+            driver.apply(op);
         }
-        play.tell(Event::Drain);
-        let actions = play.world.pass(Duration::from_secs(10));
-        play.note(&actions);
-        assert_eq!(play.world.router.in_progress(), 0, "a stop ends with nothing in progress");
-        for request in std::mem::take(&mut play.claims) {
-            play.tell(Event::Claimed { request, verdict: Claimed::Granted });
+        driver.send(Event::Drain);
+        let actions = driver.world.pass(Duration::from_secs(10));
+        driver.collect(&actions);
+        assert_eq!(driver.world.router.in_progress(), 0, "no request is in progress after a drain");
+        for request in std::mem::take(&mut driver.claims) {
+            driver.send(Event::Claimed { request, verdict: Claimed::Granted });
         }
     }
 
@@ -315,11 +315,11 @@
     #[test]
     fn a_seed_decides_everything(seed in any::<u64>(), ops in vec(op(), 1..100)) {
         let run = |ops: Vec<Op>| {
-            let mut play = Play::open(seed, 2);
+            let mut driver = Driver::open(seed, 2);
             for op in ops {
-                play.play(op);
+                driver.apply(op);
             }
-            (play.attempts, play.claims, format!("{:?}", play.world.router.next_due()))
+            (driver.attempts, driver.claims, format!("{:?}", driver.world.router.next_due()))
         };
         assert_eq!(run(ops.clone()), run(ops));
     }
--- a/crates/routing/tests/support/check.rs
+++ b/crates/routing/tests/support/check.rs
@@ -21,7 +21,7 @@
 use cowslipchute_routing::router::Router;
 use cowslipchute_routing::router::Settings;
 
-type Life = (Instance, u64);
+type Identity = (Instance, u64);
 
 #[derive(Debug, Default)]
 struct Request {
@@ -34,7 +34,7 @@
     /// Whether an ended attempt may have run it: broken, truncated, too large or cancelled.
     may_have_run: bool,
     running: BTreeSet<Attempt>,
-    is_over: bool,
+    has_ended: bool,
     claims: u8,
     grants: u8,
     settled: Option<Settled>,
@@ -50,17 +50,17 @@
     open: BTreeSet<(Time, u64)>,
     /// Requests that were closed, granted or settled in this step.
     touched: Vec<u64>,
-    attempts: BTreeMap<Attempt, (u64, Life)>,
-    in_flight: BTreeMap<Life, u32>,
-    listed: BTreeMap<Life, list::Member>,
-    leaving: BTreeSet<Life>,
+    attempts: BTreeMap<Attempt, (u64, Identity)>,
+    in_flight: BTreeMap<Identity, u32>,
+    listed: BTreeMap<Identity, list::Member>,
+    leaving: BTreeSet<Identity>,
     version: Option<u64>,
-    ejected: BTreeSet<Life>,
-    probing: BTreeSet<Life>,
+    ejected: BTreeSet<Identity>,
+    probing: BTreeSet<Identity>,
     /// The incarnation of each name whose attempt ended last, which a log event with that name
     /// means.
-    judged: BTreeMap<Instance, Life>,
-    announced: BTreeSet<Life>,
+    last_ended: BTreeMap<Instance, Identity>,
+    announced: BTreeSet<Identity>,
     last_attempt: Attempt,
 }
 
@@ -80,7 +80,7 @@
             version: None,
             ejected: BTreeSet::new(),
             probing: BTreeSet::new(),
-            judged: BTreeMap::new(),
+            last_ended: BTreeMap::new(),
             announced: BTreeSet::new(),
             last_attempt: 0,
         }
@@ -115,12 +115,15 @@
                     ..Request::default()
                 };
                 self.open.insert((seen.deadline, *request));
-                assert!(self.requests.insert(*request, seen).is_none(), "numbers are fresh");
+                assert!(
+                    self.requests.insert(*request, seen).is_none(),
+                    "request numbers are unique"
+                );
             }
             Event::Abandoned { request } => {
-                let known = self.requests.get_mut(request).filter(|known| !known.is_over);
+                let known = self.requests.get_mut(request).filter(|known| !known.has_ended);
                 if let Some(known) = known {
-                    known.is_over = true;
+                    known.has_ended = true;
                     self.open.remove(&(known.deadline, *request));
                     self.touched.push(*request);
                 }
@@ -142,27 +145,27 @@
         self.version = Some(view.version);
         self.listed.clear();
         for member in view.members.iter().filter(|member| member.role == list::Role::Backend) {
-            let life = (member.instance.clone(), member.incarnation);
+            let identity = (member.instance.clone(), member.incarnation);
             if member.state == list::State::Leaving {
-                self.leaving.insert(life.clone());
+                self.leaving.insert(identity.clone());
             }
-            self.listed.insert(life, member.clone());
+            self.listed.insert(identity, member.clone());
         }
     }
 
     fn end(&mut self, attempt: Attempt, ending: Ending) {
-        let Some((number, life)) = self.attempts.get(&attempt).cloned() else { return };
+        let Some((number, identity)) = self.attempts.get(&attempt).cloned() else { return };
         let request = self.requests.get_mut(&number).expect("attempts have a request");
         if !request.running.remove(&attempt) {
             return;
         }
-        *self.in_flight.get_mut(&life).expect("it was counted") -= 1;
-        self.judged.insert(life.0.clone(), life.clone());
+        *self.in_flight.get_mut(&identity).expect("the attempt was counted") -= 1;
+        self.last_ended.insert(identity.0.clone(), identity.clone());
         match ending {
             Ending::Unsent | Ending::Refused { .. } => {}
             Ending::Broken | Ending::Truncated | Ending::TooLarge => request.may_have_run = true,
             Ending::Answered { .. } => {
-                self.probing.remove(&life);
+                self.probing.remove(&identity);
             }
         }
     }
@@ -172,19 +175,23 @@
         for action in actions {
             self.act(now, event, action);
         }
-        assert_eq!(self.open.len(), router.in_progress(), "every open request is held");
+        assert_eq!(
+            self.open.len(),
+            router.in_progress(),
+            "the router has every unanswered request"
+        );
         let is_tick = matches!(event, Event::Tick);
         if let Some(&(first, _)) = self.open.first() {
             assert!(!is_tick || first > now, "a request is answered when its deadline passes");
             let due = router.next_due().expect("a request that waits has something due");
             assert!(due <= first, "the router wakes for the next deadline");
-            assert!(!is_tick || due > now, "what is due has been done");
+            assert!(!is_tick || due > now, "due timers have fired");
         } else {
             assert_eq!(router.next_due(), None, "nothing is due while no request waits");
         }
         let touched = std::mem::take(&mut self.touched);
         let touched = touched.iter().map(|number| &self.requests[number]);
-        for request in touched.filter(|request| request.is_over) {
+        for request in touched.filter(|request| request.has_ended) {
             assert!(request.running.is_empty(), "an answered request has no attempt left");
             let is_settled = u8::from(request.settled.is_some());
             assert_eq!(request.grants, is_settled, "a granted claim is settled once");
@@ -194,8 +201,8 @@
     fn act(&mut self, now: Time, event: &Event, action: &Action) {
         match action {
             Action::Send { request, attempt, instance, incarnation, remaining, .. } => {
-                let life = (instance.clone(), *incarnation);
-                self.send(now, *request, *attempt, &life);
+                let identity = (instance.clone(), *incarnation);
+                self.send(now, *request, *attempt, &identity);
                 let deadline = self.requests[request].deadline;
                 assert_eq!(now + *remaining, deadline, "one deadline holds for all attempts");
             }
@@ -204,36 +211,40 @@
                 let is_its_own = self.attempts[attempt].0 == *request;
                 assert!(is_its_own, "a caller gets the answer to its own request");
                 let answered = matches!(event, Event::Ended { attempt: ended, ending: Ending::Answered { .. } } if ended == attempt);
-                assert!(answered, "only a whole answer is forwarded");
+                assert!(answered, "only a complete answer is forwarded");
                 self.close(*request, None);
             }
             Action::Replay { request, .. } => self.close(*request, None),
             Action::Reply { request, code, retry_after } => {
-                assert_ne!(code.outcome(), Outcome::Answered, "our own replies are no answers");
+                assert_ne!(
+                    code.outcome(),
+                    Outcome::Answered,
+                    "replies by the entry are not answers of the service"
+                );
                 self.close(*request, Some(code.outcome()));
                 let is_refused = matches!(code.status(), 429 | 503);
-                assert!(!is_refused || retry_after.is_some(), "{code:?} says when to come back");
+                assert!(!is_refused || retry_after.is_some(), "{code:?} has a retry delay");
             }
             Action::Claim { request, .. } => {
-                let known = self.requests.get_mut(request).expect("it arrived");
+                let known = self.requests.get_mut(request).expect("the request arrived");
                 known.claims += 1;
                 assert!(known.is_keyed && known.claims == 1, "a key is claimed once");
             }
             Action::Settle { request, settled, .. } => self.settle(*request, *settled),
             Action::Announce { instance, incarnation } => {
-                let life = (instance.clone(), *incarnation);
-                self.leaving.insert(life.clone());
-                assert!(self.announced.insert(life), "a leaving life is announced once");
+                let identity = (instance.clone(), *incarnation);
+                self.leaving.insert(identity.clone());
+                assert!(self.announced.insert(identity), "a leaving incarnation is announced once");
             }
             Action::Note { event, subject } => self.note(*event, subject),
         }
     }
 
-    fn send(&mut self, now: Time, number: u64, attempt: Attempt, life: &Life) {
+    fn send(&mut self, now: Time, number: u64, attempt: Attempt, identity: &Identity) {
         assert!(attempt > self.last_attempt, "attempt numbers are never reused");
         self.last_attempt = attempt;
-        let request = self.requests.get_mut(&number).expect("it arrived");
-        assert!(!request.is_over, "nothing is sent for an answered request");
+        let request = self.requests.get_mut(&number).expect("the request arrived");
+        assert!(!request.has_ended, "nothing is sent for an answered request");
         assert!(now < request.deadline, "nothing is sent after the deadline");
         request.attempts += 1;
         assert!(request.attempts <= request.attempts_max.max(1), "attempts are bounded");
@@ -241,39 +252,42 @@
         assert!(is_safe, "a non-idempotent request that may have run isn't sent again");
         assert!(!request.is_keyed || request.grants == 1, "a keyed request runs once granted");
         request.running.insert(attempt);
-        let member = self.listed.get(life).expect("attempts go to listed backend servers");
-        assert!(!self.leaving.contains(life), "a leaving backend server gets nothing new");
-        assert!(!self.ejected.contains(life), "an ejected backend server gets nothing");
-        let in_flight = self.in_flight.entry(life.clone()).or_default();
+        let member = self.listed.get(identity).expect("attempts go to listed backend servers");
+        assert!(!self.leaving.contains(identity), "a leaving backend server gets no new requests");
+        assert!(!self.ejected.contains(identity), "an ejected backend server gets no requests");
+        let in_flight = self.in_flight.entry(identity.clone()).or_default();
         *in_flight += 1;
         let share = u32::from(member.connections.div_ceil(self.settings.entries));
-        assert!(*in_flight <= share, "the share of connections is kept");
-        let is_probed = self.probing.contains(life);
+        assert!(*in_flight <= share, "attempts stay within the share of connections");
+        let is_probed = self.probing.contains(identity);
         assert!(!is_probed || *in_flight <= 1, "probing is one request at a time");
-        self.attempts.insert(attempt, (number, life.clone()));
+        self.attempts.insert(attempt, (number, identity.clone()));
     }
 
     fn cancel(&mut self, attempt: Attempt) {
-        let (number, life) = &self.attempts[&attempt];
+        let (number, identity) = &self.attempts[&attempt];
         let request = self.requests.get_mut(number).expect("attempts have a request");
-        assert!(request.running.remove(&attempt), "only what runs is cancelled");
+        assert!(request.running.remove(&attempt), "only attempts in flight are cancelled");
         request.may_have_run = true;
-        *self.in_flight.get_mut(life).expect("it was counted") -= 1;
-        self.judged.insert(life.0.clone(), life.clone());
+        *self.in_flight.get_mut(identity).expect("the attempt was counted") -= 1;
+        self.last_ended.insert(identity.0.clone(), identity.clone());
     }
 
     fn close(&mut self, number: u64, outcome: Option<Outcome>) {
-        let request = self.requests.get_mut(&number).expect("it arrived");
-        assert!(!request.is_over, "a request gets one final answer");
-        request.is_over = true;
+        let request = self.requests.get_mut(&number).expect("the request arrived");
+        assert!(!request.has_ended, "a request gets one final answer");
+        request.has_ended = true;
         self.open.remove(&(request.deadline, number));
         self.touched.push(number);
         let ran = request.may_have_run || !request.running.is_empty();
-        assert!(outcome != Some(Outcome::NotRun) || !ran, "not run means that it did not run");
+        assert!(
+            outcome != Some(Outcome::NotRun) || !ran,
+            "a request that may have run isn't reported as not run"
+        );
     }
 
     fn settle(&mut self, number: u64, settled: Settled) {
-        let request = self.requests.get_mut(&number).expect("it arrived");
+        let request = self.requests.get_mut(&number).expect("the request arrived");
         assert_eq!(request.grants, 1, "only a granted claim is settled");
         assert!(request.settled.replace(settled).is_none(), "a claim is settled once");
         let ran = request.may_have_run || !request.running.is_empty();
@@ -283,15 +297,15 @@
     fn note(&mut self, event: log::Event, subject: &Instance) {
         match event {
             log::Event::BackendEjected => {
-                let life = self.judged[subject].clone();
-                self.probing.remove(&life);
-                self.ejected.insert(life);
+                let identity = self.last_ended[subject].clone();
+                self.probing.remove(&identity);
+                self.ejected.insert(identity);
             }
             log::Event::BackendProbed => {
-                let found = self.listed.keys().find(|life| life.0 == *subject);
-                let life = found.expect("a listed backend server is probed");
-                assert!(self.ejected.remove(life), "an ejected backend server is probed");
-                self.probing.insert(life.clone());
+                let found = self.listed.keys().find(|identity| identity.0 == *subject);
+                let identity = found.expect("a listed backend server is probed");
+                assert!(self.ejected.remove(identity), "an ejected backend server is probed");
+                self.probing.insert(identity.clone());
             }
             _ => {}
         }
--- a/crates/spread/examples/ways/fleet.rs
+++ b/crates/spread/examples/ways/fleet.rs
@@ -33,23 +33,23 @@
 use crate::way::Way;
 
 /// Interval of changes, for 46,000 changes a day.
-const CHANGE_EVERY: Duration = Duration::from_millis(1878);
+const CHANGE_INTERVAL: Duration = Duration::from_millis(1878);
 /// Number of resources that exist at the start.
 const RESOURCES: u64 = 1000;
 /// Size of a stored resource in bytes.
-const VALUE: usize = 400;
+const VALUE_BYTES: usize = 400;
 /// One-way latency within a domain.
-const NEAR: Duration = Duration::from_micros(200);
+const LATENCY_LOCAL: Duration = Duration::from_micros(200);
 /// One-way latency between domains.
-const FAR: Duration = Duration::from_micros(1500);
+const LATENCY_REMOTE: Duration = Duration::from_micros(1500);
 /// One-way latency to the store, including its processing time.
-const STORE: Duration = Duration::from_millis(3);
+const LATENCY_STORE: Duration = Duration::from_millis(3);
 /// Timeout of a call.
-const CALL_WITHIN: Duration = Duration::from_millis(800);
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Changes in the last seconds of a run aren't evaluated, because they have no time to spread.
-const JUDGED_BEFORE_END: Duration = Duration::from_secs(15);
+const EVALUATION_MARGIN: Duration = Duration::from_secs(15);
 /// Time of the first change, at which every instance has its list.
-const QUIET: Duration = Duration::from_secs(3);
+const FIRST_CHANGE: Duration = Duration::from_secs(3);
 
 /// Size of a fleet.
 #[derive(Clone, Copy, Debug)]
@@ -106,16 +106,16 @@
     Change,
     Fault,
     Tick(usize),
-    Told(usize, Item),
+    Update(usize, Item),
     Pull { from: usize, to: usize, after: Revision },
     Pulled { at: usize, peer: usize, page: Option<Page> },
     Push { from: usize, to: usize, batch: Batch },
-    Pushed { at: usize, peer: usize, taken: bool },
+    Pushed { at: usize, peer: usize, accepted: bool },
 }
 
 struct Instance {
     peer: Peer,
-    held: Replica,
+    replica: Replica,
     gossip: Gossip,
     pulls: Pull,
     pushes: Children,
@@ -132,9 +132,9 @@
     queue: Queue<Event>,
     instances: Vec<Instance>,
     history: Vec<Item>,
-    made: BTreeMap<Revision, Time>,
+    changed_at: BTreeMap<Revision, Time>,
     in_force: BTreeMap<Revision, Time>,
-    cut: bool,
+    is_cut: bool,
     rng: SmallRng,
     store_calls: usize,
     store_bytes: usize,
@@ -142,7 +142,7 @@
 
 fn item(revision: Revision) -> Item {
     let key = format!("/cowslipchute/config/job/{:06}", revision % RESOURCES);
-    Item { key, value: Some(vec![0; VALUE]), revision }
+    Item { key, value: Some(vec![0; VALUE_BYTES]), revision }
 }
 
 impl Fleet {
@@ -151,13 +151,13 @@
         let history: Vec<Item> = (1..=RESOURCES).map(item).collect();
         let members: Vec<Member> = (0..size.instances).map(|at| member(at, size.domains)).collect();
         let mut instances: Vec<Instance> =
-            members.iter().enumerate().map(|(at, one)| open(one, at, seed)).collect();
+            members.iter().enumerate().map(|(at, instance)| open(instance, at, seed)).collect();
         let mut queue = Queue::open();
-        queue.push(QUIET, Event::Change);
+        queue.push(FIRST_CHANGE, Event::Change);
         for (at, instance) in instances.iter_mut().enumerate() {
             instance.gossip.set_members(&members);
             let (items, scope) = (history.clone(), Scope::Whole);
-            instance.held.apply(Batch { items, revision: RESOURCES, scope });
+            instance.replica.apply(Batch { items, revision: RESOURCES, scope });
             queue.push(Duration::from_micros(1013 * at as u64 % 1_000_000), Event::Tick(at));
         }
         Fleet {
@@ -167,9 +167,9 @@
             queue,
             instances,
             history,
-            made: BTreeMap::new(),
+            changed_at: BTreeMap::new(),
             in_force: BTreeMap::new(),
-            cut: false,
+            is_cut: false,
             rng: SmallRng::seed_from_u64(seed),
             store_calls: 0,
             store_bytes: 0,
@@ -183,17 +183,23 @@
             self.now = at;
             self.step(event);
         }
-        let judged = |made: &Time| *made + JUDGED_BEFORE_END < length;
+        let is_evaluated = |changed_at: &Time| *changed_at + EVALUATION_MARGIN < length;
         let mut times: Vec<Duration> = Vec::new();
-        for (revision, made) in self.made.iter().filter(|(_, made)| judged(made)) {
+        for (revision, changed_at) in
+            self.changed_at.iter().filter(|(_, changed_at)| is_evaluated(changed_at))
+        {
             let done = self.in_force.get(revision).unwrap_or(&length);
-            times.push(*done - *made);
+            times.push(*done - *changed_at);
         }
         times.sort();
         let seconds = length.as_secs_f64();
         let busiest = self.instances.iter().map(|instance| instance.bytes).max().unwrap_or(0);
         Outcome {
-            watches: self.instances.iter().filter(|one| one.watching && one.alive).count(),
+            watches: self
+                .instances
+                .iter()
+                .filter(|instance| instance.watching && instance.alive)
+                .count(),
             store_calls: self.store_calls as f64 / seconds,
             store_bytes: self.store_bytes as f64 / seconds,
             busiest_bytes: busiest as f64 / seconds,
@@ -205,10 +211,10 @@
     fn step(&mut self, event: Event) {
         match event {
             Event::Change => self.change(),
-            Event::Fault => self.strike(),
+            Event::Fault => self.inject_fault(),
             Event::Tick(at) if self.instances[at].alive => self.tick(at),
-            Event::Told(at, item) if self.instances[at].alive => {
-                let after = self.instances[at].held.in_force();
+            Event::Update(at, item) if self.instances[at].alive => {
+                let after = self.instances[at].replica.in_force();
                 let revision = item.revision;
                 self.store(at, traffic::store_entry(&item), 0);
                 let scope = Scope::After(after);
@@ -217,35 +223,35 @@
             Event::Pull { from, to, after } => self.pull(from, to, after),
             Event::Pulled { at, peer, page } => self.pulled(at, peer, page),
             Event::Push { from, to, batch } => self.push(from, to, batch),
-            Event::Pushed { at, peer, taken } => self.pushed(at, peer, taken),
-            Event::Tick(_) | Event::Told(..) => {}
+            Event::Pushed { at, peer, accepted } => self.pushed(at, peer, accepted),
+            Event::Tick(_) | Event::Update(..) => {}
         }
     }
 
     fn change(&mut self) {
         let revision = self.history.len() as Revision + 1;
         self.history.push(item(revision));
-        self.made.insert(revision, self.now);
-        self.queue.push(self.now + CHANGE_EVERY, Event::Change);
+        self.changed_at.insert(revision, self.now);
+        self.queue.push(self.now + CHANGE_INTERVAL, Event::Change);
         for at in 0..self.instances.len() {
-            if self.instances[at].watching && !self.cut_off(at) {
-                self.queue.push(self.now + STORE, Event::Told(at, item(revision)));
+            if self.instances[at].watching && !self.is_cut_off(at) {
+                self.queue.push(self.now + LATENCY_STORE, Event::Update(at, item(revision)));
             }
         }
     }
 
-    fn strike(&mut self) {
+    fn inject_fault(&mut self) {
         match self.fault {
             Fault::KilledHolders => {
-                self.instances.iter_mut().for_each(|one| one.alive &= !one.watching);
+                self.instances.iter_mut().for_each(|instance| instance.alive &= !instance.watching);
             }
-            Fault::CutFromStore => self.cut = true,
+            Fault::CutFromStore => self.is_cut = true,
             Fault::None | Fault::LostCalls => {}
         }
     }
 
-    fn cut_off(&self, at: usize) -> bool {
-        self.cut && *self.instances[at].peer.domain == *"d0"
+    fn is_cut_off(&self, at: usize) -> bool {
+        self.is_cut && *self.instances[at].peer.domain == *"d0"
     }
 
     fn tick(&mut self, at: usize) {
@@ -261,14 +267,14 @@
             Way::Poll => self.poll(at),
             Way::RandomPull => {
                 let peer = self.rng.random_range(0..self.instances.len());
-                self.ask(at, peer);
+                self.start_pull(at, peer);
                 Duration::from_secs(1).mul_f64(self.rng.random_range(0.75..1.25))
             }
             Way::Star | Way::Shipped => {
                 for action in self.instances[at].gossip.tick(now, true) {
                     let (Action::Pull(peer) | Action::Probe(peer)) = action;
-                    let peer = number(&peer);
-                    self.ask(at, peer);
+                    let peer = index_of(&peer);
+                    self.start_pull(at, peer);
                 }
                 let due = self.instances[at].gossip.next_due().saturating_sub(now);
                 due.max(Duration::from_millis(1))
@@ -281,14 +287,14 @@
     fn watch(&mut self, at: usize, watches: bool) {
         let opened = watches && !self.instances[at].watching;
         self.instances[at].watching = watches;
-        if !opened || self.cut_off(at) {
+        if !opened || self.is_cut_off(at) {
             return;
         }
         self.store(at, traffic::STORE_CALL, 1);
-        let after = self.instances[at].held.in_force() as usize;
-        let arrives = self.now + STORE;
+        let after = self.instances[at].replica.in_force() as usize;
+        let arrives = self.now + LATENCY_STORE;
         for missed in &self.history[after..] {
-            self.queue.push(arrives, Event::Told(at, missed.clone()));
+            self.queue.push(arrives, Event::Update(at, missed.clone()));
         }
     }
 
@@ -296,7 +302,7 @@
         let whole: usize =
             self.history[..RESOURCES as usize].iter().map(traffic::store_entry).sum();
         self.store(at, traffic::STORE_CALL + whole, 1);
-        let after = self.instances[at].held.in_force() as usize;
+        let after = self.instances[at].replica.in_force() as usize;
         let items = self.history[after..].to_vec();
         let revision = self.history.len() as Revision;
         self.apply(at, Batch { items, revision, scope: Scope::After(after as Revision) });
@@ -311,7 +317,7 @@
 
     fn one_way(&self, a: usize, b: usize) -> Duration {
         let same = self.instances[a].peer.domain == self.instances[b].peer.domain;
-        if same { NEAR } else { FAR }
+        if same { LATENCY_LOCAL } else { LATENCY_REMOTE }
     }
 
     /// Returns `true` if a call is answered; otherwise it times out.
@@ -320,73 +326,73 @@
         self.instances[to].alive && !lost
     }
 
-    fn travel(&mut self, a: usize, b: usize, bytes: usize) {
+    fn count_bytes(&mut self, a: usize, b: usize, bytes: usize) {
         self.instances[a].bytes += bytes;
         self.instances[b].bytes += bytes;
     }
 
-    fn ask(&mut self, at: usize, peer: usize) {
+    fn start_pull(&mut self, at: usize, peer: usize) {
         if at == peer {
             return;
         }
         let to = self.instances[peer].peer.clone();
         let asker = &mut self.instances[at];
-        if let Some(after) = asker.pulls.begin(&to, asker.held.in_force()) {
-            self.ask_from(at, peer, after);
+        if let Some(after) = asker.pulls.begin(&to, asker.replica.in_force()) {
+            self.request_page(at, peer, after);
         }
     }
 
-    fn ask_from(&mut self, at: usize, peer: usize, after: Revision) {
+    fn request_page(&mut self, at: usize, peer: usize, after: Revision) {
         let arrives = self.now + self.one_way(at, peer);
         self.queue.push(arrives, Event::Pull { from: at, to: peer, after });
     }
 
     fn pull(&mut self, from: usize, to: usize, after: Revision) {
-        let page = self.answered(to).then(|| self.instances[to].held.page(after, PAGE_BYTES));
+        let page = self.answered(to).then(|| self.instances[to].replica.page(after, PAGE_BYTES));
         let items = page.as_ref().map_or(0, |page| traffic::peer_items(&page.batch.items));
-        self.travel(from, to, traffic::PEER_CALL + items);
-        let back = if page.is_some() { self.one_way(from, to) } else { CALL_WITHIN };
+        self.count_bytes(from, to, traffic::PEER_CALL + items);
+        let back = if page.is_some() { self.one_way(from, to) } else { CALL_TIMEOUT };
         self.queue.push(self.now + back, Event::Pulled { at: from, peer: to, page });
     }
 
     fn pulled(&mut self, at: usize, peer: usize, page: Option<Page>) {
-        let Some(page) = page else { return self.unheard(at, peer) };
-        self.heard(at, peer);
+        let Some(page) = page else { return self.record_failure(at, peer) };
+        self.record_answer(at, peer);
         let Batch { items, revision, .. } = page.batch;
         match self.instances[at].pulls.receive(items, revision, page.lacks_removals) {
-            Some(Step::Ask(after)) => self.ask_from(at, peer, after),
+            Some(Step::Ask(after)) => self.request_page(at, peer, after),
             Some(Step::Apply(batch)) => self.apply(at, batch),
             None => {}
         }
     }
 
     fn push(&mut self, from: usize, to: usize, batch: Batch) {
-        let taken = self.answered(to);
-        self.travel(from, to, traffic::PEER_CALL + traffic::peer_items(&batch.items));
-        if taken {
+        let accepted = self.answered(to);
+        self.count_bytes(from, to, traffic::PEER_CALL + traffic::peer_items(&batch.items));
+        if accepted {
             self.apply(to, batch);
         }
-        let back = if taken { self.one_way(from, to) } else { CALL_WITHIN };
-        self.queue.push(self.now + back, Event::Pushed { at: from, peer: to, taken });
+        let back = if accepted { self.one_way(from, to) } else { CALL_TIMEOUT };
+        self.queue.push(self.now + back, Event::Pushed { at: from, peer: to, accepted });
     }
 
-    fn pushed(&mut self, at: usize, peer: usize, taken: bool) {
-        if !taken {
-            return self.unheard(at, peer);
+    fn pushed(&mut self, at: usize, peer: usize, accepted: bool) {
+        if !accepted {
+            return self.record_failure(at, peer);
         }
-        self.heard(at, peer);
+        self.record_answer(at, peer);
         let to = self.instances[peer].peer.clone();
-        let Instance { pushes, held, .. } = &mut self.instances[at];
-        let next = pushes.accepted(held, &to);
+        let Instance { pushes, replica, .. } = &mut self.instances[at];
+        let next = pushes.accepted(replica, &to);
         self.send(at, next);
     }
 
-    fn heard(&mut self, at: usize, peer: usize) {
+    fn record_answer(&mut self, at: usize, peer: usize) {
         let peer = self.instances[peer].peer.clone();
         self.instances[at].gossip.answered(&peer);
     }
 
-    fn unheard(&mut self, at: usize, peer: usize) {
+    fn record_failure(&mut self, at: usize, peer: usize) {
         let (peer, now) = (self.instances[peer].peer.clone(), self.now);
         let instance = &mut self.instances[at];
         instance.pushes.failed(&peer);
@@ -402,46 +408,47 @@
         if !instance.alive {
             return;
         }
-        let (before, last) = (instance.held.in_force(), instance.held.last_change());
-        if instance.held.apply(batch).continuity == Continuity::Gap {
+        let (before, last) = (instance.replica.in_force(), instance.replica.last_change());
+        if instance.replica.apply(batch).continuity == Continuity::Gap {
             instance.gossip.request_pull(now);
             self.queue.push(now, Event::Tick(at));
         }
         let instance = &mut self.instances[at];
         let pushes = match self.way {
             Way::Shipped => {
-                instance.pushes.changed(&instance.held, last, instance.gossip.children())
+                instance.pushes.changed(&instance.replica, last, instance.gossip.children())
             }
             Way::Star if instance.watching => {
                 let domain = instance.peer.domain.clone();
-                let others: Vec<Peer> = self.instances.iter().map(|one| one.peer.clone()).collect();
+                let others: Vec<Peer> =
+                    self.instances.iter().map(|instance| instance.peer.clone()).collect();
                 let others = others.iter().filter(|peer| peer.domain == domain);
-                let others = others.filter(|peer| number(peer) != at);
+                let others = others.filter(|peer| index_of(peer) != at);
                 let instance = &mut self.instances[at];
-                instance.pushes.changed(&instance.held, last, others)
+                instance.pushes.changed(&instance.replica, last, others)
             }
             _ => Default::default(),
         };
         self.send(at, pushes);
-        if self.instances[at].held.in_force() > before {
-            self.judge();
+        if self.instances[at].replica.in_force() > before {
+            self.record_in_force();
         }
     }
 
     fn send(&mut self, at: usize, pushes: impl IntoIterator<Item = Push>) {
         for push in pushes {
-            let to = number(&push.peer);
+            let to = index_of(&push.peer);
             let arrives = self.now + self.one_way(at, to);
             self.queue.push(arrives, Event::Push { from: at, to, batch: push.batch });
         }
     }
 
     /// Records the changes that have come into force at every live instance.
-    fn judge(&mut self) {
-        let living = self.instances.iter().filter(|one| one.alive);
-        let everywhere = living.map(|one| one.held.in_force()).min().unwrap_or(0);
+    fn record_in_force(&mut self) {
+        let living = self.instances.iter().filter(|instance| instance.alive);
+        let everywhere = living.map(|instance| instance.replica.in_force()).min().unwrap_or(0);
         let from = self.in_force.last_key_value().map_or(0, |(revision, _)| revision + 1);
-        for (revision, _) in self.made.range(from..=everywhere.max(from)) {
+        for (revision, _) in self.changed_at.range(from..=everywhere.max(from)) {
             if *revision <= everywhere {
                 self.in_force.insert(*revision, self.now);
             }
@@ -475,7 +482,7 @@
     Instance {
         gossip: Gossip::open(peer.clone(), seed ^ at as u64),
         peer,
-        held: Replica::default(),
+        replica: Replica::default(),
         pushes: Children::default(),
         pulls: Pull::default(),
         watching: false,
@@ -485,6 +492,6 @@
 }
 
 /// Returns the index of an instance, which is encoded in its address.
-fn number(peer: &Peer) -> usize {
+fn index_of(peer: &Peer) -> usize {
     peer.address.port().into()
 }
--- a/crates/spread/src/gossip.rs
+++ b/crates/spread/src/gossip.rs
@@ -38,7 +38,7 @@
 /// Maximum delay before a suspect peer is probed again.
 pub const SUSPECT_DELAY_MAX: Duration = Duration::from_secs(30);
 /// One in this many pulls goes to another peer, in case the parent answers but receives no changes.
-const STRAY_PULLS: u32 = 8;
+const RANDOM_PULL_PERIOD: u32 = 8;
 
 /// A call to be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 struct Suspect {
     incarnation: Incarnation,
     until: Time,
-    wait: Duration,
+    delay: Duration,
 }
 
 /// Peers of this instance: their ranks and which of them are suspect.
@@ -92,19 +92,19 @@
 
     /// Returns `true` if this instance has to hold its domain's watch.
     pub fn holds_watch(&self) -> bool {
-        self.first() == self.place()
+        self.first() == self.index()
     }
 
     /// Returns the peers to push changes to.
     pub fn children(&self) -> impl Iterator<Item = &Peer> {
-        let mut places = SmallVec::new();
-        let place = self.place();
-        self.answering_below(place, &mut places);
-        if place > 0 && self.holds_watch() {
+        let mut indices = SmallVec::new();
+        let index = self.index();
+        self.responsive_below(index, &mut indices);
+        if index > 0 && self.holds_watch() {
             // No instance of a lower rank answers, so this one takes over all their children.
-            self.answering_below(0, &mut places);
+            self.responsive_below(0, &mut indices);
         }
-        places.into_iter().map(|place| &self.own()[place])
+        indices.into_iter().map(|index| &self.local_peers()[index])
     }
 
     /// Returns the peer that pushes changes to this one; `None` if this one holds the watch.
@@ -112,24 +112,24 @@
         if self.holds_watch() {
             return None;
         }
-        let mut place = self.place();
-        while place > 0 {
-            place = (place - 1) / FANOUT;
-            let peer = &self.own()[place];
-            if !self.suspect(peer) {
+        let mut index = self.index();
+        while index > 0 {
+            index = (index - 1) / FANOUT;
+            let peer = &self.local_peers()[index];
+            if !self.is_suspect(peer) {
                 return Some(peer);
             }
         }
-        Some(&self.own()[self.first()])
+        Some(&self.local_peers()[self.first()])
     }
 
     /// Returns the calls that are due. `ready` is `true` if there is a configuration already.
     pub fn tick(&mut self, now: Time, ready: bool) -> Actions {
         let mut actions = self.probes(now);
         if now >= self.next_pull {
-            let every = if ready { PULL_INTERVAL } else { PULL_INTERVAL_INITIAL };
-            self.next_pull = now + every.mul_f64(self.rng.random_range(0.75..1.25));
-            actions.extend(self.pulled().map(Action::Pull));
+            let interval = if ready { PULL_INTERVAL } else { PULL_INTERVAL_INITIAL };
+            self.next_pull = now + interval.mul_f64(self.rng.random_range(0.75..1.25));
+            actions.extend(self.pull_target().map(Action::Pull));
         }
         actions
     }
@@ -153,58 +153,62 @@
     /// Records that a call to a peer failed; returns `true` if it wasn't suspect before. The next
     /// tick then pulls, as the parent may be another peer now.
     pub fn failed(&mut self, peer: &Peer, now: Time) -> bool {
-        let before = self.suspects.get(&peer.instance);
-        let wait = before.map_or(SUSPECT_DELAY, |before| SUSPECT_DELAY_MAX.min(before.wait * 2));
-        let news = before.is_none();
-        let suspect = Suspect { incarnation: peer.incarnation, until: now + wait, wait };
+        let previous = self.suspects.get(&peer.instance);
+        let delay =
+            previous.map_or(SUSPECT_DELAY, |previous| SUSPECT_DELAY_MAX.min(previous.delay * 2));
+        let is_new = previous.is_none();
+        let suspect = Suspect { incarnation: peer.incarnation, until: now + delay, delay };
         self.suspects.insert(peer.instance.clone(), suspect);
-        if news {
+        if is_new {
             self.request_pull(now);
         }
-        news
+        is_new
     }
 
     /// Returns the instances of this domain by rank, including this one.
-    fn own(&self) -> &[Peer] {
+    fn local_peers(&self) -> &[Peer] {
         &self.domains[&self.me.domain]
     }
 
-    fn suspect(&self, peer: &Peer) -> bool {
+    fn is_suspect(&self, peer: &Peer) -> bool {
         self.suspects.contains_key(&peer.instance)
     }
 
-    fn place(&self) -> usize {
+    fn index(&self) -> usize {
         let me = |peer: &Peer| peer.instance == self.me.instance;
-        self.own().iter().position(me).expect("an instance is in its own domain")
+        self.local_peers().iter().position(me).expect("an instance is in its own domain")
     }
 
     /// Returns the index of the first responsive instance; this one counts as responsive.
     fn first(&self) -> usize {
-        let answers = |peer: &Peer| !self.suspect(peer);
-        self.own().iter().position(answers).expect("an instance is never suspect to itself")
+        let is_responsive = |peer: &Peer| !self.is_suspect(peer);
+        self.local_peers()
+            .iter()
+            .position(is_responsive)
+            .expect("an instance is never suspect to itself")
     }
 
     /// Adds the indices of the responsive children, descending into unresponsive ones. Indices
     /// increase from parent to child, so the recursion ends.
-    fn answering_below(&self, place: usize, places: &mut SmallVec<[usize; 8]>) {
-        let me = self.place();
-        let end = self.own().len().min(place * FANOUT + FANOUT + 1);
-        for child in place * FANOUT + 1..end {
+    fn responsive_below(&self, index: usize, indices: &mut SmallVec<[usize; 8]>) {
+        let me = self.index();
+        let end = self.local_peers().len().min(index * FANOUT + FANOUT + 1);
+        for child in index * FANOUT + 1..end {
             if child == me {
                 continue;
             }
-            if self.suspect(&self.own()[child]) {
-                self.answering_below(child, places);
+            if self.is_suspect(&self.local_peers()[child]) {
+                self.responsive_below(child, indices);
             } else {
-                places.push(child);
+                indices.push(child);
             }
         }
     }
 
     /// Returns the responsive peers of a domain by rank; this instance counts as responsive.
-    fn line(&self, domain: &Domain) -> impl Iterator<Item = &Peer> {
+    fn responsive_in(&self, domain: &Domain) -> impl Iterator<Item = &Peer> {
         let peers = self.domains.get(domain).into_iter().flatten();
-        peers.filter(|peer| !self.suspect(peer))
+        peers.filter(|peer| !self.is_suspect(peer))
     }
 
     fn probes(&mut self, now: Time) -> Actions {
@@ -213,7 +217,7 @@
             let Some(suspect) = self.suspects.get_mut(&peer.instance) else { continue };
             if now >= suspect.until {
                 // The next probe is due after the same delay unless this one ends earlier.
-                suspect.until = now + suspect.wait;
+                suspect.until = now + suspect.delay;
                 actions.push(Action::Probe(peer.clone()));
             }
         }
@@ -221,39 +225,39 @@
     }
 
     /// Chooses the peer to pull from.
-    fn pulled(&mut self) -> Option<Peer> {
-        let stray = self.rng.random_range(0..STRAY_PULLS) == 0;
-        let parent = if stray { None } else { self.parent().cloned() };
+    fn pull_target(&mut self) -> Option<Peer> {
+        let is_random = self.rng.random_range(0..RANDOM_PULL_PERIOD) == 0;
+        let parent = if is_random { None } else { self.parent().cloned() };
         if parent.is_some() {
             return parent;
         }
-        if self.holds_watch() { self.other_first() } else { self.anyone() }
+        if self.holds_watch() { self.remote_root() } else { self.random_peer() }
     }
 
     /// Chooses the root of a random other domain, or any random peer if there is no other domain.
-    fn other_first(&mut self) -> Option<Peer> {
-        let own = &self.me.domain;
-        let others = self.domains.keys().filter(|domain| *domain != own);
-        let firsts: Vec<_> =
-            others.filter_map(|domain| self.line(domain).next()).cloned().collect();
-        if firsts.is_empty() {
-            return self.anyone();
+    fn remote_root(&mut self) -> Option<Peer> {
+        let local_domain = &self.me.domain;
+        let others = self.domains.keys().filter(|domain| *domain != local_domain);
+        let roots: Vec<_> =
+            others.filter_map(|domain| self.responsive_in(domain).next()).cloned().collect();
+        if roots.is_empty() {
+            return self.random_peer();
         }
-        let at = self.rng.random_range(0..firsts.len());
-        firsts.into_iter().nth(at)
+        let index = self.rng.random_range(0..roots.len());
+        roots.into_iter().nth(index)
     }
 
-    fn anyone(&mut self) -> Option<Peer> {
-        let count = self.answering().count();
+    fn random_peer(&mut self) -> Option<Peer> {
+        let count = self.responsive().count();
         if count == 0 {
             return None;
         }
-        let at = self.rng.random_range(0..count);
-        self.answering().nth(at).cloned()
+        let index = self.rng.random_range(0..count);
+        self.responsive().nth(index).cloned()
     }
 
-    fn answering(&self) -> impl Iterator<Item = &Peer> {
-        let all = self.domains.keys().flat_map(|domain| self.line(domain));
+    fn responsive(&self) -> impl Iterator<Item = &Peer> {
+        let all = self.domains.keys().flat_map(|domain| self.responsive_in(domain));
         all.filter(|peer| peer.instance != self.me.instance)
     }
 }
--- a/crates/spread/src/pull.rs
+++ b/crates/spread/src/pull.rs
@@ -23,7 +23,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Run {
+struct State {
     peer: Peer,
     from: Revision,
     reached: Revision,
@@ -33,54 +33,59 @@
 /// The pull in progress, if any.
 #[derive(Clone, Debug, Default)]
 pub struct Pull {
-    run: Option<Run>,
+    state: Option<State>,
 }
 
 impl Pull {
     /// Starts a pull of a peer's changes above `in_force` and returns the revision to ask from, or
     /// `None` if a pull is in progress.
     pub fn begin(&mut self, peer: &Peer, in_force: Revision) -> Option<Revision> {
-        if self.run.is_some() {
+        if self.state.is_some() {
             return None;
         }
         let (peer, from, reached) = (peer.clone(), in_force, in_force);
-        self.run = Some(Run { peer, from, reached, items: BTreeMap::new() });
+        self.state = Some(State { peer, from, reached, items: BTreeMap::new() });
         Some(in_force)
     }
 
     /// Handles a page and returns the next step. `lacks_removals` means that the peer doesn't know
     /// every removal since the requested revision; the pull then restarts from zero.
-    pub fn receive(&mut self, items: Vec<Item>, revision: Revision, whole: bool) -> Option<Step> {
-        let run = self.run.as_mut()?;
-        if whole && run.from > 0 {
-            (run.from, run.reached) = (0, 0);
-            run.items.clear();
+    pub fn receive(
+        &mut self,
+        items: Vec<Item>,
+        revision: Revision,
+        lacks_removals: bool,
+    ) -> Option<Step> {
+        let state = self.state.as_mut()?;
+        if lacks_removals && state.from > 0 {
+            (state.from, state.reached) = (0, 0);
+            state.items.clear();
             return Some(Step::Ask(0));
         }
-        let last = items.is_empty() || revision <= run.reached;
+        let last = items.is_empty() || revision <= state.reached;
         for item in items {
-            run.take(item);
+            state.take(item);
         }
-        run.reached = run.reached.max(revision);
+        state.reached = state.reached.max(revision);
         if !last {
-            return Some(Step::Ask(run.reached));
+            return Some(Step::Ask(state.reached));
         }
-        let run = self.run.take()?;
-        Some(Step::Apply(run.batch()))
+        let state = self.state.take()?;
+        Some(Step::Apply(state.batch()))
     }
 
     /// Cancels the pull from this peer and drops its pages; nothing was applied.
     pub fn failed(&mut self, peer: &Peer) {
-        if self.run.as_ref().is_some_and(|run| run.peer == *peer) {
-            self.run = None;
+        if self.state.as_ref().is_some_and(|state| state.peer == *peer) {
+            self.state = None;
         }
     }
 }
 
-impl Run {
+impl State {
     /// Adds an item; a key that changes during the pull arrives again in a later page.
     fn take(&mut self, item: Item) {
-        let newer = |held: &Item| held.revision < item.revision;
+        let newer = |known: &Item| known.revision < item.revision;
         if self.items.get(&item.key).is_none_or(newer) {
             self.items.insert(item.key.clone(), item);
         }
--- a/crates/spread/src/push.rs
+++ b/crates/spread/src/push.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Child {
     pushed: Revision,
-    under_way: bool,
+    in_flight: bool,
 }
 
 /// The children and the revision to which each has been pushed.
@@ -41,27 +41,27 @@
     /// `before`.
     pub fn changed<'a>(
         &mut self,
-        held: &Replica,
+        replica: &Replica,
         before: Revision,
         children: impl Iterator<Item = &'a Peer>,
     ) -> SmallVec<[Push; 8]> {
         let mut pushes = SmallVec::new();
-        let mut kept = BTreeMap::new();
+        let mut current = BTreeMap::new();
         for peer in children {
-            let new = Child { pushed: before, under_way: false };
+            let new = Child { pushed: before, in_flight: false };
             let mut child = self.children.remove(&peer.instance).unwrap_or(new);
-            pushes.extend(child.push(held, peer));
-            kept.insert(peer.instance.clone(), child);
+            pushes.extend(child.push(replica, peer));
+            current.insert(peer.instance.clone(), child);
         }
-        self.children = kept;
+        self.children = current;
         pushes
     }
 
     /// Records that a child accepted a push; returns the next one if more changed meanwhile.
-    pub fn accepted(&mut self, held: &Replica, peer: &Peer) -> Option<Push> {
+    pub fn accepted(&mut self, replica: &Replica, peer: &Peer) -> Option<Push> {
         let child = self.children.get_mut(&peer.instance)?;
-        child.under_way = false;
-        child.push(held, peer)
+        child.in_flight = false;
+        child.push(replica, peer)
     }
 
     /// Removes a child that failed to accept a push.
@@ -71,18 +71,18 @@
 }
 
 impl Child {
-    fn push(&mut self, held: &Replica, peer: &Peer) -> Option<Push> {
+    fn push(&mut self, replica: &Replica, peer: &Peer) -> Option<Push> {
         // A change above `in_force` isn't pushed before the changes in between are known.
-        let known = held.last_change().min(held.in_force());
-        if self.under_way || self.pushed >= known {
+        let latest = replica.last_change().min(replica.in_force());
+        if self.in_flight || self.pushed >= latest {
             return None;
         }
-        let page = held.page(self.pushed, PAGE_BYTES);
-        self.pushed = held.in_force();
+        let page = replica.page(self.pushed, PAGE_BYTES);
+        self.pushed = replica.in_force();
         if page.lacks_removals || !page.last || page.batch.items.is_empty() {
             return None;
         }
-        self.under_way = true;
+        self.in_flight = true;
         Some(Push { peer: peer.clone(), batch: page.batch })
     }
 }
--- a/crates/spread/src/rank.rs
+++ b/crates/spread/src/rank.rs
@@ -45,8 +45,8 @@
 
 /// Returns `true` if a member follows the configuration and isn't leaving.
 pub fn is_follower(member: &Member) -> bool {
-    let ours = matches!(member.role, Role::Entry | Role::Placer | Role::Operator);
-    ours && member.state == State::Live
+    let has_role = matches!(member.role, Role::Entry | Role::Placer | Role::Operator);
+    has_role && member.state == State::Live
 }
 
 fn peer(member: &Member) -> Peer {
--- a/crates/spread/src/replica.rs
+++ b/crates/spread/src/replica.rs
@@ -1,9 +1,9 @@
 //! This instance's replica of the configuration.
 //!
-//! `in_force` is the revision up to which every change is applied. `history_start` is the revision
-//! below which not every removal is known, because it was never seen or is compacted; a peer below
-//! it gets the whole configuration instead of changes. The invariant `history_start <= in_force`
-//! makes compaction safe: a change at or below `in_force` is never applied, remembered or not.
+//! `in_force` is the revision up to which every change is applied. `floor` is the revision below
+//! which not every removal is known, because it was never seen or is compacted; a peer below it
+//! gets the whole configuration instead of changes. The invariant `floor <= in_force` makes
+//! compaction safe: a change at or below `in_force` is never applied, remembered or not.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -78,7 +78,7 @@
 /// The configuration in force at this instance.
 #[derive(Clone, Debug)]
 pub struct Replica {
-    slots: BTreeMap<Key, Version>,
+    versions: BTreeMap<Key, Version>,
     by_revision: BTreeSet<(Revision, Key)>,
     tombstones: BTreeSet<(Revision, Key)>,
     in_force: Revision,
@@ -96,7 +96,7 @@
     /// Creates an empty replica that remembers at most `max` removals.
     pub fn with_tombstones_max(max: usize) -> Replica {
         Replica {
-            slots: BTreeMap::new(),
+            versions: BTreeMap::new(),
             by_revision: BTreeSet::new(),
             tombstones: BTreeSet::new(),
             in_force: 0,
@@ -120,12 +120,12 @@
 
     /// Returns the last change of a key.
     pub fn get(&self, key: &str) -> Option<&Version> {
-        self.slots.get(key)
+        self.versions.get(key)
     }
 
     /// Returns the existing keys in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &Version)> {
-        self.slots.iter().filter(|(_, slot)| slot.value.is_some())
+        self.versions.iter().filter(|(_, version)| version.value.is_some())
     }
 
     /// Returns the number of remembered removals.
@@ -160,7 +160,7 @@
             self.compact();
         }
         changes.sort_by_key(|change| change.version.revision);
-        assert!(self.in_force >= before, "a revision in force never goes back");
+        assert!(self.in_force >= before, "the revision in force never decreases");
         Applied { changes, continuity }
     }
 
@@ -173,13 +173,15 @@
         let present: BTreeSet<&str> = existing.map(|item| item.key.as_str()).collect();
         let missing: Vec<Key> = self
             .iter()
-            .filter(|(key, slot)| slot.revision <= batch.revision && !present.contains(&***key))
+            .filter(|(key, version)| {
+                version.revision <= batch.revision && !present.contains(&***key)
+            })
             .map(|(key, _)| key.clone())
             .collect();
         for key in missing {
-            let slot = Version { value: None, revision: batch.revision };
-            changes.push(Change { key: key.clone(), version: slot.clone() });
-            self.set(key, slot);
+            let version = Version { value: None, revision: batch.revision };
+            changes.push(Change { key: key.clone(), version: version.clone() });
+            self.set(key, version);
         }
     }
 
@@ -190,24 +192,24 @@
             return;
         }
         let key: Key = item.key.into();
-        if self.slots.get(&key).is_some_and(|slot| slot.revision >= item.revision) {
+        if self.versions.get(&key).is_some_and(|version| version.revision >= item.revision) {
             return;
         }
-        let slot = Version { value: item.value.map(Arc::from), revision: item.revision };
-        changes.push(Change { key: key.clone(), version: slot.clone() });
-        self.set(key, slot);
+        let version = Version { value: item.value.map(Arc::from), revision: item.revision };
+        changes.push(Change { key: key.clone(), version: version.clone() });
+        self.set(key, version);
     }
 
-    fn set(&mut self, key: Key, slot: Version) {
-        let revision = slot.revision;
-        let removed = slot.value.is_none();
-        if let Some(old) = self.slots.insert(key.clone(), slot) {
-            assert!(old.revision <= revision, "a key never goes back to an older revision");
-            let place = (old.revision, key.clone());
-            self.by_revision.remove(&place);
-            self.tombstones.remove(&place);
+    fn set(&mut self, key: Key, version: Version) {
+        let revision = version.revision;
+        let is_removal = version.value.is_none();
+        if let Some(old) = self.versions.insert(key.clone(), version) {
+            assert!(old.revision <= revision, "the revision of a key never decreases");
+            let indexed = (old.revision, key.clone());
+            self.by_revision.remove(&indexed);
+            self.tombstones.remove(&indexed);
         }
-        if removed {
+        if is_removal {
             self.tombstones.insert((revision, key.clone()));
         }
         self.by_revision.insert((revision, key));
@@ -222,7 +224,7 @@
                 return;
             }
             self.floor = self.floor.max(oldest.0);
-            self.slots.remove(&oldest.1);
+            self.versions.remove(&oldest.1);
             self.by_revision.remove(&oldest);
             self.tombstones.remove(&oldest);
         }
@@ -231,24 +233,23 @@
     /// Returns everything that a peer lacks which has every change up to `after` in force.
     pub fn since(&self, after: Revision) -> Batch {
         if after < self.floor {
-            return self.whole();
+            return self.snapshot();
         }
         self.page(after, usize::MAX).batch
     }
 
     /// Returns the first changes above `after`, up to about `limit` bytes.
     ///
-    /// If `after` is below `history_start`, removals may be missing, and the page says so. All
-    /// pages from zero on, assembled by [`crate::pull`], nevertheless contain every existing key
-    /// and the removals that happen meanwhile, as long as those aren't compacted before the last
-    /// page.
+    /// If `after` is below `floor`, removals may be missing, and the page says so. All pages from
+    /// zero on, assembled by [`crate::pull`], nevertheless contain every existing key and the
+    /// removals that happen meanwhile, as long as those aren't compacted before the last page.
     pub fn page(&self, after: Revision, limit: usize) -> Page {
         let scope = Scope::After(after);
         let lacks_removals = after < self.floor;
         let mut items = Vec::new();
         let mut bytes = 0;
         let mut reached = after;
-        let range = (Bound::Excluded((after, Key::from(MAX_KEY))), Bound::Unbounded);
+        let range = (Bound::Excluded((after, Key::from(KEY_MAX))), Bound::Unbounded);
         for (revision, key) in self.by_revision.range(range) {
             // Changes of one revision stay together, so that the page is complete up to the
             // revision it reaches. So do the few above `in_force`: each may have superseded a
@@ -267,20 +268,21 @@
     }
 
     /// Returns every existing key and the removals above the batch's revision.
-    fn whole(&self) -> Batch {
-        let ahead = |slot: &Version| slot.value.is_some() || slot.revision > self.in_force;
-        let slots = self.slots.iter().filter(|(_, slot)| ahead(slot));
-        let mut items: Vec<_> = slots.map(|(key, _)| self.item(key)).collect();
+    fn snapshot(&self) -> Batch {
+        let is_included =
+            |version: &Version| version.value.is_some() || version.revision > self.in_force;
+        let versions = self.versions.iter().filter(|(_, version)| is_included(version));
+        let mut items: Vec<_> = versions.map(|(key, _)| self.item(key)).collect();
         items.sort_by_key(|item| item.revision);
         Batch { items, revision: self.in_force, scope: Scope::Whole }
     }
 
     fn item(&self, key: &Key) -> peer::Item {
-        let slot = &self.slots[key];
-        let value = slot.value.as_ref().map(|value| value.to_vec());
-        peer::Item { key: key.to_string(), value, revision: slot.revision }
+        let version = &self.versions[key];
+        let value = version.value.as_ref().map(|value| value.to_vec());
+        peer::Item { key: key.to_string(), value, revision: version.revision }
     }
 }
 
 /// A string that sorts after every key, as keys are ASCII.
-const MAX_KEY: &str = "\u{10FFFF}";
+const KEY_MAX: &str = "\u{10FFFF}";
--- a/crates/spread/tests/held.rs
+++ b/crates/spread/tests/held.rs
@@ -29,33 +29,33 @@
     value.map_or(String::from("-"), |bytes| String::from_utf8_lossy(bytes).into_owned())
 }
 
-fn apply(held: &mut Replica, case: &TestCase) -> String {
+fn apply(replica: &mut Replica, case: &TestCase) -> String {
     let scope = number(case, "after").map_or(Scope::Whole, Scope::After);
     let revision = number(case, "revision").expect("apply names the revision it reaches");
     let items = case.input.lines().map(item).collect();
-    let applied = held.apply(Batch { items, revision, scope });
+    let applied = replica.apply(Batch { items, revision, scope });
     let mut out = String::new();
     for change in applied.changes {
         let value = shown(change.version.value.as_deref());
         writeln!(out, "{} {} {value}", change.version.revision, change.key)
             .expect("a string takes text");
     }
-    writeln!(out, "{:?}, in force {}", applied.continuity, held.in_force())
+    writeln!(out, "{:?}, in force {}", applied.continuity, replica.in_force())
         .expect("a string takes text");
     out
 }
 
-fn since(held: &Replica, case: &TestCase) -> String {
-    let batch = held.since(number(case, "after").expect("since names a revision"));
+fn since(replica: &Replica, case: &TestCase) -> String {
+    let batch = replica.since(number(case, "after").expect("since names a revision"));
     let mut out = items(&batch);
     writeln!(out, "{:?}, to {}", batch.scope, batch.revision).expect("a string takes text");
     out
 }
 
-fn page(held: &Replica, case: &TestCase) -> String {
+fn page(replica: &Replica, case: &TestCase) -> String {
     let after = number(case, "after").expect("page names a revision");
     let limit = number(case, "limit").expect("page names a limit") as usize;
-    let page = held.page(after, limit);
+    let page = replica.page(after, limit);
     let mut out = items(&page.batch);
     let removals =
         if page.lacks_removals { "removals may be missing" } else { "removals included" };
@@ -73,13 +73,13 @@
     out
 }
 
-fn state(held: &Replica) -> String {
+fn state(replica: &Replica) -> String {
     let mut out = String::new();
-    for (key, slot) in held.iter() {
-        let value = shown(slot.value.as_deref());
-        writeln!(out, "{} {key} {value}", slot.revision).expect("a string takes text");
+    for (key, version) in replica.iter() {
+        let value = shown(version.value.as_deref());
+        writeln!(out, "{} {key} {value}", version.revision).expect("a string takes text");
     }
-    writeln!(out, "{} removals, in force {}", held.tombstone_count(), held.in_force())
+    writeln!(out, "{} removals, in force {}", replica.tombstone_count(), replica.in_force())
         .expect("a string takes text");
     out
 }
@@ -87,18 +87,18 @@
 #[test]
 fn scenarios() {
     datadriven::walk("filetests/held", |file| {
-        let mut held = Replica::default();
+        let mut replica = Replica::default();
         file.run(|case| match case.directive.as_str() {
             "new" => {
-                held = Replica::with_tombstones_max(
+                replica = Replica::with_tombstones_max(
                     number(case, "tombstones").unwrap_or(100) as usize
                 );
                 String::new()
             }
-            "apply" => apply(&mut held, case),
-            "since" => since(&held, case),
-            "page" => page(&held, case),
-            "state" => state(&held),
+            "apply" => apply(&mut replica, case),
+            "since" => since(&replica, case),
+            "page" => page(&replica, case),
+            "state" => state(&replica),
             other => panic!("{other:?} is no directive"),
         });
     });
--- a/crates/spread/tests/no_revert.rs
+++ b/crates/spread/tests/no_revert.rs
@@ -33,11 +33,11 @@
     /// A snapshot of the store, possibly outdated.
     Snapshot { at: usize },
     /// A range of changes from a watch or a peer, possibly repeated or with a gap before it.
-    Stretch { after: usize, to: usize },
+    Range { after: usize, to: usize },
     /// One page of a pull from another instance, which may need several.
     Pull { from: usize },
     /// The pull in progress is cancelled.
-    GiveUp,
+    Cancel,
 }
 
 struct History(Vec<Write>);
@@ -66,30 +66,33 @@
 }
 
 /// Checks that every key has its state at `in_force` according to the history, or a later one.
-fn check(history: &History, held: &Replica) {
-    let truth = history.last(0, held.in_force() as usize);
-    for item in truth.values() {
-        let found = held.get(&item.key);
-        let later = found.is_some_and(|slot| slot.revision > held.in_force());
-        let value = found.and_then(|slot| slot.value.as_deref());
-        assert!(later || value == item.value.as_deref(), "{} at {}", item.key, held.in_force());
+fn check(history: &History, replica: &Replica) {
+    let expected = history.last(0, replica.in_force() as usize);
+    for item in expected.values() {
+        let found = replica.get(&item.key);
+        let later = found.is_some_and(|version| version.revision > replica.in_force());
+        let value = found.and_then(|version| version.value.as_deref());
+        assert!(later || value == item.value.as_deref(), "{} at {}", item.key, replica.in_force());
     }
-    for (key, slot) in held.iter() {
-        let written = history.0[slot.revision as usize - 1].key;
+    for (key, version) in replica.iter() {
+        let written = history.0[version.revision as usize - 1].key;
         assert_eq!(**key, format!("k{written}"), "a value comes from its own write");
     }
 }
 
-fn take(history: &History, held: &mut Replica, batch: Batch) {
+fn take(history: &History, replica: &mut Replica, batch: Batch) {
     let before: BTreeMap<_, _> =
-        held.iter().map(|(key, slot)| (key.clone(), slot.revision)).collect();
-    let in_force = held.in_force();
-    held.apply(batch);
-    assert!(held.in_force() >= in_force);
+        replica.iter().map(|(key, version)| (key.clone(), version.revision)).collect();
+    let in_force = replica.in_force();
+    replica.apply(batch);
+    assert!(replica.in_force() >= in_force);
     for (key, revision) in before {
-        assert!(held.get(&key).is_none_or(|slot| slot.revision >= revision), "{key} went back");
+        assert!(
+            replica.get(&key).is_none_or(|version| version.revision >= revision),
+            "{key} reverted"
+        );
     }
-    check(history, held);
+    check(history, replica);
 }
 
 fn writes() -> impl Strategy<Value = Vec<Write>> {
@@ -101,9 +104,9 @@
 fn steps() -> impl Strategy<Value = Vec<(usize, Step)>> {
     let step = prop_oneof![
         1 => any::<usize>().prop_map(|at| Step::Snapshot { at }),
-        3 => (any::<usize>(), any::<usize>()).prop_map(|(after, to)| Step::Stretch { after, to }),
+        3 => (any::<usize>(), any::<usize>()).prop_map(|(after, to)| Step::Range { after, to }),
         4 => (0..INSTANCES).prop_map(|from| Step::Pull { from }),
-        1 => prop::strategy::Just(Step::GiveUp),
+        1 => prop::strategy::Just(Step::Cancel),
     ];
     prop::collection::vec((0..INSTANCES, step), 0..60)
 }
@@ -111,9 +114,9 @@
 /// An instance and its pull in progress.
 #[derive(Clone)]
 struct Instance {
-    held: Replica,
+    replica: Replica,
     pulls: Pull,
-    asking: Option<(usize, Revision)>,
+    pulling: Option<(usize, Revision)>,
 }
 
 /// Limits of remembered removals and of page size.
@@ -126,7 +129,7 @@
 impl Limits {
     /// Whether a pull has to run without interruption: it is correct only if no removal made during
     /// it is compacted.
-    fn at_once(self) -> bool {
+    fn uninterrupted(self) -> bool {
         self.tombstones < 1000
     }
 }
@@ -153,21 +156,21 @@
     page: usize,
 ) -> bool {
     let puller = &mut instances[at];
-    let (from, asked) = puller.asking.unwrap_or_else(|| {
-        let asked = puller.pulls.begin(&peer(from), puller.held.in_force());
+    let (from, asked) = puller.pulling.unwrap_or_else(|| {
+        let asked = puller.pulls.begin(&peer(from), puller.replica.in_force());
         (from, asked.expect("no pull is under way"))
     });
-    let page = instances[from].held.page(asked, page);
+    let page = instances[from].replica.page(asked, page);
     let puller = &mut instances[at];
     let step = puller.pulls.receive(page.batch.items, page.batch.revision, page.lacks_removals);
     match step.expect("a pull is under way") {
         pull::Step::Ask(after) => {
-            puller.asking = Some((from, after));
+            puller.pulling = Some((from, after));
             false
         }
         pull::Step::Apply(batch) => {
-            puller.asking = None;
-            take(history, &mut puller.held, batch);
+            puller.pulling = None;
+            take(history, &mut puller.replica, batch);
             true
         }
     }
@@ -178,29 +181,29 @@
     fn what_is_in_force_never_goes_back(writes in writes(), steps in steps(), limits in limits()) {
         let history = History(writes);
         let end = history.0.len();
-        let held = Replica::with_tombstones_max(limits.tombstones);
-        let new = Instance { held, pulls: Pull::default(), asking: None };
+        let replica = Replica::with_tombstones_max(limits.tombstones);
+        let new = Instance { replica, pulls: Pull::default(), pulling: None };
         let mut instances = vec![new; INSTANCES];
         for (at, step) in steps {
             match step {
                 Step::Snapshot { at: revision } => {
                     let batch = history.batch(0, revision % (end + 1), Scope::Whole);
-                    take(&history, &mut instances[at].held, batch);
+                    take(&history, &mut instances[at].replica, batch);
                 }
-                Step::Stretch { after, to } => {
+                Step::Range { after, to } => {
                     let after = after % (end + 1);
                     let to = after + to % (end + 1 - after);
                     let batch = history.batch(after, to, Scope::After(after as Revision));
-                    take(&history, &mut instances[at].held, batch);
+                    take(&history, &mut instances[at].replica, batch);
                 }
                 Step::Pull { from } => {
                     let mut ended = pull(&history, &mut instances, at, from, limits.page);
-                    while !ended && limits.at_once() {
+                    while !ended && limits.uninterrupted() {
                         ended = pull(&history, &mut instances, at, from, limits.page);
                     }
                 }
-                Step::GiveUp => {
-                    if let Some((from, _)) = instances[at].asking.take() {
+                Step::Cancel => {
+                    if let Some((from, _)) = instances[at].pulling.take() {
                         instances[at].pulls.failed(&peer(from));
                     }
                 }
@@ -208,14 +211,14 @@
         }
         // One instance reads the last revision from the store and the others pull from it; then all
         // agree.
-        take(&history, &mut instances[0].held, history.batch(0, end, Scope::Whole));
+        take(&history, &mut instances[0].replica, history.batch(0, end, Scope::Whole));
         for at in 1..INSTANCES {
-            if let Some((from, _)) = instances[at].asking.take() {
+            if let Some((from, _)) = instances[at].pulling.take() {
                 instances[at].pulls.failed(&peer(from));
             }
             while !pull(&history, &mut instances, at, 0, limits.page) {}
-            assert_eq!(instances[at].held.in_force(), end as Revision);
-            let (one, other) = (&instances[at].held, &instances[0].held);
+            assert_eq!(instances[at].replica.in_force(), end as Revision);
+            let (one, other) = (&instances[at].replica, &instances[0].replica);
             assert!(one.iter().eq(other.iter()), "instances agree at the end");
         }
     }
--- a/crates/spread/tests/tree.rs
+++ b/crates/spread/tests/tree.rs
@@ -89,16 +89,19 @@
         let own: Vec<_> = views.iter().filter(|(me, _)| me.domain == domain).collect();
         let holders = own.iter().filter(|(_, gossip)| gossip.holds_watch()).count();
         assert_eq!(holders, 1, "one instance of {domain} holds the watch");
-        let mut told = BTreeSet::new();
+        let mut reached = BTreeSet::new();
         for (me, gossip) in &own {
             assert!(gossip.children().count() <= children_max);
             for child in gossip.children() {
-                assert!(told.insert(child.instance.clone()), "{child:?} has one parent");
-                let (_, view) = own.iter().find(|(peer, _)| peer == child).expect("it follows");
+                assert!(reached.insert(child.instance.clone()), "{child:?} has one parent");
+                let (_, view) = own
+                    .iter()
+                    .find(|(peer, _)| peer == child)
+                    .expect("the child follows the configuration");
                 assert_eq!(view.parent(), Some(me), "parent and child agree");
             }
         }
-        assert_eq!(told.len(), own.len() - 1, "all but the holder are told");
+        assert_eq!(reached.len(), own.len() - 1, "every instance but the holder has a parent");
     }
 }
 
--- a/crates/spread/tests/ways.rs
+++ b/crates/spread/tests/ways.rs
@@ -24,11 +24,11 @@
 
 const LENGTH: Duration = Duration::from_secs(60);
 /// Required maximum time until a change is in force, at the fleet size expected in two years.
-const WITHIN: Duration = Duration::from_secs(17);
+const IN_FORCE_MAX: Duration = Duration::from_secs(17);
 /// Maximum median time to be in force by pushes, shorter than the interval of pulls.
-const PUSHED: Duration = Duration::from_millis(100);
+const IN_FORCE_P50_MAX: Duration = Duration::from_millis(100);
 /// Maximum bytes per second that a daemon may spend on control traffic.
-const BYTES: f64 = 13_000.0;
+const BUSIEST_BYTES_MAX: f64 = 13_000.0;
 
 fn run(instances: usize, domains: usize, fault: Fault, seed: u64) -> Outcome {
     Fleet::open(Size { instances, domains }, Way::Shipped, fault, seed).run(LENGTH)
@@ -47,10 +47,10 @@
 fn every_change_comes_into_force(instances: usize, domains: usize, fault: Fault) {
     for seed in 1..=3 {
         let outcome = run(instances, domains, fault, seed);
-        assert!(outcome.in_force_max < WITHIN, "seed {seed}: {outcome:?}");
-        assert!(outcome.busiest_bytes < BYTES, "seed {seed}: {outcome:?}");
+        assert!(outcome.in_force_max < IN_FORCE_MAX, "seed {seed}: {outcome:?}");
+        assert!(outcome.busiest_bytes < BUSIEST_BYTES_MAX, "seed {seed}: {outcome:?}");
         if matches!(fault, Fault::None | Fault::KilledHolders) {
-            assert!(outcome.in_force_p50 < PUSHED, "seed {seed}: {outcome:?}");
+            assert!(outcome.in_force_p50 < IN_FORCE_P50_MAX, "seed {seed}: {outcome:?}");
         }
         assert!(outcome.watches <= domains * 4, "seed {seed}: {outcome:?}");
     }
