--- a/crates/routing/src/membership.rs
+++ b/crates/routing/src/membership.rs
@@ -36,8 +36,8 @@
                 self.update_backend(member, view.version, local_entries, step);
             }
         }
-        self.drop_unlisted(view.version, step);
-        self.drop_unused_pools();
+        self.remove_unlisted(view.version, step);
+        self.remove_unused_pools();
     }
 
     /// Returns the number of entries that share the slots of the local failure domain. If the list
@@ -102,13 +102,13 @@
         let is_initial = pool.initial_version == Some(version);
         let health = if is_initial { Health::healthy() } else { Health::probing(now) };
         pool.failures.listed += 1;
-        let is_home = member.domain == self.settings.domain;
-        let id = self.backends.insert(Backend::open(member, pool_id, is_home, health));
+        let is_local = member.domain == self.settings.domain;
+        let id = self.backends.insert(Backend::open(member, pool_id, is_local, health));
         self.backend_ids.insert(identity, id);
         id
     }
 
-    fn drop_unlisted(&mut self, version: u64, step: &mut Step<'_>) {
+    fn remove_unlisted(&mut self, version: u64, step: &mut Step<'_>) {
         let unlisted: Vec<Id<Backend>> = self
             .backends
             .iter()
@@ -125,7 +125,7 @@
     }
 
     /// Removes pools that nothing refers to, so that removed services leave no state behind.
-    fn drop_unused_pools(&mut self) {
+    fn remove_unused_pools(&mut self) {
         let mut used = BTreeSet::new();
         used.extend(self.services.iter().map(|(_, service)| service.pool));
         used.extend(self.backends.iter().map(|(_, backend)| backend.pool));
--- a/crates/spread/examples/ways/fleet.rs
+++ b/crates/spread/examples/ways/fleet.rs
@@ -117,8 +117,8 @@
     peer: Peer,
     replica: Replica,
     gossip: Gossip,
-    pulls: Pull,
-    pushes: Children,
+    pull: Pull,
+    children: Children,
     watching: bool,
     alive: bool,
     bytes: usize,
@@ -216,7 +216,7 @@
             Event::Update(at, item) if self.instances[at].alive => {
                 let after = self.instances[at].replica.in_force();
                 let revision = item.revision;
-                self.store(at, traffic::store_entry(&item), 0);
+                self.count_store_call(at, traffic::store_entry(&item), 0);
                 let scope = Scope::After(after);
                 self.apply(at, Batch { items: vec![item], revision, scope });
             }
@@ -290,7 +290,7 @@
         if !opened || self.is_cut_off(at) {
             return;
         }
-        self.store(at, traffic::STORE_CALL, 1);
+        self.count_store_call(at, traffic::STORE_CALL, 1);
         let after = self.instances[at].replica.in_force() as usize;
         let arrives = self.now + LATENCY_STORE;
         for missed in &self.history[after..] {
@@ -301,7 +301,7 @@
     fn poll(&mut self, at: usize) -> Duration {
         let whole: usize =
             self.history[..RESOURCES as usize].iter().map(traffic::store_entry).sum();
-        self.store(at, traffic::STORE_CALL + whole, 1);
+        self.count_store_call(at, traffic::STORE_CALL + whole, 1);
         let after = self.instances[at].replica.in_force() as usize;
         let items = self.history[after..].to_vec();
         let revision = self.history.len() as Revision;
@@ -309,7 +309,7 @@
         Duration::from_secs(1).mul_f64(self.rng.random_range(0.75..1.25))
     }
 
-    fn store(&mut self, at: usize, bytes: usize, calls: usize) {
+    fn count_store_call(&mut self, at: usize, bytes: usize, calls: usize) {
         self.store_calls += calls;
         self.store_bytes += bytes;
         self.instances[at].bytes += bytes;
@@ -337,7 +337,7 @@
         }
         let to = self.instances[peer].peer.clone();
         let asker = &mut self.instances[at];
-        if let Some(after) = asker.pulls.begin(&to, asker.replica.in_force()) {
+        if let Some(after) = asker.pull.begin(&to, asker.replica.in_force()) {
             self.request_page(at, peer, after);
         }
     }
@@ -359,7 +359,7 @@
         let Some(page) = page else { return self.record_failure(at, peer) };
         self.record_answer(at, peer);
         let Batch { items, revision, .. } = page.batch;
-        match self.instances[at].pulls.receive(items, revision, page.lacks_removals) {
+        match self.instances[at].pull.receive(items, revision, page.lacks_removals) {
             Some(Step::Ask(after)) => self.request_page(at, peer, after),
             Some(Step::Apply(batch)) => self.apply(at, batch),
             None => {}
@@ -382,8 +382,8 @@
         }
         self.record_answer(at, peer);
         let to = self.instances[peer].peer.clone();
-        let Instance { pushes, replica, .. } = &mut self.instances[at];
-        let next = pushes.accepted(replica, &to);
+        let Instance { children, replica, .. } = &mut self.instances[at];
+        let next = children.accepted(replica, &to);
         self.send(at, next);
     }
 
@@ -395,8 +395,8 @@
     fn record_failure(&mut self, at: usize, peer: usize) {
         let (peer, now) = (self.instances[peer].peer.clone(), self.now);
         let instance = &mut self.instances[at];
-        instance.pushes.failed(&peer);
-        instance.pulls.failed(&peer);
+        instance.children.failed(&peer);
+        instance.pull.failed(&peer);
         if instance.gossip.failed(&peer, now) {
             self.queue.push(now, Event::Tick(at));
         }
@@ -416,7 +416,7 @@
         let instance = &mut self.instances[at];
         let pushes = match self.way {
             Way::Shipped => {
-                instance.pushes.changed(&instance.replica, last, instance.gossip.children())
+                instance.children.changed(&instance.replica, last, instance.gossip.children())
             }
             Way::Star if instance.watching => {
                 let domain = instance.peer.domain.clone();
@@ -425,7 +425,7 @@
                 let others = others.iter().filter(|peer| peer.domain == domain);
                 let others = others.filter(|peer| index_of(peer) != at);
                 let instance = &mut self.instances[at];
-                instance.pushes.changed(&instance.replica, last, others)
+                instance.children.changed(&instance.replica, last, others)
             }
             _ => Default::default(),
         };
@@ -483,8 +483,8 @@
         gossip: Gossip::open(peer.clone(), seed ^ at as u64),
         peer,
         replica: Replica::default(),
-        pushes: Children::default(),
-        pulls: Pull::default(),
+        children: Children::default(),
+        pull: Pull::default(),
         watching: false,
         alive: true,
         bytes: 0,
--- a/crates/spread/tests/no_revert.rs
+++ b/crates/spread/tests/no_revert.rs
@@ -80,6 +80,7 @@
     }
 }
 
+/// Applies a batch and checks that nothing reverts and that the result agrees with the history.
 fn take(history: &History, replica: &mut Replica, batch: Batch) {
     let before: BTreeMap<_, _> =
         replica.iter().map(|(key, version)| (key.clone(), version.revision)).collect();
@@ -115,7 +116,7 @@
 #[derive(Clone)]
 struct Instance {
     replica: Replica,
-    pulls: Pull,
+    pull: Pull,
     pulling: Option<(usize, Revision)>,
 }
 
@@ -127,8 +128,8 @@
 }
 
 impl Limits {
-    /// Whether a pull has to run without interruption: it is correct only if no removal made during
-    /// it is compacted.
+    /// Returns `true` if a pull must run without interruption: it is correct only if no removal made
+    /// during it is compacted.
     fn uninterrupted(self) -> bool {
         self.tombstones < 1000
     }
@@ -157,12 +158,12 @@
 ) -> bool {
     let puller = &mut instances[at];
     let (from, asked) = puller.pulling.unwrap_or_else(|| {
-        let asked = puller.pulls.begin(&peer(from), puller.replica.in_force());
+        let asked = puller.pull.begin(&peer(from), puller.replica.in_force());
         (from, asked.expect("no pull is under way"))
     });
     let page = instances[from].replica.page(asked, page);
     let puller = &mut instances[at];
-    let step = puller.pulls.receive(page.batch.items, page.batch.revision, page.lacks_removals);
+    let step = puller.pull.receive(page.batch.items, page.batch.revision, page.lacks_removals);
     match step.expect("a pull is under way") {
         pull::Step::Ask(after) => {
             puller.pulling = Some((from, after));
@@ -182,7 +183,7 @@
         let history = History(writes);
         let end = history.0.len();
         let replica = Replica::with_tombstones_max(limits.tombstones);
-        let new = Instance { replica, pulls: Pull::default(), pulling: None };
+        let new = Instance { replica, pull: Pull::default(), pulling: None };
         let mut instances = vec![new; INSTANCES];
         for (at, step) in steps {
             match step {
@@ -204,7 +205,7 @@
                 }
                 Step::Cancel => {
                     if let Some((from, _)) = instances[at].pulling.take() {
-                        instances[at].pulls.failed(&peer(from));
+                        instances[at].pull.failed(&peer(from));
                     }
                 }
             }
@@ -214,7 +215,7 @@
         take(&history, &mut instances[0].replica, history.batch(0, end, Scope::Whole));
         for at in 1..INSTANCES {
             if let Some((from, _)) = instances[at].pulling.take() {
-                instances[at].pulls.failed(&peer(from));
+                instances[at].pull.failed(&peer(from));
             }
             while !pull(&history, &mut instances, at, 0, limits.page) {}
             assert_eq!(instances[at].replica.in_force(), end as Revision);
