--- a/crates/routing/src/backoff.rs
+++ b/crates/routing/src/backoff.rs
@@ -7,7 +7,8 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// Upper bound of the delay before the first delayed retry; doubles with each further retry.
+/// Upper bound of the delay before a first retry that isn't immediate; doubles with each further
+/// retry.
 const RETRY_DELAY_BASE: Duration = Duration::from_millis(10);
 /// Upper bound of the delay before any retry.
 const RETRY_DELAY_MAX: Duration = Duration::from_millis(500);
--- a/crates/routing/src/queue.rs
+++ b/crates/routing/src/queue.rs
@@ -28,14 +28,14 @@
     }
 
     /// Adds a request.
-    pub fn insert(&mut self, class: Class, rank: Sequence, request: Id<Request>) {
-        let old = self.class_mut(class).insert(rank, request);
+    pub fn insert(&mut self, class: Class, sequence: Sequence, request: Id<Request>) {
+        let old = self.class_mut(class).insert(sequence, request);
         assert!(old.is_none(), "a request is queued only once");
     }
 
     /// Removes a request from any position.
-    pub fn remove(&mut self, class: Class, rank: Sequence) {
-        let old = self.class_mut(class).remove(&rank);
+    pub fn remove(&mut self, class: Class, sequence: Sequence) {
+        let old = self.class_mut(class).remove(&sequence);
         assert!(old.is_some(), "a waiting request is in its queue");
     }
 
--- a/crates/routing/tests/support/check.rs
+++ b/crates/routing/tests/support/check.rs
@@ -47,7 +47,7 @@
     specs: BTreeMap<String, Arc<Spec>>,
     requests: BTreeMap<u64, Request>,
     /// Requests without an answer, by deadline.
-    open: BTreeSet<(Time, u64)>,
+    unanswered: BTreeSet<(Time, u64)>,
     /// Requests that were closed, granted or settled in this step.
     touched: Vec<u64>,
     attempts: BTreeMap<Attempt, (u64, Identity)>,
@@ -71,7 +71,7 @@
             settings,
             specs: BTreeMap::new(),
             requests: BTreeMap::new(),
-            open: BTreeSet::new(),
+            unanswered: BTreeSet::new(),
             touched: Vec::new(),
             attempts: BTreeMap::new(),
             in_flight: BTreeMap::new(),
@@ -114,7 +114,7 @@
                     attempts_max: spec.map_or(0, |spec| spec.attempts),
                     ..Request::default()
                 };
-                self.open.insert((seen.deadline, *request));
+                self.unanswered.insert((seen.deadline, *request));
                 assert!(
                     self.requests.insert(*request, seen).is_none(),
                     "request numbers are unique"
@@ -124,7 +124,7 @@
                 let known = self.requests.get_mut(request).filter(|known| !known.has_ended);
                 if let Some(known) = known {
                     known.has_ended = true;
-                    self.open.remove(&(known.deadline, *request));
+                    self.unanswered.remove(&(known.deadline, *request));
                     self.touched.push(*request);
                 }
             }
@@ -176,12 +176,12 @@
             self.act(now, event, action);
         }
         assert_eq!(
-            self.open.len(),
+            self.unanswered.len(),
             router.in_progress(),
             "the router has every unanswered request"
         );
         let is_tick = matches!(event, Event::Tick);
-        if let Some(&(first, _)) = self.open.first() {
+        if let Some(&(first, _)) = self.unanswered.first() {
             assert!(!is_tick || first > now, "a request is answered when its deadline passes");
             let due = router.next_due().expect("a request that waits has something due");
             assert!(due <= first, "the router wakes for the next deadline");
@@ -277,7 +277,7 @@
         let request = self.requests.get_mut(&number).expect("the request arrived");
         assert!(!request.has_ended, "a request gets one final answer");
         request.has_ended = true;
-        self.open.remove(&(request.deadline, number));
+        self.unanswered.remove(&(request.deadline, number));
         self.touched.push(number);
         let ran = request.may_have_run || !request.running.is_empty();
         assert!(
