--- a/bin/scheduler/src/api.rs
+++ b/bin/scheduler/src/api.rs
@@ -267,7 +267,7 @@
             }
             tokio::time::sleep(CANCEL_RETRY_DELAY).await;
         }
-        Err(Rejection::new(Code::StoreUnknown, "the outcome of the cancellation is unknown"))
+        Err(Rejection::new(Code::StoreUnknown, "the cancelling was not settled"))
     }
 
     async fn pending(&self, queue: &Queue) -> Result<u32, Rejection> {
--- a/bin/scheduler/src/submission.rs
+++ b/bin/scheduler/src/submission.rs
@@ -77,13 +77,10 @@
         let deadline = Instant::now() + client_timeout.mul_f64(RETRY_FRACTION);
         let submission = Submission { job, value: record::encode(accepted), deadline, reply };
         if self.sender.try_send(submission).is_err() {
-            return Err(Rejection::new(
-                Code::Busy,
-                "too many jobs are waiting to be written to the store",
-            )
-            .retry_after(RETRY_AFTER));
+            return Err(Rejection::new(Code::Busy, "too many jobs are on their way to the store")
+                .retry_after(RETRY_AFTER));
         }
-        let unknown = || Rejection::new(Code::StoreUnknown, "the outcome of the write is unknown");
+        let unknown = || Rejection::new(Code::StoreUnknown, "the write was not settled");
         // The write continues; its outcome shows when the client retries.
         let outcome = tokio::time::timeout(client_timeout.mul_f64(ANSWER_FRACTION), outcome).await;
         outcome.map_or_else(|_| Err(unknown()), |sent| sent.unwrap_or_else(|_| Err(unknown())))
--- a/crates/cell/src/blame.rs
+++ b/crates/cell/src/blame.rs
@@ -244,7 +244,7 @@
         if worker.history.quarantine.is_some()
             && worker.allocations.iter().any(|h| has_lasted(h.since))
         {
-            self.end_quarantine(id, "its probe has run long enough");
+            self.end_quarantine(id, "its probe goes on well");
         }
     }
 
--- a/crates/cell/src/fit.rs
+++ b/crates/cell/src/fit.rs
@@ -58,7 +58,7 @@
             .map(|(field, asked, most)| format!("{field} {asked} of at most {most}"))
             .collect();
         match over.is_empty() {
-            true => String::from("no worker has enough of all resources at once for a task"),
+            true => String::from("no worker has all that a task asks for together"),
             false => format!("no worker is large enough for a task: {}", over.join(", ")),
         }
     }
--- a/crates/cell/src/inventory.rs
+++ b/crates/cell/src/inventory.rs
@@ -66,7 +66,7 @@
             .collect();
         for allocation in missing {
             self.release_allocation(id, &allocation);
-            self.note_lost(id, &allocation, "its worker no longer reports it");
+            self.note_lost(id, &allocation, "its worker no longer holds it");
             self.end_without_result(id, &allocation);
         }
     }
@@ -143,12 +143,7 @@
         }
         if was_starting {
             let name = self.workers[id].name.clone();
-            self.note_run(
-                Number::TaskRunning,
-                &name,
-                held.run.clone(),
-                "the worker confirmed the run",
-            );
+            self.note_run(Number::TaskRunning, &name, held.run.clone(), "the worker runs it");
         }
     }
 
--- a/crates/cell/src/listing.rs
+++ b/crates/cell/src/listing.rs
@@ -119,7 +119,7 @@
     }
 
     fn remove_worker(&mut self, id: WorkerId) {
-        self.lose_runs(id, "its worker is no longer listed");
+        self.lose_runs(id, "its worker is gone from the list");
         if let Some(time) = self.workers[id].timer.take() {
             self.timers.remove(&(time, id));
         }
@@ -131,14 +131,14 @@
         }
         self.unmark_freed(id);
         if self.ownership.epoch().is_some() {
-            self.note(Number::WorkerGone, &worker.name, "the platform no longer lists it");
+            self.note(Number::WorkerGone, &worker.name, "the platform lists it no more");
         }
     }
 
     /// Replaces a worker by a new incarnation, which has no runs of the old one but may have runs
     /// of another owner.
     pub(crate) fn restart_worker(&mut self, id: WorkerId, incarnation: id::Incarnation) {
-        self.lose_runs(id, "its worker was restarted");
+        self.lose_runs(id, "its worker was replaced");
         let now = self.now;
         let worker = &mut self.workers[id];
         worker.ended_incarnations.push(worker.incarnation);
--- a/crates/cell/src/report.rs
+++ b/crates/cell/src/report.rs
@@ -78,7 +78,7 @@
         if report.leaving && !worker.leaving {
             worker.leaving = true;
             let name = worker.name.clone();
-            self.note(Number::WorkerLeaving, &name, "it reports that it is leaving");
+            self.note(Number::WorkerLeaving, &name, "it says that it is leaving");
         }
         let was_fenced = self.workers[id].fence == Fence::Fenced;
         if !was_fenced {
--- a/crates/planner/src/record.rs
+++ b/crates/planner/src/record.rs
@@ -148,10 +148,10 @@
 #[derive(Error)]
 pub enum Error {
     /// The value is empty or of an unknown version.
-    #[error("unknown version of a stored value")]
+    #[error("a record of an unknown version")]
     Version,
     /// The value is truncated or of another type.
-    #[error("malformed stored value: {0}")]
+    #[error("not a record: {0}")]
     Body(#[from] postcard::Error),
 }
 
