--- a/bin/ctl/src/apply.rs
+++ b/bin/ctl/src/apply.rs
@@ -1,4 +1,4 @@
-//! Creating or replacing the resources of a file.
+//! Creates or replaces the resources of a file.
 
 use std::io::Read as _;
 use std::path::Path;
@@ -13,8 +13,8 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::client::Ask;
 use crate::client::Client;
+use crate::client::Request;
 use crate::failure::Failure;
 use crate::output::Format;
 use crate::output::Progress;
@@ -23,36 +23,37 @@
 use crate::show::View;
 use crate::spread;
 
-/// What was done with one resource.
+/// The action taken on one resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Deed {
-    /// It did not exist.
+pub enum Action {
+    /// The resource did not exist and was created.
     Created,
-    /// It was replaced.
+    /// The resource was replaced.
     Replaced,
-    /// It was already as the file says.
+    /// The resource already equalled the one in the file.
     Unchanged,
 }
 
-impl Deed {
+impl Action {
     fn as_str(self) -> &'static str {
         match self {
-            Deed::Created => "created",
-            Deed::Replaced => "replaced",
-            Deed::Unchanged => "unchanged",
+            Action::Created => "created",
+            Action::Replaced => "replaced",
+            Action::Unchanged => "unchanged",
         }
     }
 }
 
-/// What became of one resource.
+/// The result of applying one resource.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
-pub struct Done {
+pub struct Applied {
     kind: String,
     name: String,
-    deed: Deed,
+    #[serde(rename = "deed")]
+    action: Action,
     revision: Revision,
 }
 
@@ -61,12 +62,12 @@
     revision: Revision,
 }
 
-/// Whether and how long to wait until the changes are in force.
+/// Whether to wait until the changes are in force, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wait {
-    /// Not at all.
+    /// Do not wait.
     No,
-    /// At most so long.
+    /// Wait for at most this duration.
     Within(Duration),
 }
 
@@ -74,7 +75,7 @@
 ///
 /// # Errors
 ///
-/// `BadFile` when it can't be read or holds something wrong.
+/// `BadFile` when the file can't be read or is invalid.
 pub fn read(file: &Path) -> Result<Vec<Resource>, Failure> {
     let bad = |problem: String| {
         let text = format!("{}: {problem}", file.display());
@@ -91,11 +92,11 @@
     document::parse(&text).map_err(|error| bad(error.to_string()))
 }
 
-/// Applies resources in their order and returns what is to be printed.
+/// Applies resources in file order and returns the output to print.
 ///
 /// # Errors
 ///
-/// The first failure; the resources before it are applied, which the failure says.
+/// The first failure. Its text gives the number of resources applied before it, which stay applied.
 pub async fn run(
     client: &Client,
     resources: &[Resource],
@@ -103,80 +104,92 @@
     format: Format,
 ) -> Result<String, Failure> {
     let mut progress = Progress::open(format == Format::Quiet);
-    let mut done = Vec::new();
+    let mut results = Vec::new();
     for resource in resources {
-        match one(client, resource).await {
-            Ok(one) => done.push(one),
-            Err(failure) => return Err(stopped(failure, resource, &done, resources.len())),
+        match apply_one(client, resource).await {
+            Ok(result) => results.push(result),
+            Err(failure) => return Err(add_progress(failure, resource, &results, resources.len())),
         }
     }
-    let changed = done.iter().filter(|one| one.deed != Deed::Unchanged);
-    let last = changed.map(|one| one.revision).max();
+    let changed = results.iter().filter(|result| result.action != Action::Unchanged);
+    let last = changed.map(|result| result.revision).max();
     if let (Wait::Within(within), Some(revision)) = (wait, last) {
         spread::wait(client, revision, within, &mut progress).await?;
     }
-    Ok(render(&done, format))
+    Ok(render(&results, format))
 }
 
-async fn one(client: &Client, resource: &Resource) -> Result<Done, Failure> {
+async fn apply_one(client: &Client, resource: &Resource) -> Result<Applied, Failure> {
     let kind = resource.spec.kind().as_str();
     let path = format!("/v1/{kind}/{}", resource.name);
-    let body = serde_json::to_value(resource).expect("a resource always has a JSON form");
-    let (deed, revision) = match client.ask::<View>(&Ask::get(&path)).await {
-        Ok(found) if found.resource == *resource => (Deed::Unchanged, found.revision),
+    let body = serde_json::to_value(resource).expect("a resource can always be serialized");
+    let (action, revision) = match client.send::<View>(&Request::get(&path)).await {
+        Ok(found) if found.resource == *resource => (Action::Unchanged, found.revision),
         Ok(found) => {
-            let ask = Ask::change(Method::PUT, &path).from_revision(found.revision).body(body);
-            let accepted: Accepted =
-                client.ask(&ask).await.map_err(|failure| raced(failure, found.revision))?;
-            (Deed::Replaced, accepted.revision)
+            let request = Request::change(Method::PUT, &path).if_match(found.revision).body(body);
+            let accepted: Accepted = client
+                .send(&request)
+                .await
+                .map_err(|failure| explain_conflict(failure, found.revision))?;
+            (Action::Replaced, accepted.revision)
         }
         Err(failure) if failure.code == Code::NoResource => {
-            let ask = Ask::change(Method::POST, format!("/v1/{kind}")).body(body);
-            let accepted: Accepted = client.ask(&ask).await.map_err(|failure| raced(failure, 0))?;
-            (Deed::Created, accepted.revision)
+            let request = Request::change(Method::POST, format!("/v1/{kind}")).body(body);
+            let accepted: Accepted =
+                client.send(&request).await.map_err(|failure| explain_conflict(failure, 0))?;
+            (Action::Created, accepted.revision)
         }
         Err(failure) => return Err(failure),
     };
-    Ok(Done { kind: kind.to_owned(), name: resource.name.to_string(), deed, revision })
+    Ok(Applied { kind: kind.to_owned(), name: resource.name.to_string(), action, revision })
 }
 
-/// Explains a conflict in terms of the command.
-fn raced(mut failure: Failure, read: Revision) -> Failure {
+/// Replaces the text of a conflict error by one that explains it to the user of `apply`.
+fn explain_conflict(mut failure: Failure, read: Revision) -> Failure {
     match failure.code {
         Code::Conflict => {
-            failure.text = format!("somebody changed it after it was read at revision {read}");
+            failure.text = format!("the resource was changed after it was read at revision {read}");
         }
-        Code::Exists => failure.text = String::from("somebody created it at the same time"),
+        Code::Exists => failure.text = String::from("the resource was created concurrently"),
         Code::NoResource => {
-            failure.text = format!("somebody removed it after it was read at revision {read}");
+            failure.text = format!("the resource was removed after it was read at revision {read}");
         }
         _ => return failure,
     }
-    failure.remedy("look at it with `cowslipchutectl get`, correct your file, then apply it again")
+    failure.remedy("read it with `cowslipchutectl get`, correct your file, then apply it again")
 }
 
-fn stopped(mut failure: Failure, resource: &Resource, done: &[Done], all: usize) -> Failure {
+fn add_progress(
+    mut failure: Failure,
+    resource: &Resource,
+    results: &[Applied],
+    all: usize,
+) -> Failure {
     let kind = resource.spec.kind().as_str();
     failure.text = format!("{kind}/{}: {}", resource.name, failure.text);
     if all > 1 {
-        let rest = all - done.len() - 1;
-        let applied = done.len();
+        let remaining = all - results.len() - 1;
+        let applied = results.len();
         failure
             .text
-            .push_str(&format!(" ({applied} applied before it, {rest} after it not tried)"));
+            .push_str(&format!(" ({applied} applied before it, {remaining} after it not tried)"));
     }
     failure
 }
 
-fn render(done: &[Done], format: Format) -> String {
+fn render(results: &[Applied], format: Format) -> String {
     match format {
-        Format::Json => show::json(&serde_json::to_value(done).unwrap_or(Value::Null)),
-        Format::Quiet => done.iter().map(|one| format!("{}\n", one.revision)).collect(),
+        Format::Json => show::json(&serde_json::to_value(results).unwrap_or(Value::Null)),
+        Format::Quiet => results.iter().map(|result| format!("{}\n", result.revision)).collect(),
         Format::Table => {
             let mut table = Table::new(["resource", "done", "revision"]);
-            for one in done {
-                let name = format!("{}/{}", one.kind, one.name);
-                table.row(vec![name, one.deed.as_str().to_owned(), one.revision.to_string()]);
+            for result in results {
+                let name = format!("{}/{}", result.kind, result.name);
+                table.row(vec![
+                    name,
+                    result.action.as_str().to_owned(),
+                    result.revision.to_string(),
+                ]);
             }
             table.render()
         }
--- a/bin/ctl/src/client.rs
+++ b/bin/ctl/src/client.rs
@@ -13,51 +13,51 @@
 
 use crate::failure::Failure;
 
-/// How long the making of a connection may take.
-const CONNECT_WITHIN: Duration = Duration::from_secs(2);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A request to any of the operator processes.
+/// A request that any of the operator processes can serve.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    /// The method; anything but GET may change something.
+pub struct Request {
+    /// The method; any method but GET may change state.
     pub method: Method,
-    /// Path and query.
+    /// Path and query string.
     pub path: String,
-    /// The revision that a change is made from.
+    /// The revision that the resource must have for the change to be made.
     pub revision: Option<Revision>,
-    /// The body, if any.
+    /// The JSON body, if any.
     pub body: Option<Value>,
 }
 
-impl Ask {
-    /// Asks for something without changing anything.
-    pub fn get(path: impl Into<String>) -> Ask {
-        Ask { method: Method::GET, path: path.into(), revision: None, body: None }
+impl Request {
+    /// Creates a read request.
+    pub fn get(path: impl Into<String>) -> Request {
+        Request { method: Method::GET, path: path.into(), revision: None, body: None }
     }
 
-    /// Asks for a change.
-    pub fn change(method: Method, path: impl Into<String>) -> Ask {
-        Ask { method, path: path.into(), revision: None, body: None }
+    /// Creates a request that changes state.
+    pub fn change(method: Method, path: impl Into<String>) -> Request {
+        Request { method, path: path.into(), revision: None, body: None }
     }
 
-    /// Makes the change depend on a revision.
-    pub fn from_revision(mut self, revision: Revision) -> Ask {
+    /// Makes the change conditional on the resource's revision.
+    pub fn if_match(mut self, revision: Revision) -> Request {
         self.revision = Some(revision);
         self
     }
 
-    /// Adds a body.
-    pub fn body(mut self, body: Value) -> Ask {
+    /// Sets the JSON body.
+    pub fn body(mut self, body: Value) -> Request {
         self.body = Some(body);
         self
     }
 
-    fn reads(&self) -> bool {
+    fn is_read(&self) -> bool {
         self.method == Method::GET
     }
 }
 
-/// A client of several operator processes, any of which will do.
+/// A client of several equivalent operator processes.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: reqwest::Client,
@@ -66,14 +66,14 @@
 }
 
 impl Client {
-    /// Opens a client; nothing is sent yet.
+    /// Opens a client without sending anything.
     ///
     /// # Errors
     ///
-    /// When no operator is given.
+    /// When no operator URL is given.
     pub fn open(operators: Vec<String>, timeout: Duration) -> Result<Client, Failure> {
         if operators.is_empty() {
-            let text = "no operator is given";
+            let text = "no operator URL is given";
             return Err(Failure::new(Code::BadSetting, text)
                 .remedy("use --operator http://IP:PORT or set COWSLIPCHUTE_OPERATOR"));
         }
@@ -81,77 +81,83 @@
             .no_proxy()
             .redirect(reqwest::redirect::Policy::none())
             .retry(reqwest::retry::never())
-            .connect_timeout(CONNECT_WITHIN)
+            .connect_timeout(CONNECT_TIMEOUT)
             .build()
             .map_err(|error| Failure::new(Code::BadSetting, error.to_string()))?;
         Ok(Client { http, operators, timeout })
     }
 
-    /// Makes a request and reads its JSON answer.
+    /// Sends a request and parses its JSON response.
     ///
     /// # Errors
     ///
-    /// The operator's own error, or `Unreachable` when none answered.
-    pub async fn ask<T: DeserializeOwned>(&self, ask: &Ask) -> Result<T, Failure> {
+    /// The operator's own error, or `Unreachable` when no operator answered.
+    pub async fn send<T: DeserializeOwned>(&self, request: &Request) -> Result<T, Failure> {
         let mut last = None;
         for operator in &self.operators {
-            match self.try_one(operator, ask).await {
+            match self.send_to(operator, request).await {
                 Ok(answer) => return Ok(answer),
-                Err(Miss::Final(failure)) => return Err(failure),
-                Err(Miss::Next(failure)) => last = Some(failure),
+                Err(Error::Final(failure)) => return Err(failure),
+                Err(Error::Retryable(failure)) => last = Some(failure),
             }
         }
         Err(last.expect("there is at least one operator"))
     }
 
-    async fn try_one<T: DeserializeOwned>(&self, operator: &str, ask: &Ask) -> Result<T, Miss> {
-        let request = self.request(operator, ask).timeout(self.timeout);
-        let response = request.send().await.map_err(|error| miss(operator, ask, &error))?;
+    async fn send_to<T: DeserializeOwned>(
+        &self,
+        operator: &str,
+        request: &Request,
+    ) -> Result<T, Error> {
+        let builder = self.build(operator, request).timeout(self.timeout);
+        let response = builder.send().await.map_err(|error| classify(operator, request, &error))?;
         let status = response.status();
-        let body = response.bytes().await.map_err(|error| miss(operator, ask, &error))?;
+        let body = response.bytes().await.map_err(|error| classify(operator, request, &error))?;
         if !status.is_success() {
-            let stranger = || {
-                Failure::new(Code::Unreachable, format!("{operator} answered status {status}"))
+            let unexpected = || {
+                Failure::new(Code::Unreachable, format!("{operator} returned HTTP status {status}"))
                     .remedy("check that the URL is that of an operator process")
             };
-            let failure = Failure::read(&body).unwrap_or_else(stranger);
-            // A process that is stopping has refused the request; another one may take it.
+            let failure = Failure::parse(&body).unwrap_or_else(unexpected);
+            // A process that is shutting down refused the request; another one may accept it.
             let next = failure.code == Code::Stopping;
-            return Err(if next { Miss::Next(failure) } else { Miss::Final(failure) });
+            return Err(if next { Error::Retryable(failure) } else { Error::Final(failure) });
         }
         serde_json::from_slice(&body).map_err(|error| {
-            let text = format!("{operator} answered something else than expected: {error}");
-            Miss::Final(Failure::new(Code::Unreachable, text))
+            let text = format!("{operator} returned an unexpected response: {error}");
+            Error::Final(Failure::new(Code::Unreachable, text))
         })
     }
 
-    fn request(&self, operator: &str, ask: &Ask) -> RequestBuilder {
-        let mut request = self.http.request(ask.method.clone(), format!("{operator}{}", ask.path));
-        if let Some(revision) = ask.revision {
-            request = request.header(header::IF_MATCH, revision.to_string());
+    fn build(&self, operator: &str, request: &Request) -> RequestBuilder {
+        let mut builder =
+            self.http.request(request.method.clone(), format!("{operator}{}", request.path));
+        if let Some(revision) = request.revision {
+            builder = builder.header(header::IF_MATCH, revision.to_string());
         }
-        match &ask.body {
-            Some(body) => request.json(body),
-            None => request,
+        match &request.body {
+            Some(body) => builder.json(body),
+            None => builder,
         }
     }
 
-    /// Opens an endless answer.
+    /// Opens a streaming response.
     ///
     /// # Errors
     ///
-    /// The operator's own error, or `Unreachable` when none answered.
+    /// The operator's own error, or `Unreachable` when no operator answered.
     pub async fn stream(&self, path: &str) -> Result<Response, Failure> {
-        let ask = Ask::get(path);
+        let request = Request::get(path);
         let mut last = None;
         for operator in &self.operators {
-            let request = self.request(operator, &ask);
-            match request.send().await {
+            let builder = self.build(operator, &request);
+            match builder.send().await {
                 Ok(response) if response.status().is_success() => return Ok(response),
                 Ok(response) => {
                     let body = response.bytes().await.unwrap_or_default();
-                    let unread = || Failure::new(Code::Unreachable, "no stream was opened");
-                    last = Some(Failure::read(&body).unwrap_or_else(unread));
+                    let unexpected =
+                        || Failure::new(Code::Unreachable, "the operator did not open the stream");
+                    last = Some(Failure::parse(&body).unwrap_or_else(unexpected));
                 }
                 Err(error) => last = Some(unreachable(operator, &error)),
             }
@@ -160,23 +166,25 @@
     }
 }
 
-/// Why one operator's answer isn't the wanted one.
-enum Miss {
-    /// It is an answer, or it can't be told whether the request ran.
+/// A failed request to one operator.
+enum Error {
+    /// The operator answered with an error, or it is unknown whether the request was executed.
     Final(Failure),
-    /// The request surely did not run there, or it only reads.
-    Next(Failure),
+    /// The request was certainly not executed, or it only reads, so another operator may be tried.
+    Retryable(Failure),
 }
 
-fn miss(operator: &str, ask: &Ask, error: &reqwest::Error) -> Miss {
+fn classify(operator: &str, request: &Request, error: &reqwest::Error) -> Error {
     let failure = unreachable(operator, error);
     if error.is_connect() || error.is_builder() {
-        return Miss::Next(failure.surely_not_sent());
+        return Error::Retryable(failure.not_sent());
     }
-    if ask.reads() {
-        return Miss::Next(failure.surely_not_sent());
+    if request.is_read() {
+        return Error::Retryable(failure.not_sent());
     }
-    Miss::Final(failure.remedy("the change may have been made: read it before trying again"))
+    Error::Final(
+        failure.remedy("the change may have been made: read the resource before trying again"),
+    )
 }
 
 fn unreachable(operator: &str, error: &reqwest::Error) -> Failure {
--- a/bin/ctl/src/command.rs
+++ b/bin/ctl/src/command.rs
@@ -9,33 +9,33 @@
 
 use crate::output::Format;
 
-/// Declares services, jobs, teams and the policy, and shows what is in force.
+/// Declares services, jobs, teams and the policy, and shows the configuration in force.
 ///
 ///
-/// Resources are written in a file and applied, such as by:
+/// Resources are written to a file and applied, for example:
 /// cowslipchutectl --operator http://10.0.0.1:7300 apply -f web.toml --wait
 ///
 ///
-/// Exit codes: 0 done, 2 wrong use, 3 surely nothing changed, 4 it can't be told whether something
-/// changed. The format of files is described in docs/OPERATING.md, error numbers in docs/RESULTS.md.
+/// Exit codes: 0 success, 2 usage error, 3 certainly nothing changed, 4 unknown whether something
+/// changed. The file format is described in docs/OPERATING.md, error numbers in docs/RESULTS.md.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Bpaf)]
 #[bpaf(options, version)]
 pub struct Options {
-    /// How to reach the operators and print what they answer.
+    /// Operators to contact and the output format.
     #[bpaf(external(general))]
     pub general: General,
-    /// What to do.
+    /// The command to run.
     #[bpaf(external(command))]
     pub command: Command,
 }
 
-/// How to reach the operators and print what they answer.
+/// Operators to contact and the output format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Bpaf)]
 pub struct General {
-    /// URL of an operator process; several may be given, one by one or separated by commas, and the
-    /// next one is asked when one can't be reached
+    /// URL of an operator process; may be repeated or hold several URLs separated by commas, which
+    /// are tried in order when one can't be reached
     #[bpaf(
         long("operator"),
         env("COWSLIPCHUTE_OPERATOR"),
@@ -44,7 +44,7 @@
         parse(urls)
     )]
     pub operators: Vec<String>,
-    /// What is printed: table, json or quiet
+    /// Output format: table, json or quiet
     #[bpaf(
         short('o'),
         long("output"),
@@ -55,7 +55,7 @@
         parse(format)
     )]
     pub output: Format,
-    /// Seconds that one request may take
+    /// Timeout of one request in seconds
     #[bpaf(
         long("timeout"),
         argument::<u64>("SECONDS"),
@@ -66,14 +66,14 @@
     pub timeout: Duration,
 }
 
-/// What to do.
+/// The command to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Bpaf)]
 pub enum Command {
     /// Create or replace the resources of a file
     ///
-    /// Each resource is read first and replaced only if nobody has changed it meanwhile. One that is
-    /// already as the file says is left alone.
+    /// Each resource is read first and replaced only if it has not been changed since. A resource
+    /// that already equals the one in the file is left unchanged.
     #[bpaf(command)]
     Apply {
         /// The file, or - for standard input
@@ -82,7 +82,7 @@
         /// Wait until the changes are in force on every instance
         #[bpaf(long("wait"))]
         wait: bool,
-        /// Seconds to wait at most
+        /// Maximum time to wait in seconds
         #[bpaf(
             long("wait-within"),
             argument::<u64>("SECONDS"),
@@ -109,17 +109,17 @@
         #[bpaf(positional::<String>("KIND"), parse(kind))]
         kind: Kind,
     },
-    /// Show changes as they come into force, until interrupted
+    /// Show changes as they take effect, until interrupted
     #[bpaf(command)]
     Watch {
-        /// Show only what changed after this revision
+        /// Show only changes after this revision
         #[bpaf(long("after"), argument("REVISION"), fallback(0), display_fallback)]
         after: Revision,
     },
     /// Remove a resource
     #[bpaf(command)]
     Delete {
-        /// Remove it only if it is at this revision [default: the one it is at now]
+        /// Remove the resource only if it is at this revision [default: its current revision]
         #[bpaf(long("revision"), argument("REVISION"), optional)]
         revision: Option<Revision>,
         /// service, job, team or policy
@@ -136,62 +136,63 @@
         #[bpaf(long("revision"), argument("REVISION"), optional)]
         revision: Option<Revision>,
     },
-    /// Show the changes that the system made on its own
+    /// Show the actions that the system took automatically
     #[bpaf(command)]
     Events,
-    /// Tell every process now that an instance is leaving, ahead of the platform's list
+    /// Notify every process that an instance is leaving, without waiting for the platform's list
     #[bpaf(command)]
     Drain {
         /// Name of the instance
         #[bpaf(positional("INSTANCE"))]
         instance: String,
     },
-    /// Follow a job of the users' platform through the logs of all instances
+    /// Trace a job of the users' platform through the logs of all instances
     ///
-    /// Shows what was decided about it, when and why, and what happened to the owner and the store
-    /// meanwhile. Needs no operator process.
+    /// Shows each decision about the job with its time and reason, and changes of ownership and of
+    /// the store's availability in between. Needs no operator process.
     #[bpaf(command)]
     Trace {
-        /// The job's number
+        /// The job's id, in hexadecimal
         #[bpaf(positional("JOB"))]
         job: String,
-        /// Logs, or standard input if none is given
+        /// Log files; standard input if none is given
         #[bpaf(positional("FILE"), many)]
         files: Vec<PathBuf>,
     },
-    /// Show how jobs of the users' platform were served by their size, from the logs of all instances
+    /// Show completion rates of the users' platform's jobs by job size, from the logs of all instances
     ///
-    /// For each queue and each tenth of its jobs: the part that was done in time, and the part that was
-    /// done at all before it counted as lost. Needs no operator process.
+    /// For each queue and each decile of its jobs: the fraction completed in time, and the fraction
+    /// completed at all before the job counted as lost. Needs no operator process.
     #[bpaf(command)]
     Sizes {
-        /// Logs, or standard input if none is given
+        /// Log files; standard input if none is given
         #[bpaf(positional("FILE"), many)]
         files: Vec<PathBuf>,
     },
-    /// Make the keys and certificates by which the processes know each other
+    /// Create the keys and certificates with which the processes authenticate each other
     ///
-    /// Without --issue a new authority and a first certificate are made. Files that exist are never
-    /// replaced.
+    /// Without --issue, a new certificate authority and a first certificate are created. Existing
+    /// files are never replaced.
     #[bpaf(command)]
     Keys {
-        /// Make one more certificate of the authority in the directory, under this name
+        /// Issue another certificate with this name from the authority in the directory
         #[bpaf(long("issue"), argument("NAME"), optional)]
         issue: Option<String>,
-        /// Directory of the files
+        /// Directory that holds the files
         #[bpaf(positional("DIRECTORY"))]
         directory: PathBuf,
     },
 }
 
 fn urls(given: Vec<String>) -> Result<Vec<String>, String> {
-    let urls = given.iter().flat_map(|some| some.split(','));
+    let urls = given.iter().flat_map(|list| list.split(','));
     let urls = urls.map(str::trim).filter(|url| !url.is_empty());
     urls.map(url).collect()
 }
 
 fn url(text: &str) -> Result<String, String> {
-    let problem = || format!("{text:?} is no URL of an operator, such as http://10.0.0.1:7300");
+    let problem =
+        || format!("{text:?} is not the URL of an operator, such as http://10.0.0.1:7300");
     let parsed = reqwest::Url::parse(text).map_err(|_| problem())?;
     if parsed.scheme() != "http" || !parsed.has_host() {
         return Err(problem());
@@ -201,10 +202,11 @@
 
 fn format(word: String) -> Result<Format, String> {
     let found = Format::from_word(&word);
-    found.ok_or_else(|| format!("{word:?} is no format; use table, json or quiet"))
+    found.ok_or_else(|| format!("{word:?} is not an output format; use table, json or quiet"))
 }
 
 fn kind(word: String) -> Result<Kind, String> {
     let found = Kind::from_word(&word);
-    found.ok_or_else(|| format!("{word:?} is no kind; use service, job, team or policy"))
+    found
+        .ok_or_else(|| format!("{word:?} is not a resource kind; use service, job, team or policy"))
 }
--- a/bin/ctl/src/failure.rs
+++ b/bin/ctl/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a command did not do what it was asked to.
+//! Numbered failures of commands and the exit codes that follow from them.
 
 use std::fmt;
 
@@ -7,56 +7,56 @@
 use cowslipchute_base::id::Revision;
 use serde::Deserialize;
 
-/// Exit code of a command that did what it was asked to.
-pub const EXIT_ANSWERED: i32 = 0;
-/// Exit code of a command that was used wrongly.
-pub const EXIT_WRONG_USE: i32 = 2;
-/// Exit code of a command that surely changed nothing.
+/// Exit code of a command that succeeded.
+pub const EXIT_SUCCESS: i32 = 0;
+/// Exit code of a command with wrong options or arguments.
+pub const EXIT_USAGE: i32 = 2;
+/// Exit code of a command that failed and certainly changed nothing.
 pub const EXIT_NOT_RUN: i32 = 3;
-/// Exit code of a command of which it can't be told whether it changed something.
+/// Exit code of a command that may or may not have changed something.
 pub const EXIT_UNKNOWN: i32 = 4;
 
 /// A numbered failure.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// The number.
+    /// The result code.
     pub code: Code,
-    /// What happened.
+    /// The description of the failure.
     pub text: String,
-    /// The field that is wrong.
+    /// The invalid field.
     pub field: Option<String>,
-    /// What to do about it.
+    /// The suggested remedy.
     pub remedy: Option<String>,
-    /// The resource's present revision.
+    /// The resource's current revision.
     pub revision: Option<Revision>,
 }
 
 impl Failure {
-    /// Makes a failure with a text of its own.
+    /// Creates a failure with a code and a description only.
     pub fn new(code: Code, text: impl Into<String>) -> Failure {
         let (field, remedy, revision) = (None, None, None);
         Failure { code, text: text.into(), field, remedy, revision }
     }
 
-    /// Says what to do.
+    /// Sets the suggested remedy.
     pub fn remedy(mut self, remedy: impl Into<String>) -> Failure {
         self.remedy = Some(remedy.into());
         self
     }
 
-    /// Says for sure that the operator got nothing.
-    pub fn surely_not_sent(mut self) -> Failure {
+    /// Changes the code to `NotSent`: the request certainly had no effect.
+    pub fn not_sent(mut self) -> Failure {
         self.code = Code::NotSent;
         self
     }
 
-    /// Returns what may be relied on.
+    /// Returns whether the request was executed, as far as the code tells.
     pub fn outcome(&self) -> Outcome {
         self.code.outcome()
     }
 
-    /// Reads the body of an operator's error.
-    pub fn read(body: &[u8]) -> Option<Failure> {
+    /// Parses the body of an operator's error response.
+    pub fn parse(body: &[u8]) -> Option<Failure> {
         let body: Body = serde_json::from_slice(body).ok()?;
         let code = Code::from_number(body.code)?;
         Some(Failure {
@@ -69,10 +69,10 @@
     }
 
     /// Returns the exit code.
-    pub fn exit(&self) -> i32 {
+    pub fn exit_code(&self) -> i32 {
         match (self.code, self.outcome()) {
-            (Code::BadSetting, _) => EXIT_WRONG_USE,
-            (_, Outcome::Answered) => EXIT_ANSWERED,
+            (Code::BadSetting, _) => EXIT_USAGE,
+            (_, Outcome::Answered) => EXIT_SUCCESS,
             (_, Outcome::NotRun) => EXIT_NOT_RUN,
             (_, Outcome::Unknown) => EXIT_UNKNOWN,
         }
--- a/bin/ctl/src/lib.rs
+++ b/bin/ctl/src/lib.rs
@@ -1,8 +1,8 @@
-//! `cowslipchutectl`: the command line over the resource interface.
+//! `cowslipchutectl`: the command-line client of the resource API.
 //!
-//! It reads files, asks operator processes and prints what they answer. It decides nothing itself,
-//! but for one thing: a request goes to another operator process only if it is a read or surely did
-//! not reach the first one. Exit codes follow `docs/RESULTS.md`.
+//! It reads files, sends requests to operator processes and prints their responses. A request is
+//! retried on another operator process only if it is a read or certainly did not reach the first
+//! one. Exit codes follow `docs/RESULTS.md`.
 
 pub mod apply;
 pub mod client;
--- a/bin/ctl/src/output.rs
+++ b/bin/ctl/src/output.rs
@@ -1,22 +1,22 @@
-//! Printing.
+//! Output formats, tables and progress.
 
 use std::io;
 use std::io::IsTerminal as _;
 use std::io::Write;
 
-/// What is printed.
+/// An output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// Columns for people.
+    /// Aligned columns for people.
     Table,
-    /// What the operator answered, for programs.
+    /// The operator's JSON response, for programs.
     Json,
     /// Names and revisions only, for scripts.
     Quiet,
 }
 
 impl Format {
-    /// Finds the format with a word.
+    /// Returns the format with the given name.
     pub fn from_word(word: &str) -> Option<Format> {
         match word {
             "table" => Some(Format::Table),
@@ -27,14 +27,14 @@
     }
 }
 
-/// Rows under headings, each column as wide as it needs to be.
+/// A table with headings; each column is as wide as its widest cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// Starts with the headings.
+    /// Creates a table with headings and no rows.
     pub fn new<'a>(headings: impl IntoIterator<Item = &'a str>) -> Table {
         Table { rows: vec![headings.into_iter().map(str::to_uppercase).collect()] }
     }
@@ -62,27 +62,27 @@
     }
 }
 
-/// A line on standard error that is written over while something takes long.
+/// A progress line on standard error. On a terminal, each text overwrites the previous one.
 #[derive(Debug)]
 pub struct Progress {
-    shown: bool,
+    enabled: bool,
     last: String,
     terminal: bool,
 }
 
 impl Progress {
-    /// Shows nothing if `quiet`.
+    /// Opens a progress line that shows nothing if `quiet`.
     pub fn open(quiet: bool) -> Progress {
-        Progress { shown: !quiet, last: String::new(), terminal: io::stderr().is_terminal() }
+        Progress { enabled: !quiet, last: String::new(), terminal: io::stderr().is_terminal() }
     }
 
-    /// Shows a text in place of the last one.
+    /// Shows a text in place of the previous one.
     pub fn show(&mut self, text: &str) {
-        if !self.shown || text == self.last {
+        if !self.enabled || text == self.last {
             return;
         }
         let mut out = io::stderr().lock();
-        // Nobody is harmed when progress can't be shown.
+        // A failed write is ignored: progress is only informative.
         let _ = match self.terminal {
             true => write!(out, "\r\x1b[K{text}").and_then(|()| out.flush()),
             false => writeln!(out, "{text}"),
@@ -93,7 +93,7 @@
 
 impl Drop for Progress {
     fn drop(&mut self) {
-        if self.shown && self.terminal && !self.last.is_empty() {
+        if self.enabled && self.terminal && !self.last.is_empty() {
             eprintln!();
         }
     }
--- a/bin/ctl/src/run.rs
+++ b/bin/ctl/src/run.rs
@@ -1,4 +1,4 @@
-//! Carrying out a command.
+//! Runs a command.
 
 use cowslipchute_base::code::Code;
 use cowslipchute_base::id::Revision;
@@ -9,8 +9,8 @@
 
 use crate::apply;
 use crate::apply::Wait;
-use crate::client::Ask;
 use crate::client::Client;
+use crate::client::Request;
 use crate::command::Command;
 use crate::command::General;
 use crate::command::Options;
@@ -24,19 +24,19 @@
 use crate::trace;
 use crate::trace::Trace;
 
-/// Carries out a command and returns what is to be printed.
+/// Runs a command and returns the output to print.
 ///
 /// # Errors
 ///
-/// A numbered failure, from which the exit code follows.
+/// A numbered failure, which determines the exit code.
 pub async fn run(options: Options) -> Result<String, Failure> {
     let General { operators, output, timeout } = options.general;
     if let Command::Keys { issue, directory } = options.command {
-        let made = match issue {
+        let paths = match issue {
             Some(name) => keys::issue(&directory, &name)?,
             None => keys::create(&directory)?,
         };
-        return Ok(made.iter().map(|path| format!("{}\n", path.display())).collect());
+        return Ok(paths.iter().map(|path| format!("{}\n", path.display())).collect());
     }
     if let Command::Trace { job, files } = options.command {
         return Ok(Trace::open(trace::read(&files)?, &job)?.render(output));
@@ -44,7 +44,7 @@
     if let Command::Sizes { files } = options.command {
         return Ok(sizes::Report::open(trace::read(&files)?).render(output));
     }
-    // A bad file is told also where no operator is given.
+    // The file is read first so that an invalid file is reported even if no operator is given.
     let resources = match &options.command {
         Command::Apply { file, .. } => apply::read(file)?,
         _ => Vec::new(),
@@ -64,42 +64,42 @@
             delete(&client, kind, &name, revision, output).await
         }
         Command::Status { revision } => {
-            let answer: Value = client.ask(&Ask::get(spread::path(revision))).await?;
-            Ok(show::status(&understood(&answer)?, &answer, output))
+            let answer: Value = client.send(&Request::get(spread::path(revision))).await?;
+            Ok(show::status(&parse(&answer)?, &answer, output))
         }
         Command::Events => {
-            let answer: Value = client.ask(&Ask::get("/v1/events")).await?;
+            let answer: Value = client.send(&Request::get("/v1/events")).await?;
             Ok(show::events(&answer, output))
         }
         Command::Drain { instance } => drain(&client, &instance, output).await,
         Command::Keys { .. } | Command::Trace { .. } | Command::Sizes { .. } => {
-            unreachable!("carried out above")
+            unreachable!("handled above")
         }
     }
 }
 
-fn understood<T: for<'de> Deserialize<'de>>(answer: &Value) -> Result<T, Failure> {
-    let text = "the operator answered something that this version doesn't understand";
-    show::read(answer).ok_or_else(|| Failure::new(Code::Unreachable, text))
+fn parse<T: for<'de> Deserialize<'de>>(answer: &Value) -> Result<T, Failure> {
+    let text = "the operator's response can't be parsed by this version";
+    show::parse(answer).ok_or_else(|| Failure::new(Code::Unreachable, text))
 }
 
-fn warn_if_behind(source: &str) {
+fn warn_if_stale(source: &str) {
     if source != "store" {
-        eprintln!("{}", show::BEHIND);
+        eprintln!("{}", show::STALE_WARNING);
     }
 }
 
 async fn get(client: &Client, kind: Kind, name: &str, format: Format) -> Result<String, Failure> {
-    let answer: Value = client.ask(&Ask::get(path(kind, name))).await?;
-    let view: show::View = understood(&answer)?;
-    warn_if_behind(&view.source);
+    let answer: Value = client.send(&Request::get(path(kind, name))).await?;
+    let view: show::View = parse(&answer)?;
+    warn_if_stale(&view.source);
     Ok(show::view(&view, &answer, format))
 }
 
 async fn list(client: &Client, kind: Kind, format: Format) -> Result<String, Failure> {
-    let answer: Value = client.ask(&Ask::get(format!("/v1/{}", kind.as_str()))).await?;
-    let list: show::List = understood(&answer)?;
-    warn_if_behind(&list.source);
+    let answer: Value = client.send(&Request::get(format!("/v1/{}", kind.as_str()))).await?;
+    let list: show::List = parse(&answer)?;
+    warn_if_stale(&list.source);
     Ok(show::list(&list, &answer, format))
 }
 
@@ -112,10 +112,10 @@
 ) -> Result<String, Failure> {
     let revision = match revision {
         Some(revision) => revision,
-        None => client.ask::<show::View>(&Ask::get(path(kind, name))).await?.revision,
+        None => client.send::<show::View>(&Request::get(path(kind, name))).await?.revision,
     };
-    let ask = Ask::change(Method::DELETE, path(kind, name)).from_revision(revision);
-    let answer: Value = client.ask(&ask).await?;
+    let request = Request::change(Method::DELETE, path(kind, name)).if_match(revision);
+    let answer: Value = client.send(&request).await?;
     let removed = answer["revision"].as_u64().unwrap_or(0);
     Ok(match format {
         Format::Json => show::json(&answer),
@@ -125,13 +125,13 @@
 }
 
 async fn drain(client: &Client, instance: &str, format: Format) -> Result<String, Failure> {
-    let ask = Ask::change(Method::POST, format!("/v1/drain/{instance}"));
-    let answer: Value = client.ask(&ask).await?;
+    let request = Request::change(Method::POST, format!("/v1/drain/{instance}"));
+    let answer: Value = client.send(&request).await?;
     let (told, processes) = (&answer["told"], &answer["processes"]);
     Ok(match format {
         Format::Json => show::json(&answer),
         Format::Quiet => format!("{told}/{processes}\n"),
-        Format::Table => format!("{instance} is leaving: {told}/{processes} processes told\n"),
+        Format::Table => format!("{instance} is leaving: {told}/{processes} processes notified\n"),
     })
 }
 
--- a/bin/ctl/src/show.rs
+++ b/bin/ctl/src/show.rs
@@ -1,4 +1,4 @@
-//! What operators answer, and how it is shown.
+//! Responses of operators and how they are rendered.
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::id::Revision;
@@ -10,59 +10,60 @@
 use crate::output::Format;
 use crate::output::Table;
 
-/// One resource as an operator shows it.
+/// A resource as returned by an operator.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct View {
-    /// Revision of its last change.
+    /// The revision of its last change.
     pub revision: Revision,
-    /// Where it was read: `store`, or `in-force` while the store is down.
+    /// The source of the data: `store`, or `in-force` while the store is down.
     pub source: String,
     /// The resource.
     pub resource: Resource,
 }
 
-/// Resources as an operator lists them.
+/// A list of resources as returned by an operator.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct List {
-    /// Where they were read.
+    /// The source of the data, as in [`View::source`].
     pub source: String,
-    /// By rising name.
+    /// The resources in ascending order of name.
     pub items: Vec<View>,
 }
 
-/// An instance that lags.
+/// An instance on which a revision is not yet in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize)]
 pub struct Lagging {
-    /// The instance.
+    /// The name of the instance.
     pub instance: String,
-    /// Where it is.
+    /// Its failure domain.
     pub domain: String,
-    /// The revision in force there; nothing when it didn't answer.
+    /// The revision in force there; `None` when the instance did not answer.
     pub revision: Option<Revision>,
 }
 
-/// The spread of a revision.
+/// The propagation status of a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Deserialize)]
 pub struct Status {
     /// The revision.
     pub revision: Revision,
-    /// Instances that follow the configuration.
+    /// The number of instances that follow the configuration.
     pub instances: usize,
-    /// Those of them where the revision is in force.
+    /// The number of those instances where the revision is in force.
     pub in_force: usize,
-    /// The others.
+    /// The instances where it is not in force.
     pub lagging: Vec<Lagging>,
 }
 
-/// Said beside what was read while the store is down.
-pub const BEHIND: &str = "The store can't be reached: this is what is in force, and may be behind.";
+/// Warning printed with data that was read while the store is down.
+pub const STALE_WARNING: &str =
+    "The store can't be reached: the configuration in force is shown and may be stale.";
 
-/// Turns an answer into what was asked for.
-pub fn read<T: for<'de> Deserialize<'de>>(answer: &Value) -> Option<T> {
+/// Deserializes a response; returns `None` if it has another form.
+pub fn parse<T: for<'de> Deserialize<'de>>(answer: &Value) -> Option<T> {
     T::deserialize(answer).ok()
 }
 
@@ -76,7 +77,7 @@
             table.row(vec![String::from("revision"), view.revision.to_string()]);
             if let Some(Value::Object(fields)) = answer.get("resource") {
                 for (field, value) in fields {
-                    table.row(vec![field.clone(), plain(value)]);
+                    table.row(vec![field.clone(), unquoted(value)]);
                 }
             }
             table.render()
@@ -93,8 +94,9 @@
         }
         Format::Table => {
             let Some(first) = list.items.first() else { return String::from("none\n") };
-            let own = columns(&first.resource.spec);
-            let headings = ["name", "revision"].into_iter().chain(own.iter().map(|c| c.heading));
+            let spec_columns = columns(&first.resource.spec);
+            let headings =
+                ["name", "revision"].into_iter().chain(spec_columns.iter().map(|c| c.heading));
             let mut table = Table::new(headings);
             for view in &list.items {
                 let mut row = vec![view.resource.name.to_string(), view.revision.to_string()];
@@ -106,7 +108,7 @@
     }
 }
 
-/// Renders the spread of a revision.
+/// Renders the propagation status of a revision.
 pub fn status(status: &Status, answer: &Value, format: Format) -> String {
     match format {
         Format::Json => json(answer),
@@ -118,10 +120,11 @@
             );
             if !status.lagging.is_empty() {
                 let mut table = Table::new(["lagging", "domain", "revision"]);
-                for one in &status.lagging {
+                for lagging in &status.lagging {
                     let none = || String::from("no answer");
-                    let revision = one.revision.map_or_else(none, |revision| revision.to_string());
-                    table.row(vec![one.instance.clone(), one.domain.clone(), revision]);
+                    let revision =
+                        lagging.revision.map_or_else(none, |revision| revision.to_string());
+                    table.row(vec![lagging.instance.clone(), lagging.domain.clone(), revision]);
                 }
                 out.push_str(&table.render());
             }
@@ -130,7 +133,7 @@
     }
 }
 
-/// Renders events; what is known of each one's fields is shown in columns.
+/// Renders events. Time and name have columns of their own; all other fields are shown as details.
 pub fn events(answer: &Value, format: Format) -> String {
     let none = Vec::new();
     let events = answer.get("events").and_then(Value::as_array).unwrap_or(&none);
@@ -143,9 +146,9 @@
                 table.row(event_row(event));
             }
             let mut out = table.render();
-            let silent = answer.get("unreachable").and_then(Value::as_array).unwrap_or(&none);
-            for placer in silent {
-                out.push_str(&format!("no answer from {}\n", plain(placer)));
+            let unreachable = answer.get("unreachable").and_then(Value::as_array).unwrap_or(&none);
+            for placer in unreachable {
+                out.push_str(&format!("no answer from {}\n", unquoted(placer)));
             }
             out
         }
@@ -153,27 +156,27 @@
 }
 
 fn event_row(event: &Value) -> Vec<String> {
-    let field = |name: &str| event.get(name).map(plain);
+    let field = |name: &str| event.get(name).map(unquoted);
     let mut details = Vec::new();
     if let Value::Object(fields) = event {
-        let shown = ["time", "at_millis", "event", "name"];
-        let rest = fields.iter().filter(|(name, _)| !shown.contains(&name.as_str()));
-        details.extend(rest.map(|(name, value)| format!("{name}={}", plain(value))));
+        let with_own_column = ["time", "at_millis", "event", "name"];
+        let rest = fields.iter().filter(|(name, _)| !with_own_column.contains(&name.as_str()));
+        details.extend(rest.map(|(name, value)| format!("{name}={}", unquoted(value))));
     }
     let event = field("name").or_else(|| field("event")).unwrap_or_default();
-    // A placer that tells no time of day tells how long it has been running.
+    // A placer that reports no time of day reports the time since its start.
     let since_start = || field("at_millis").map(|millis| format!("+{millis} ms"));
     let time = field("time").or_else(since_start).unwrap_or_default();
     vec![time, event, details.join(" ")]
 }
 
-/// Renders an answer for programs.
+/// Renders a response as JSON for programs.
 pub fn json(answer: &Value) -> String {
-    let text = serde_json::to_string_pretty(answer).expect("an answer was JSON");
+    let text = serde_json::to_string_pretty(answer).expect("a JSON value can be serialized");
     format!("{text}\n")
 }
 
-fn plain(value: &Value) -> String {
+fn unquoted(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => String::from("-"),
@@ -190,7 +193,7 @@
     Column { heading, text: text.to_string() }
 }
 
-/// What matters most of each kind.
+/// Returns the columns that a list shows for a resource's kind.
 fn columns(spec: &Spec) -> Vec<Column> {
     match spec {
         Spec::Service(spec) => vec![
--- a/bin/ctl/src/sizes.rs
+++ b/bin/ctl/src/sizes.rs
@@ -1,8 +1,9 @@
-//! How jobs of each queue were served, by their size.
+//! Completion rates of each queue's jobs by job size.
 //!
-//! A queue may be served well on average while its largest jobs never are. Reads the scheduler's logs, as
-//! [`crate::trace`] does, and shows for each tenth of a queue's jobs how many were done in time, and how many at
-//! all before they counted as lost. `docs/OPERATIONS.md` tells what to look for.
+//! A queue may do well on average although its largest jobs are never completed. The report reads the
+//! scheduler's logs, as [`crate::trace`] does, and shows for each decile of a queue's jobs the fraction
+//! completed in time and the fraction completed before the job counted as lost. `docs/OPERATIONS.md`
+//! explains how to interpret it.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -17,69 +18,71 @@
 use crate::output::Table;
 use crate::trace::Line;
 
-/// Groups of jobs by size.
-const TENTHS: usize = 10;
-/// Fewer jobs of a queue than this say nothing by tenths.
-const LEAST_JOBS: usize = TENTHS;
+/// Number of groups into which the jobs of a queue are divided by size.
+const DECILES: usize = 10;
+/// Minimum number of jobs of a queue; with fewer, deciles would be empty.
+const MIN_JOBS: usize = DECILES;
 
-/// Time stamps are read as times of day, and a job may end on the next one.
-const SECONDS_A_DAY: f64 = 86_400.0;
+/// Length of a day. Only the time of day of a timestamp is read, and a job may end on the next day.
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// What jobs are ordered by: the heading of its rows, and how it is read off.
-type Measure = (&'static str, fn(&Size) -> f64);
+/// A property by which jobs are ordered: the label of its rows and its value for a size.
+type Dimension = (&'static str, fn(&Size) -> f64);
 
-const MEASURES: [Measure; 4] = [
+const DIMENSIONS: [Dimension; 4] = [
     ("work", |size| size.work),
     ("widest", |size| f64::from(size.widest_milli)),
     ("tasks", |size| f64::from(size.tasks)),
     ("chain", |size| size.chain.as_secs_f64()),
 ];
 
-/// A job as the logs tell of it.
+/// A job as recorded in the logs.
 #[derive(Clone, Debug)]
 struct Job {
     size: Size,
-    known: String,
+    known_at: String,
     ended: Option<(String, String)>,
 }
 
-/// How a job was served.
+/// Whether a job was completed, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Service {
+enum Outcome {
     InTime,
     Late,
-    Not,
+    Missed,
 }
 
 impl Job {
-    fn service(&self) -> Service {
-        let Some((ended, how)) = &self.ended else { return Service::Not };
-        if how != "completed" {
-            return Service::Not;
+    fn outcome(&self) -> Outcome {
+        let Some((ended, result)) = &self.ended else { return Outcome::Missed };
+        if result != "completed" {
+            return Outcome::Missed;
         }
-        let (Some(known), Some(ended)) = (seconds(&self.known), seconds(ended)) else {
-            return Service::Not;
+        let (Some(known), Some(ended)) = (seconds_of_day(&self.known_at), seconds_of_day(ended))
+        else {
+            return Outcome::Missed;
         };
-        let took = (ended - known).rem_euclid(SECONDS_A_DAY);
+        let took = (ended - known).rem_euclid(SECONDS_PER_DAY);
         let objective = self.size.objective.as_secs_f64();
         if took <= objective {
-            Service::InTime
+            Outcome::InTime
         } else if took <= objective * LATE_LIMIT {
-            Service::Late
+            Outcome::Late
         } else {
-            Service::Not
+            Outcome::Missed
         }
     }
 
-    /// Tells whether it was owed: what its client cancelled, or what can't be done, is not.
-    fn is_owed(&self) -> bool {
-        self.ended.as_ref().is_none_or(|(_, how)| how == "completed")
+    /// Returns `true` if the job is included in the report. Jobs that were cancelled by their client
+    /// or that can't be completed are excluded.
+    fn is_counted(&self) -> bool {
+        self.ended.as_ref().is_none_or(|(_, result)| result == "completed")
     }
 }
 
-/// Reads the time of day out of a time stamp, in seconds.
-fn seconds(stamp: &str) -> Option<f64> {
-    let time = stamp.split_once('T')?.1.trim_end_matches('Z');
+/// Returns the time of day of a timestamp in seconds.
+fn seconds_of_day(timestamp: &str) -> Option<f64> {
+    let time = timestamp.split_once('T')?.1.trim_end_matches('Z');
     let mut parts = time.split(':');
     let hours: f64 = parts.next()?.parse().ok()?;
     let minutes: f64 = parts.next()?.parse().ok()?;
@@ -87,7 +90,7 @@
     Some((hours * 60.0 + minutes) * 60.0 + seconds)
 }
 
-/// How the jobs of one queue in one group were served.
+/// Numbers of jobs in one group of one queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Tally {
     jobs: usize,
@@ -100,49 +103,50 @@
         let mut tally = Tally::default();
         for job in jobs {
             tally.jobs += 1;
-            match job.service() {
-                Service::InTime => tally.in_time += 1,
-                Service::Late => tally.late += 1,
-                Service::Not => {}
+            match job.outcome() {
+                Outcome::InTime => tally.in_time += 1,
+                Outcome::Late => tally.late += 1,
+                Outcome::Missed => {}
             }
         }
         tally
     }
 
-    /// Returns the parts that were served in time, and served at all.
-    fn parts(self) -> (f64, f64) {
-        let part = |count: usize| count as f64 / self.jobs.max(1) as f64;
-        (part(self.in_time), part(self.in_time + self.late))
+    /// Returns the fractions of jobs completed in time and completed at all.
+    fn fractions(self) -> (f64, f64) {
+        let fraction = |count: usize| count as f64 / self.jobs.max(1) as f64;
+        (fraction(self.in_time), fraction(self.in_time + self.late))
     }
 
     fn text(self) -> String {
-        let (in_time, served) = self.parts();
+        let (in_time, served) = self.fractions();
         format!("{in_time:.2}/{served:.2}")
     }
 
     fn json(self) -> Value {
-        let (in_time, served) = self.parts();
+        let (in_time, served) = self.fractions();
         json!({ "jobs": self.jobs, "in_time": in_time, "served": served })
     }
 }
 
-/// How the jobs of all queues were served.
+/// The completion report of all queues.
 #[derive(Clone, Debug)]
 pub struct Report {
     queues: BTreeMap<String, Vec<Job>>,
 }
 
 impl Report {
-    /// Gathers the jobs that the lines tell of. Each counts from when an owner first learnt of it.
+    /// Collects the jobs recorded in log lines. A job's time counts from its first `JobKnown` line,
+    /// which is when an owner first learned of it.
     pub fn open(mut lines: Vec<Line>) -> Report {
         lines.sort_by(|a, b| a.ts.cmp(&b.ts));
         let mut jobs: HashMap<String, Job> = HashMap::new();
         for line in lines {
             let (Some(id), Some(detail)) = (line.job, line.detail) else { continue };
             if line.event == Event::JobKnown.number() {
-                // An earlier version told the queue alone.
+                // Earlier versions logged only the queue here.
                 let Ok(size) = detail.parse() else { continue };
-                jobs.entry(id).or_insert(Job { size, known: line.ts, ended: None });
+                jobs.entry(id).or_insert(Job { size, known_at: line.ts, ended: None });
             } else if line.event == Event::JobEnded.number()
                 && let Some(job) = jobs.get_mut(&id)
             {
@@ -150,22 +154,23 @@
             }
         }
         let mut queues: BTreeMap<String, Vec<Job>> = BTreeMap::new();
-        for job in jobs.into_values().filter(Job::is_owed) {
+        for job in jobs.into_values().filter(Job::is_counted) {
             queues.entry(job.size.queue.clone()).or_default().push(job);
         }
-        queues.retain(|_, jobs| jobs.len() >= LEAST_JOBS);
+        queues.retain(|_, jobs| jobs.len() >= MIN_JOBS);
         Report { queues }
     }
 
     fn rows(&self) -> impl Iterator<Item = (&str, &'static str, Vec<Tally>, Tally)> {
         self.queues.iter().flat_map(|(queue, jobs)| {
-            MEASURES.iter().map(move |&(name, measure)| {
+            DIMENSIONS.iter().map(move |&(name, value)| {
                 let mut sorted: Vec<&Job> = jobs.iter().collect();
-                sorted.sort_by(|a, b| measure(&a.size).total_cmp(&measure(&b.size)));
-                let bound = |tenth: usize| sorted.len() * tenth / TENTHS;
-                let tenths = (0..TENTHS)
-                    .map(|tenth| Tally::of(sorted[bound(tenth)..bound(tenth + 1)].iter().copied()));
-                (&**queue, name, tenths.collect(), Tally::of(jobs))
+                sorted.sort_by(|a, b| value(&a.size).total_cmp(&value(&b.size)));
+                let bound = |decile: usize| sorted.len() * decile / DECILES;
+                let deciles = (0..DECILES).map(|decile| {
+                    Tally::of(sorted[bound(decile)..bound(decile + 1)].iter().copied())
+                });
+                (&**queue, name, deciles.collect(), Tally::of(jobs))
             })
         })
     }
@@ -180,20 +185,20 @@
 
     fn table(&self) -> Table {
         let mut headings = vec!["queue".to_owned(), "by".to_owned(), "all".to_owned()];
-        headings.extend((1..=TENTHS).map(|tenth| tenth.to_string()));
+        headings.extend((1..=DECILES).map(|decile| decile.to_string()));
         let mut table = Table::new(headings.iter().map(String::as_str));
-        for (queue, name, tenths, all) in self.rows() {
+        for (queue, name, deciles, all) in self.rows() {
             let mut cells = vec![queue.to_owned(), name.to_owned(), all.text()];
-            cells.extend(tenths.into_iter().map(Tally::text));
+            cells.extend(deciles.into_iter().map(Tally::text));
             table.row(cells);
         }
         table
     }
 
     fn json(&self) -> Value {
-        let rows = self.rows().map(|(queue, by, tenths, all)| {
-            let tenths: Vec<Value> = tenths.into_iter().map(Tally::json).collect();
-            json!({ "queue": queue, "by": by, "all": all.json(), "tenths": tenths })
+        let rows = self.rows().map(|(queue, by, deciles, all)| {
+            let deciles: Vec<Value> = deciles.into_iter().map(Tally::json).collect();
+            json!({ "queue": queue, "by": by, "all": all.json(), "tenths": deciles })
         });
         rows.collect()
     }
--- a/bin/ctl/src/stream.rs
+++ b/bin/ctl/src/stream.rs
@@ -1,4 +1,4 @@
-//! Showing changes as they come into force.
+//! Shows changes as they take effect.
 
 use std::io;
 use std::io::Write as _;
@@ -12,16 +12,18 @@
 use crate::failure::Failure;
 use crate::output::Format;
 
-/// Wait before a broken stream is opened anew.
-const REOPEN_AFTER: Duration = Duration::from_secs(1);
-/// A stream that brings nothing for so long is broken: operators send progress every five seconds.
-const SILENCE_MAX: Duration = Duration::from_secs(15);
+/// Delay before a broken stream is reopened.
+const RECONNECT_DELAY: Duration = Duration::from_secs(1);
+/// Time without data after which a stream counts as broken. Operators send progress every five
+/// seconds.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Shows changes after a revision until nobody reads the output.
+/// Shows changes after a revision until the output is closed.
 ///
 /// # Errors
 ///
-/// When no operator answers at the start. Later the stream is opened anew where it broke off.
+/// When no operator answers the first request. A stream that breaks later is reopened after the last
+/// revision reported as in force.
 pub async fn run(client: &Client, after: Revision, format: Format) -> Result<(), Failure> {
     let mut after = after;
     let mut response = client.stream(&path(after)).await?;
@@ -30,7 +32,7 @@
             return Ok(());
         }
         response = loop {
-            tokio::time::sleep(REOPEN_AFTER).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
             if let Ok(response) = client.stream(&path(after)).await {
                 break response;
             }
@@ -42,13 +44,13 @@
     format!("/v1/watch?after={after}")
 }
 
-/// Shows one stream to its end; fails when the output is closed.
+/// Shows one stream until it ends; fails when the output is closed.
 async fn follow(response: &mut Response, after: &mut Revision, format: Format) -> io::Result<()> {
-    let mut rest = Vec::new();
-    while let Ok(Ok(Some(chunk))) = tokio::time::timeout(SILENCE_MAX, response.chunk()).await {
-        rest.extend_from_slice(&chunk);
-        while let Some(end) = rest.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = rest.drain(..=end).collect();
+    let mut buffer = Vec::new();
+    while let Ok(Ok(Some(chunk))) = tokio::time::timeout(IDLE_TIMEOUT, response.chunk()).await {
+        buffer.extend_from_slice(&chunk);
+        while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = buffer.drain(..=end).collect();
             let Ok(line) = serde_json::from_slice::<Value>(&line) else { continue };
             if let Some(text) = render(&line, *after, format) {
                 writeln!(io::stdout().lock(), "{text}")?;
@@ -65,7 +67,7 @@
     if line["type"] == "in-force" { line["revision"].as_u64() } else { None }
 }
 
-/// Renders one line; progress that brings nothing new isn't shown to people.
+/// Renders one line of a stream. Progress without a new revision is rendered only as JSON.
 pub fn render(line: &Value, after: Revision, format: Format) -> Option<String> {
     let revision = line["revision"].as_u64().unwrap_or(0);
     let text = |value: &Value| value.as_str().unwrap_or("?").to_owned();
--- a/bin/ctl/src/trace.rs
+++ b/bin/ctl/src/trace.rs
@@ -1,8 +1,8 @@
-//! Follows one job through the logs of all instances: what was decided about it, when, where and on
-//! what grounds, with what happened to the owner and the store meanwhile.
+//! Traces one job through the logs of all instances: each decision about it with its time, instance
+//! and reason, and changes of ownership and of the store's availability in between.
 //!
 //! Reads the JSON lines that the scheduler writes, in any order and mixed with other text.
-//! `docs/OPERATIONS.md` shows how to get from a trace to a cause.
+//! `docs/OPERATIONS.md` explains how to diagnose a job from its trace.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -21,8 +21,8 @@
 use crate::output::Format;
 use crate::output::Table;
 
-/// Events that concern every job while they last.
-const AROUND: [Event; 7] = [
+/// Events that are not about one job but may affect all of them.
+const CONTEXT_EVENTS: [Event; 7] = [
     Event::StoreLost,
     Event::StoreBack,
     Event::SeatTaken,
@@ -31,47 +31,48 @@
     Event::Started,
     Event::Stopping,
 ];
-/// Part of a time of day in a time stamp: hours to milliseconds.
+/// Byte range of the time of day in a timestamp, from hours to milliseconds.
 const TIME_OF_DAY: std::ops::Range<usize> = 11..23;
 
-/// One line of a log, as far as a trace shows it.
+/// The fields of a log line that a trace shows.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct Line {
-    /// When it was written, by its instance's time of day.
+    /// The time at which it was written, by its instance's clock.
     pub ts: String,
-    /// The instance.
+    /// The instance that wrote it.
     pub instance: String,
     /// The event's name.
     pub name: String,
     /// The event's number.
     pub event: u16,
-    /// The job, if it is about one.
+    /// The job that the line is about, if any.
     #[serde(default)]
     pub job: Option<String>,
     /// The task: job, occurrence, step and index.
     #[serde(default)]
     pub task: Option<String>,
-    /// Which run of the task.
+    /// The number of the task's run.
     #[serde(default)]
     pub attempt: Option<u64>,
     /// The worker.
     #[serde(default)]
     pub worker: Option<String>,
-    /// What decided it.
+    /// The reason of a decision, or details of it.
     #[serde(default)]
     pub detail: Option<String>,
-    /// The same, of a refusal.
+    /// The reason of a refusal.
     #[serde(default)]
     pub reason: Option<String>,
-    /// The numbered result of a refusal.
+    /// The result code of a refusal.
     #[serde(default)]
     pub code: Option<u16>,
 }
 
 impl Line {
-    /// Reads a line of a log; nothing if it is none. Text before the object is left aside.
-    pub fn read(text: &str) -> Option<Line> {
+    /// Parses a line of a log and ignores any text before the JSON object. Returns `None` if the line
+    /// is not a log line.
+    pub fn parse(text: &str) -> Option<Line> {
         serde_json::from_str(text.get(text.find('{')?..)?.trim_end()).ok()
     }
 
@@ -79,8 +80,8 @@
         self.job.as_deref() == Some(job)
     }
 
-    fn is_around(&self) -> bool {
-        AROUND.iter().any(|event| event.number() == self.event)
+    fn is_context(&self) -> bool {
+        CONTEXT_EVENTS.iter().any(|event| event.number() == self.event)
     }
 
     fn why(&self) -> String {
@@ -93,40 +94,40 @@
         self.ts.get(TIME_OF_DAY).unwrap_or(&self.ts)
     }
 
-    /// The task without its job, which is the same in all lines.
+    /// Returns the task without its job, which is the same in all lines.
     fn short_task(&self) -> String {
         let task = self.task.as_deref().unwrap_or_default();
         task.split_once('.').map_or_else(String::new, |(_, rest)| rest.to_owned())
     }
 }
 
-/// Reads the lines of files, or of standard input where none is named.
+/// Reads the lines of files, or of standard input if no file is given.
 ///
 /// # Errors
 ///
-/// `BadFile` when one can't be read.
+/// `BadFile` when a file can't be read.
 pub fn read(files: &[PathBuf]) -> Result<Vec<Line>, Failure> {
     if files.is_empty() {
         let mut text = Vec::new();
-        std::io::stdin().lock().read_to_end(&mut text).map_err(|error| bad("-", &error))?;
+        std::io::stdin().lock().read_to_end(&mut text).map_err(|error| bad_file("-", &error))?;
         return Ok(lines(&text));
     }
     let mut all = Vec::new();
     for file in files {
-        all.extend(lines(&fs::read(file).map_err(|error| bad(file, &error))?));
+        all.extend(lines(&fs::read(file).map_err(|error| bad_file(file, &error))?));
     }
     Ok(all)
 }
 
-fn bad(file: impl AsRef<Path>, error: &std::io::Error) -> Failure {
+fn bad_file(file: impl AsRef<Path>, error: &std::io::Error) -> Failure {
     Failure::new(Code::BadFile, format!("{}: {error}", file.as_ref().display()))
 }
 
 fn lines(text: &[u8]) -> Vec<Line> {
-    String::from_utf8_lossy(text).lines().filter_map(Line::read).collect()
+    String::from_utf8_lossy(text).lines().filter_map(Line::parse).collect()
 }
 
-/// A job's lines in order, and what happened around them.
+/// A job's log lines and the context events between them, in order of time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
     job: String,
@@ -134,14 +135,14 @@
 }
 
 impl Trace {
-    /// Picks a job's lines out of all. The job's number may be given with or without leading zeros.
+    /// Selects a job's lines. The job's id may be given with or without leading zeros.
     ///
     /// # Errors
     ///
-    /// `NoJob` when no line is about it, `BadSetting` when that is no job's number.
+    /// `NoJob` when no line is about the job, `BadSetting` when `job` is not a job id.
     pub fn open(mut lines: Vec<Line>, job: &str) -> Result<Trace, Failure> {
         let number = u64::from_str_radix(job, 16)
-            .map_err(|_| Failure::new(Code::BadSetting, format!("{job:?} is no job's number")))?;
+            .map_err(|_| Failure::new(Code::BadSetting, format!("{job:?} is not a job id")))?;
         let job = format!("{number:016x}");
         lines.sort_by(|a, b| a.ts.cmp(&b.ts));
         let first = lines.iter().position(|line| line.is_about(&job));
@@ -149,32 +150,32 @@
         let (Some(first), Some(last)) = (first, last) else {
             let text = format!("no line is about job {job}");
             let remedy =
-                "give the logs of all instances; event 267 tells of lines that were left out";
+                "pass the logs of all instances; event 267 reports lines that were dropped";
             return Err(Failure::new(Code::NoJob, text).remedy(remedy));
         };
         let between = lines.drain(first..=last);
-        let lines = between.filter(|line| line.is_about(&job) || line.is_around()).collect();
+        let lines = between.filter(|line| line.is_about(&job) || line.is_context()).collect();
         Ok(Trace { job, lines })
     }
 
-    fn own(&self) -> impl Iterator<Item = &Line> {
+    fn job_lines(&self) -> impl Iterator<Item = &Line> {
         self.lines.iter().filter(|line| line.is_about(&self.job))
     }
 
     fn first(&self, event: Event) -> Option<&Line> {
-        self.own().find(|line| line.event == event.number())
+        self.job_lines().find(|line| line.event == event.number())
     }
 
-    /// Counts the job's runs by how they ended.
-    fn ends(&self) -> BTreeMap<String, u64> {
-        let mut ends = BTreeMap::new();
-        for line in self.own().filter(|line| line.event == Event::RunEnded.number()) {
-            *ends.entry(line.why()).or_insert(0) += 1;
+    /// Returns the number of the job's runs by result.
+    fn run_results(&self) -> BTreeMap<String, u64> {
+        let mut results = BTreeMap::new();
+        for line in self.job_lines().filter(|line| line.event == Event::RunEnded.number()) {
+            *results.entry(line.why()).or_insert(0) += 1;
         }
-        ends
+        results
     }
 
-    /// Says in a few lines what became of the job.
+    /// Returns a summary of the job in a few lines.
     pub fn summary(&self) -> String {
         let mut text = format!("job {}\n", self.job);
         let steps = [
@@ -186,17 +187,17 @@
             ("cancelling", Event::JobCancelling),
             ("ended", Event::JobEnded),
         ];
-        for (word, event) in steps {
+        for (label, event) in steps {
             if let Some(line) = self.first(event) {
                 let (time, instance) = (line.time(), &line.instance);
-                let _ = writeln!(text, "{word}: {time} at {instance} {}", line.why().trim_end());
+                let _ = writeln!(text, "{label}: {time} at {instance} {}", line.why().trim_end());
             }
         }
-        let ends = self.ends();
-        if !ends.is_empty() {
-            let ends: Vec<String> =
-                ends.iter().map(|(how, count)| format!("{count} {how}")).collect();
-            let _ = writeln!(text, "runs: {}", ends.join(", "));
+        let results = self.run_results();
+        if !results.is_empty() {
+            let results: Vec<String> =
+                results.iter().map(|(result, count)| format!("{count} {result}")).collect();
+            let _ = writeln!(text, "runs: {}", results.join(", "));
         }
         text
     }
@@ -236,6 +237,6 @@
                 })
             })
             .collect();
-        json!({ "job": self.job, "runs": self.ends(), "lines": lines })
+        json!({ "job": self.job, "runs": self.run_results(), "lines": lines })
     }
 }
--- a/bin/ctl/tests/commands.rs
+++ b/bin/ctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Commands against an operator process on a stand-in of the store.
+//! Commands against an operator process that uses a simulated store.
 
 use std::io::Read as _;
 use std::net::TcpListener;
@@ -36,7 +36,7 @@
 use tokio::sync::watch;
 use yare::parameterized;
 
-/// An operator process on a stand-in.
+/// An operator process with a simulated store.
 struct Harness {
     standin: Standin,
     operator: Option<Operator>,
@@ -47,7 +47,8 @@
 
 impl Harness {
     fn open(test: &str) -> Harness {
-        let standin = cowslipchute_standin::open(&Plan::default()).expect("the stand-in opens");
+        let standin =
+            cowslipchute_standin::open(&Plan::default()).expect("the simulated platform starts");
         let (switch, stop) = stop::open();
         let (members, listed) = watch::channel(Vec::new());
         let store = || kv::Client::open(&standin.store_url(), Duration::from_millis(500));
@@ -70,7 +71,7 @@
             stop_within: Duration::from_secs(5),
         };
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let operator = Some(process::spawn(parts, listener).expect("the duties start"));
+        let operator = Some(process::spawn(parts, listener).expect("the operator starts"));
         let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
         std::fs::create_dir_all(&directory).expect("a directory");
         Harness { standin, operator, switch, members, directory }
@@ -108,11 +109,12 @@
 fn run_with(operators: &str, line: &str) -> Result<String, Failure> {
     let words = ["--operator", operators].into_iter().chain(line.split_whitespace());
     let words: Vec<&str> = words.collect();
-    let options = command::options().run_inner(words.as_slice()).expect("the line is right");
+    let options =
+        command::options().run_inner(words.as_slice()).expect("the command line is valid");
     block_on(run::run(options))
 }
 
-const FILE: &str = r#"
+const RESOURCES: &str = r#"
 [[resource]]
 kind = "team"
 name = "research"
@@ -128,12 +130,12 @@
 #[test]
 fn a_file_is_applied_shown_and_removed() {
     let harness = Harness::open("applied");
-    let file = harness.file(FILE);
+    let file = harness.file(RESOURCES);
     let applied = harness.run(&format!("apply -f {file} --wait")).expect("applied");
     assert_eq!(applied.matches("created").count(), 2, "{applied}");
     let again = harness.run(&format!("apply -f {file}")).expect("applied");
     assert_eq!(again.matches("unchanged").count(), 2, "{again}");
-    let file = harness.file(&FILE.replace("tasks = 4", "tasks = 5"));
+    let file = harness.file(&RESOURCES.replace("tasks = 4", "tasks = 5"));
     let changed = harness.run(&format!("apply -f {file}")).expect("applied");
     assert_eq!((changed.matches("unchanged").count(), changed.matches("replaced").count()), (1, 1));
     assert!(harness.run("list job").expect("listed").contains("report"));
@@ -144,11 +146,11 @@
     assert!(harness.run("status").expect("shown").contains("1/1 instances"));
     assert!(harness.run("events").is_ok());
     let used = harness.run("delete team research").expect_err("a job refers to it");
-    assert_eq!((used.code, used.exit()), (Code::InUse, 3));
+    assert_eq!((used.code, used.exit_code()), (Code::InUse, 3));
     harness.run("delete job report").expect("removed");
     harness.run("delete team research").expect("removed");
     let gone = harness.run("get team research").expect_err("it is gone");
-    assert_eq!((gone.code, gone.exit()), (Code::NoResource, 3));
+    assert_eq!((gone.code, gone.exit_code()), (Code::NoResource, 3));
 }
 
 #[test]
@@ -168,22 +170,22 @@
         capacity: Amount::ZERO,
     };
     harness.members.send_replace(vec![silent]);
-    let file = harness.file(FILE);
+    let file = harness.file(RESOURCES);
     let line = format!("apply -f {file} --wait --wait-within 0");
     let failure = harness.run(&line).expect_err("one instance is silent");
-    assert_eq!((failure.outcome(), failure.exit()), (Outcome::Unknown, 4));
+    assert_eq!((failure.outcome(), failure.exit_code()), (Outcome::Unknown, 4));
     assert!(failure.text.contains("silent"), "{failure}");
-    assert!(harness.run("get job report").is_ok(), "the change is accepted all the same");
+    assert!(harness.run("get job report").is_ok(), "the change is accepted nevertheless");
     assert!(harness.run("status").expect("shown").contains("no answer"));
 }
 
 #[test]
 fn a_removal_from_an_old_revision_shows_the_present_one() {
     let harness = Harness::open("old");
-    let file = harness.file(FILE);
+    let file = harness.file(RESOURCES);
     harness.run(&format!("apply -f {file}")).expect("applied");
     let failure = harness.run("delete --revision 1 job report").expect_err("another revision");
-    assert_eq!((failure.code, failure.exit()), (Code::Conflict, 3));
+    assert_eq!((failure.code, failure.exit_code()), (Code::Conflict, 3));
     assert!(failure.revision.is_some());
     assert!(failure.to_string().contains("present revision"), "{failure}");
 }
@@ -192,7 +194,8 @@
 fn the_first_failure_says_what_was_applied_and_what_was_not_tried() {
     let harness = Harness::open("stopped");
     let dangling = "[[resource]]\nkind = \"job\"\nname = \"b\"\nteam = \"nobody\"\n";
-    let file = harness.file(&format!("{FILE}\n{dangling}\n{}", FILE.replace("research", "keel")));
+    let file = harness
+        .file(&format!("{RESOURCES}\n{dangling}\n{}", RESOURCES.replace("research", "keel")));
     let failure = harness.run(&format!("apply -f {file}")).expect_err("the team doesn't exist");
     assert_eq!(failure.code, Code::BadResource);
     assert_eq!(failure.field.as_deref(), Some("job.team"));
@@ -202,14 +205,14 @@
 #[test]
 fn a_store_that_is_down_leaves_reads_and_refuses_changes() {
     let harness = Harness::open("down");
-    let file = harness.file(FILE);
+    let file = harness.file(RESOURCES);
     harness.run(&format!("apply -f {file} --wait")).expect("applied");
     let fault = Fault::state(State::Down);
-    block_on(harness.standin.set_fault(Target::Store, fault)).expect("the store is there");
+    block_on(harness.standin.set_fault(Target::Store, fault)).expect("the store exists");
     assert!(harness.run("get job report").is_ok());
-    let file = harness.file(&FILE.replace("tasks = 4", "tasks = 5"));
+    let file = harness.file(&RESOURCES.replace("tasks = 4", "tasks = 5"));
     let failure = harness.run(&format!("apply -f {file}")).expect_err("the store is down");
-    assert_eq!((failure.code, failure.exit()), (Code::StoreDown, 3));
+    assert_eq!((failure.code, failure.exit_code()), (Code::StoreDown, 3));
 }
 
 #[parameterized(
@@ -226,42 +229,45 @@
     let path = directory.join("resources.toml");
     std::fs::write(&path, text).expect("a file");
     let failure = apply::read(&path).expect_err("the file is bad");
-    assert_eq!((failure.code, failure.exit()), (Code::BadFile, 3));
+    assert_eq!((failure.code, failure.exit_code()), (Code::BadFile, 3));
     assert!(failure.text.contains(expected), "{failure}");
 }
 
 #[test]
 fn an_operator_that_surely_got_nothing_is_passed_over() {
     let harness = Harness::open("passed-over");
-    let file = harness.file(FILE);
-    let free = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = free.local_addr().expect("an address");
-    drop(free);
+    let file = harness.file(RESOURCES);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("an address");
+    drop(listener);
     let both = format!("http://{address},{}", harness.url());
-    run_with(&both, &format!("apply -f {file}")).expect("the other one takes it");
-    let none = run_with(&format!("http://{address}"), "delete --revision 1 job report");
-    let none = none.expect_err("nobody is there");
-    assert_eq!((none.code, none.outcome(), none.exit()), (Code::NotSent, Outcome::NotRun, 3));
+    run_with(&both, &format!("apply -f {file}")).expect("the second operator accepts it");
+    let failure = run_with(&format!("http://{address}"), "delete --revision 1 job report");
+    let failure = failure.expect_err("no operator is listening");
+    assert_eq!(
+        (failure.code, failure.outcome(), failure.exit_code()),
+        (Code::NotSent, Outcome::NotRun, 3)
+    );
 }
 
 #[test]
 fn a_change_that_may_have_reached_an_operator_is_sent_to_no_other() {
     let harness = Harness::open("not-twice");
-    let file = harness.file(FILE);
+    let file = harness.file(RESOURCES);
     harness.run(&format!("apply -f {file}")).expect("applied");
-    let rude = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = rude.local_addr().expect("an address");
-    let breaker = std::thread::spawn(move || {
-        let (mut socket, _) = rude.accept().expect("a connection");
-        let mut some = [0; 1024];
-        // Reads the request, then breaks the connection without a word.
-        socket.read(&mut some).expect("a request")
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("an address");
+    let server = std::thread::spawn(move || {
+        let (mut socket, _) = listener.accept().expect("a connection");
+        let mut buffer = [0; 1024];
+        // Reads the request, then closes the connection without a response.
+        socket.read(&mut buffer).expect("a request")
     });
     let both = format!("http://{address},{}", harness.url());
     let revision = harness.run("-o quiet get job report").expect("shown");
     let line = format!("delete --revision {} job report", revision.trim());
     let failure = run_with(&both, &line).expect_err("the answer is lost");
-    assert_eq!((failure.outcome(), failure.exit()), (Outcome::Unknown, 4));
-    breaker.join().expect("the connection was broken");
+    assert_eq!((failure.outcome(), failure.exit_code()), (Outcome::Unknown, 4));
+    server.join().expect("the connection was broken");
     assert!(harness.run("get job report").is_ok(), "the other operator was not asked");
 }
--- a/bin/ctl/tests/output.rs
+++ b/bin/ctl/tests/output.rs
@@ -1,4 +1,4 @@
-//! What is printed.
+//! Rendered output.
 
 use cowslipchutectl::output::Format;
 use cowslipchutectl::output::Table;
--- a/bin/ctl/tests/parse.rs
+++ b/bin/ctl/tests/parse.rs
@@ -1,4 +1,5 @@
-//! The command line is read as the help says, or refused with what is wrong.
+//! The command line is parsed as its help describes; a wrong one is rejected with an error that
+//! names the problem.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -58,7 +59,7 @@
     list = { "--operator http://a:1,http://b:2", &["http://a:1", "http://b:2"] },
 )]
 fn operators(line: &str, expected: &[&str]) {
-    let options = parse(&format!("{line} events")).expect("the line is right");
+    let options = parse(&format!("{line} events")).expect("the command line is valid");
     assert_eq!(options.general.operators, expected);
 }
 
@@ -70,10 +71,10 @@
     no_name = { "get service", "NAME" },
     no_number = { "watch --after now", "now" },
     no_format = { "-o yaml events", "use table, json or quiet" },
-    no_url = { "--operator 10.0.0.1:7300 events", "is no URL of an operator" },
-    no_scheme = { "--operator ftp://10.0.0.1 events", "is no URL of an operator" },
+    no_url = { "--operator 10.0.0.1:7300 events", "is not the URL of an operator" },
+    no_scheme = { "--operator ftp://10.0.0.1 events", "is not the URL of an operator" },
 )]
 fn wrong_use(line: &str, expected: &str) {
-    let problem = parse(line).expect_err("the line is wrong");
+    let problem = parse(line).expect_err("the command line is invalid");
     assert!(problem.contains(expected), "{problem:?} should contain {expected:?}");
 }
--- a/bin/ctl/tests/sizes.rs
+++ b/bin/ctl/tests/sizes.rs
@@ -1,4 +1,4 @@
-//! Jobs are told apart by size from the logs of all instances.
+//! Completion rates by job size are computed from the logs of all instances.
 
 use std::fmt::Write as _;
 
@@ -6,8 +6,8 @@
 use cowslipchutectl::sizes::Report;
 use cowslipchutectl::trace::Line;
 
-/// Twenty jobs of one queue, of 100 to 2,000 thousandths of a processor a task. Those over 1,600 are never
-/// done, those over 1,200 are done late, and one more was cancelled.
+/// Logs of twenty jobs of one queue whose tasks need 100 to 2,000 thousandths of a processor. Jobs over 1,600
+/// are never completed, jobs over 1,200 are completed late, and one further job was cancelled.
 fn logs() -> Vec<Line> {
     let mut text = String::new();
     for index in 1..=20 {
@@ -32,7 +32,7 @@
 {"ts":"2026-05-28T23:59:59.000000000Z","instance":"a","name":"JobKnown","event":253,"job":"98","detail":"an earlier form"}
 "#,
     );
-    text.lines().filter_map(Line::read).collect()
+    text.lines().filter_map(Line::parse).collect()
 }
 
 #[test]
--- a/bin/ctl/tests/trace.rs
+++ b/bin/ctl/tests/trace.rs
@@ -1,4 +1,4 @@
-//! A job is found in the logs of several instances and explained.
+//! A job is traced through the logs of several instances.
 
 use cowslipchute_base::code::Code;
 use cowslipchutectl::output::Format;
@@ -6,7 +6,7 @@
 use cowslipchutectl::trace::Trace;
 use yare::parameterized;
 
-/// Lines of three instances, gathered out of order and beside other text.
+/// Log lines of several instances, out of order and mixed with other text.
 const LOGS: &str = r#"
   3.2 edge-b-1 {"ts":"2026-05-28T17:02:12.400000000Z","instance":"edge-b-1","name":"RunStarted","event":256,"job":"00000000000000a1","task":"00000000000000a1.0.0.1","attempt":1,"worker":"w1","detail":""}
 {"ts":"2026-05-28T17:02:11.310000000Z","instance":"edge-a-2","name":"JobAccepted","event":250,"job":"00000000000000a1"}
@@ -22,7 +22,7 @@
 "#;
 
 fn logs() -> Vec<Line> {
-    LOGS.lines().filter_map(Line::read).collect()
+    LOGS.lines().filter_map(Line::parse).collect()
 }
 
 #[test]
