--- a/bin/burn/src/cause.rs
+++ b/bin/burn/src/cause.rs
@@ -1,62 +1,63 @@
-//! What had a part in bad answers, as far as counters can tell.
+//! Attribution of failed requests to causes, as far as counters allow it.
 //!
-//! Counters don't say why one request failed, so a span's bad answers are shared out: those that an
-//! outage of the store can cause, if there was one in the span; those for want of capacity by the
-//! share that trials had in the served load and that further attempts had in all attempts.
+//! Counters don't say why one request failed, so a span's failed requests are attributed in
+//! proportion. Results that an outage of the store can cause are attributed to the store if there was
+//! an outage in the span. Results that indicate a lack of capacity are attributed by the fraction of
+//! trials in the served load and the fraction of extra attempts in all attempts.
 
 use cowslipchute_base::code::Code;
 use serde::Serialize;
 
-use crate::metric::Kind;
+use crate::metric::Series;
 use crate::metric::Tally;
 use crate::objective;
-use crate::objective::Count;
 use crate::objective::Objective;
+use crate::objective::Verdict;
 
-/// Bad answers by what had a part in them.
+/// Failed requests by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Serialize)]
 pub struct Causes {
-    /// Capacity that trials took.
+    /// Capacity used by trials.
     pub trials: f64,
-    /// Capacity that retries and hedges took.
+    /// Capacity used by retries and hedges.
     pub retries: f64,
     /// Outages of the store.
     pub store: f64,
-    /// Anything else.
+    /// All other causes.
     pub other: f64,
 }
 
 impl Causes {
-    /// Adds a part of other causes.
-    pub fn add(&mut self, other: Causes, share: f64) {
-        self.trials += other.trials * share;
-        self.retries += other.retries * share;
-        self.store += other.store * share;
-        self.other += other.other * share;
+    /// Adds a fraction of other causes.
+    pub fn add(&mut self, other: Causes, fraction: f64) {
+        self.trials += other.trials * fraction;
+        self.retries += other.retries * fraction;
+        self.store += other.store * fraction;
+        self.other += other.other * fraction;
     }
 
-    /// Returns all bad answers.
+    /// Returns the number of failed requests of all causes.
     pub fn total(&self) -> f64 {
         self.trials + self.retries + self.store + self.other
     }
 }
 
-/// Shares out a service's bad answers of one span of one process.
-pub fn causes(increase: &Tally, service: &str, objective: &Objective) -> Causes {
-    let trials = trial_share(increase, service);
-    let retries = (1.0 - trials) * attempt_share(increase, service);
+/// Attributes a service's failed requests in one span of one process to causes.
+pub fn attribute(increase: &Tally, service: &str, objective: &Objective) -> Causes {
+    let trials = trial_fraction(increase, service);
+    let retries = (1.0 - trials) * extra_attempt_fraction(increase, service);
     let mut causes = Causes::default();
-    for (kind, requests) in &increase.requests {
-        let is_ours = kind.service == service && kind.class == objective.class;
-        if !is_ours || objective::count(kind.code) != Count::Bad {
+    for (series, requests) in &increase.requests {
+        let is_relevant = series.service == service && series.class == objective.class;
+        if !is_relevant || objective::count(series.code) != Verdict::Bad {
             continue;
         }
-        match Code::from_number(kind.code) {
-            Some(code) if is_of_store(code) && increase.store_down > 0.0 => {
+        match Code::from_number(series.code) {
+            Some(code) if is_store_related(code) && increase.store_down > 0.0 => {
                 causes.store += requests;
             }
-            Some(code) if is_of_capacity(code) => {
+            Some(code) if is_capacity_related(code) => {
                 causes.trials += requests * trials;
                 causes.retries += requests * retries;
                 causes.other += requests * (1.0 - trials - retries);
@@ -67,37 +68,38 @@
     causes
 }
 
-fn is_of_store(code: Code) -> bool {
+fn is_store_related(code: Code) -> bool {
     matches!(code, Code::NotReady | Code::KeyOwnerUnreachable)
 }
 
-fn is_of_capacity(code: Code) -> bool {
+fn is_capacity_related(code: Code) -> bool {
     matches!(
         code,
         Code::QueueFull | Code::QueueTimeout | Code::NoBackend | Code::Busy | Code::Timeout
     )
 }
 
-/// The share of trials among the requests that were answered.
-fn trial_share(increase: &Tally, service: &str) -> f64 {
-    let answered =
-        |kind: &&Kind| kind.service == service && objective::count(kind.code) == Count::Good;
+/// Returns the fraction of trials among the requests that were answered.
+fn trial_fraction(increase: &Tally, service: &str) -> f64 {
+    let answered = |series: &&Series| {
+        series.service == service && objective::count(series.code) == Verdict::Good
+    };
     let served = increase.requests.keys().filter(answered);
     let (mut trials, mut all) = (0.0, 0.0);
-    for kind in served {
-        let requests = increase.requests[kind];
+    for series in served {
+        let requests = increase.requests[series];
         all += requests;
-        if kind.class == "trial" {
+        if series.class == "trial" {
             trials += requests;
         }
     }
     ratio(trials, all)
 }
 
-/// The share of further attempts among all attempts.
-fn attempt_share(increase: &Tally, service: &str) -> f64 {
+/// Returns the fraction of extra attempts among all attempts.
+fn extra_attempt_fraction(increase: &Tally, service: &str) -> f64 {
     let extra = increase.extra_attempts.get(service).copied().unwrap_or_default();
-    let requests = increase.requests.iter().filter(|(kind, _)| kind.service == service);
+    let requests = increase.requests.iter().filter(|(series, _)| series.service == service);
     let first: f64 = requests.map(|(_, requests)| requests).sum();
     ratio(extra, first + extra)
 }
--- a/bin/burn/src/chart.rs
+++ b/bin/burn/src/chart.rs
@@ -1,4 +1,4 @@
-//! The report as a chart: the burn of each service over time.
+//! The report as a chart: the burn rate of each service over time.
 
 use std::path::Path;
 
@@ -22,12 +22,12 @@
 use crate::report::Report;
 use crate::span::Span;
 
-/// Width and height in pixels.
-const SIZE: (u32, u32) = (960, 480);
-/// The least burn that the chart's height shows.
-const LEAST_HEIGHT: f64 = 2.0;
+/// Width and height of the chart.
+const SIZE_PX: (u32, u32) = (960, 480);
+/// Smallest burn rate at which the vertical axis may end, before the margin at its top.
+const MIN_BURN_RANGE: f64 = 2.0;
 
-/// One service's line.
+/// The line of one service.
 struct Line {
     service: String,
     points: Vec<Point>,
@@ -52,11 +52,11 @@
 }
 
 fn draw(path: &Path, lines: &[Line]) -> Result<(), DrawingAreaErrorKind<std::io::Error>> {
-    let area = SVGBackend::new(path, SIZE).into_drawing_area();
+    let area = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let points = || lines.iter().flat_map(|line| &line.points);
     let start = points().map(|point| point.at).fold(-1.0, f64::min);
-    let top = points().map(|point| point.burn).fold(LEAST_HEIGHT, f64::max);
+    let top = points().map(|point| point.burn).fold(MIN_BURN_RANGE, f64::max);
     let mut chart = ChartBuilder::on(&area)
         .caption("Error budget burn (1 = lasts exactly)", ("sans-serif", 20))
         .margin(12)
@@ -64,8 +64,8 @@
         .y_label_area_size(60)
         .build_cartesian_2d(start..0.0, 0.0..top * 1.1)?;
     chart.configure_mesh().x_desc("seconds before the last sample").y_desc("burn").draw()?;
-    let even = [(start, 1.0), (0.0, 1.0)];
-    chart.draw_series(LineSeries::new(even, BLACK.mix(0.4)))?;
+    let sustainable = [(start, 1.0), (0.0, 1.0)];
+    chart.draw_series(LineSeries::new(sustainable, BLACK.mix(0.4)))?;
     for (number, line) in lines.iter().enumerate() {
         let style = Palette99::pick(number).to_rgba().stroke_width(2);
         let points = line.points.iter().map(|point| (point.at, point.burn));
--- a/bin/burn/src/collect.rs
+++ b/bin/burn/src/collect.rs
@@ -10,48 +10,49 @@
 use crate::failure::Failure;
 use crate::sample::Sample;
 
-/// How long one page may take.
+/// Timeout for reading one page.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What was read, and what could not be.
+/// The samples read, and the processes that could not be read.
 #[derive(Clone, Debug, Default)]
 pub struct Collection {
     /// The samples.
     pub samples: Vec<Sample>,
-    /// Processes of which at least one page could not be read.
+    /// The admin addresses of processes of which at least one page could not be read.
     pub missing: Vec<String>,
 }
 
-/// Reads every process several times. One that can't be read is noted and passed over. `progress`
-/// is told how many times are done, since an operator waits meanwhile.
+/// Samples every process several times. A process that can't be read is recorded as missing and
+/// skipped. `progress` is called with the number of rounds completed, so that a waiting operator sees
+/// that the command is running.
 ///
 /// # Errors
 ///
-/// When no process could be read at all.
+/// When no process could be read.
 pub async fn collect(
     admins: &[SocketAddr],
-    times: u32,
-    every: Duration,
+    rounds: u32,
+    interval: Duration,
     progress: impl Fn(u32),
 ) -> Result<Collection, Failure> {
     let client = client()?;
     let mut collection = Collection::default();
-    for round in 0..times {
+    for round in 0..rounds {
         if round > 0 {
-            tokio::time::sleep(every).await;
+            tokio::time::sleep(interval).await;
         }
         read_all(&client, admins, &mut collection).await;
         progress(round + 1);
     }
     if collection.samples.is_empty() {
-        let text = format!("no entry answers: {}", collection.missing.join(", "));
+        let text = format!("no entry process could be read: {}", collection.missing.join(", "));
         return Err(Failure::new(Code::Unreachable, text));
     }
     Ok(collection)
 }
 
 fn client() -> Result<reqwest::Client, Failure> {
-    // No proxy of the environment stands between an operator and the instances.
+    // Instances are read directly, never through a proxy set in the environment.
     let client = reqwest::Client::builder().no_proxy().timeout(TIMEOUT).build();
     client.map_err(|error| Failure::new(Code::Unreachable, error.to_string()))
 }
--- a/bin/burn/src/command.rs
+++ b/bin/burn/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line, and the way from it to a report.
+//! The command line and the command that makes a report from it.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -14,12 +14,12 @@
 use crate::failure::Failure;
 use crate::objective::Objective;
 use crate::report;
-use crate::report::Question;
+use crate::report::Query;
 use crate::sample;
 use crate::span;
 use crate::text;
 
-/// The windows before scaling: five minutes, an hour, six hours, three days.
+/// Report windows before scaling: 5 minutes, 1 hour, 6 hours, 3 days.
 const WINDOWS: [Duration; 4] = [
     Duration::from_secs(300),
     Duration::from_secs(3600),
@@ -27,21 +27,21 @@
     Duration::from_secs(3 * 86_400),
 ];
 
-/// Reports how fast each service spends its error budget, and on what.
+/// Reports the rate at which each service spends its error budget, and the causes.
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 #[bpaf(options, version)]
 pub struct Options {
-    /// Admin address of an entry to read; may be given several times
+    /// Admin address of an entry process to read; may be repeated
     #[bpaf(long("admin"), argument("IP:PORT"))]
     pub admins: Vec<SocketAddr>,
-    /// File of saved samples to read; may be given several times
+    /// File of saved samples to read; may be repeated
     #[bpaf(long("read"), argument("FILE"))]
     pub files: Vec<PathBuf>,
-    /// File to which the samples taken now are added
+    /// File to which the new samples are appended
     #[bpaf(long("save"), argument("FILE"))]
     pub save: Option<PathBuf>,
-    /// How many samples to take of each entry
+    /// Number of samples to take of each entry process
     #[bpaf(
         long("samples"),
         env("COWSLIPCHUTE_BURN_SAMPLES"),
@@ -50,7 +50,7 @@
         display_fallback
     )]
     pub samples: u32,
-    /// Time between two samples, in seconds
+    /// Interval between two samples in seconds
     #[bpaf(
         long("every"),
         env("COWSLIPCHUTE_BURN_EVERY"),
@@ -59,7 +59,7 @@
         display_fallback
     )]
     pub every: f64,
-    /// Percentage of requests that are to be answered
+    /// Percentage of requests that must be answered
     #[bpaf(
         long("target"),
         env("COWSLIPCHUTE_BURN_TARGET"),
@@ -68,7 +68,7 @@
         display_fallback
     )]
     pub target: f64,
-    /// Time within which requests are to be answered, in milliseconds; best a bound of the histogram
+    /// Latency objective in milliseconds; preferably a bucket bound of the latency histogram
     #[bpaf(
         long("slow"),
         env("COWSLIPCHUTE_BURN_SLOW"),
@@ -77,7 +77,7 @@
         display_fallback
     )]
     pub slow: f64,
-    /// Percentage of requests that are to be answered within that time
+    /// Percentage of requests that must meet the latency objective
     #[bpaf(
         long("slow-target"),
         env("COWSLIPCHUTE_BURN_SLOW_TARGET"),
@@ -86,7 +86,7 @@
         display_fallback
     )]
     pub slow_target: f64,
-    /// Class of requests that this is promised to: paying, trial or batch
+    /// Class of requests that the objectives apply to: paying, trial or batch
     #[bpaf(
         long("class"),
         env("COWSLIPCHUTE_BURN_CLASS"),
@@ -95,7 +95,7 @@
         display_fallback
     )]
     pub class: String,
-    /// Factor for the windows of 5 minutes, 1 hour, 6 hours and 3 days
+    /// Factor by which the windows of 5 minutes, 1 hour, 6 hours and 3 days are scaled
     #[bpaf(
         long("scale"),
         env("COWSLIPCHUTE_BURN_SCALE"),
@@ -111,21 +111,21 @@
     pub svg: Option<PathBuf>,
 }
 
-/// Carries the command out and returns what is to be printed.
+/// Runs the command and returns the output to print.
 ///
 /// # Errors
 ///
-/// When an option is out of range, a file can't be read or written, or no entry answers.
+/// When an option is out of range, a file can't be read or written, or no entry process can be read.
 pub async fn run(options: Options) -> Result<String, Failure> {
-    let question = question(&options)?;
+    let query = query(&options)?;
     let Collection { samples, missing } = gather(&options).await?;
     let spans = span::spans(&samples)?;
-    let report = report::report(&question, &spans, missing);
+    let report = report::report(&query, &spans, missing);
     if let Some(path) = &options.svg {
         chart::write(path, &report, &spans)?;
     }
     if options.json {
-        let json = serde_json::to_string_pretty(&report).expect("a report is plain data");
+        let json = serde_json::to_string_pretty(&report).expect("a report can be serialized");
         return Ok(json + "\n");
     }
     Ok(text::render(&report))
@@ -137,9 +137,9 @@
         gathered.samples.extend(sample::read(file)?);
     }
     if !options.admins.is_empty() {
-        let every = Duration::from_secs_f64(options.every);
+        let interval = Duration::from_secs_f64(options.every);
         let progress = |done| eprintln!("sample {done} of {} taken", options.samples);
-        let taken = collect::collect(&options.admins, options.samples, every, progress).await?;
+        let taken = collect::collect(&options.admins, options.samples, interval, progress).await?;
         if let Some(path) = &options.save {
             sample::append(path, &taken.samples)?;
         }
@@ -149,47 +149,49 @@
     Ok(gathered)
 }
 
-/// Checks the options and turns them into what is asked.
+/// Validates the options and converts them to report parameters.
 ///
 /// # Errors
 ///
 /// When an option is out of range.
-pub fn question(options: &Options) -> Result<Question, Failure> {
+pub fn query(options: &Options) -> Result<Query, Failure> {
     if options.admins.is_empty() && options.files.is_empty() {
-        return Err(bad("give an entry's address by --admin or a file by --read"));
+        return Err(bad_setting(
+            "pass the address of an entry process with --admin or a file with --read",
+        ));
     }
     let has_spans = options.samples >= 2 || !options.files.is_empty() || options.save.is_some();
     if options.samples == 0 || !has_spans {
-        return Err(bad("--samples: a report needs two samples or more"));
+        return Err(bad_setting("--samples: a report needs at least two samples"));
     }
     if !Class::ALL.iter().any(|class| class.as_str() == options.class) {
-        return Err(bad("--class: use paying, trial or batch"));
+        return Err(bad_setting("--class: use paying, trial or batch"));
     }
-    let every = range("--every", options.every, 0.01, 86_400.0)?;
-    debug_assert!(every > 0.0, "samples are taken one after another");
-    let scale = range("--scale", options.scale, 0.0001, 10.0)?;
+    let interval = check_range("--every", options.every, 0.01, 86_400.0)?;
+    debug_assert!(interval > 0.0, "samples are taken one after another");
+    let scale = check_range("--scale", options.scale, 0.0001, 10.0)?;
     let objective = Objective {
         class: options.class.clone(),
-        answered: share("--target", options.target)?,
-        in_time: share("--slow-target", options.slow_target)?,
-        within: range("--slow", options.slow, 0.1, 3_600_000.0)? / 1000.0,
+        answered: fraction("--target", options.target)?,
+        in_time: fraction("--slow-target", options.slow_target)?,
+        within: check_range("--slow", options.slow, 0.1, 3_600_000.0)? / 1000.0,
     };
     let windows = WINDOWS.iter().map(|window| window.mul_f64(scale)).collect();
-    Ok(Question { objective, windows })
+    Ok(Query { objective, windows })
 }
 
-fn share(option: &str, percent: f64) -> Result<f64, Failure> {
-    // A promise of all requests leaves no budget to burn.
-    Ok(range(option, percent, 0.0, 99.9999)? / 100.0)
+fn fraction(option: &str, percent: f64) -> Result<f64, Failure> {
+    // An objective of 100 % leaves no error budget.
+    Ok(check_range(option, percent, 0.0, 99.9999)? / 100.0)
 }
 
-fn range(option: &str, value: f64, least: f64, most: f64) -> Result<f64, Failure> {
-    if value.is_finite() && (least..=most).contains(&value) {
+fn check_range(option: &str, value: f64, low: f64, high: f64) -> Result<f64, Failure> {
+    if value.is_finite() && (low..=high).contains(&value) {
         return Ok(value);
     }
-    Err(bad(&format!("{option}: {value} is not between {least} and {most}")))
+    Err(bad_setting(&format!("{option}: {value} is not between {low} and {high}")))
 }
 
-fn bad(text: &str) -> Failure {
+fn bad_setting(text: &str) -> Failure {
     Failure::new(Code::BadSetting, text)
 }
--- a/bin/burn/src/failure.rs
+++ b/bin/burn/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why there is no report.
+//! Numbered failures of the command and the exit codes that follow from them.
 
 use cowslipchute_base::code::Code;
 use cowslipchute_base::code::Outcome;
@@ -9,20 +9,20 @@
 #[derive(Error)]
 #[error("error {} {}: {text}", .code.number(), .code.name())]
 pub struct Failure {
-    /// The number, as in `docs/RESULTS.md`.
+    /// The result code, as in `docs/RESULTS.md`.
     pub code: Code,
-    /// What happened.
+    /// The description of the failure.
     pub text: String,
 }
 
 impl Failure {
-    /// Makes a failure with its explanation.
+    /// Creates a failure.
     pub fn new(code: Code, text: impl Into<String>) -> Failure {
         Failure { code, text: text.into() }
     }
 
-    /// Returns the exit code, as `docs/RESULTS.md` derives it from the outcome.
-    pub fn exit(&self) -> i32 {
+    /// Returns the exit code that `docs/RESULTS.md` defines for the code's outcome.
+    pub fn exit_code(&self) -> i32 {
         match self.code.outcome() {
             Outcome::Answered => 0,
             Outcome::NotRun if self.code == Code::BadSetting => 2,
--- a/bin/burn/src/lib.rs
+++ b/bin/burn/src/lib.rs
@@ -1,8 +1,8 @@
-//! The service-level burn report: how fast each service spends its error budget, over several
-//! windows, and what part of that trials, retries and outages of the store had in it.
+//! The SLO burn report: the rate at which each service spends its error budget over several windows,
+//! and the fractions of it that are attributed to trials, retries and outages of the store.
 //!
-//! It reads the metrics of entry processes, or samples of them saved earlier, and decides nothing
-//! for anyone. What is counted how is described in `docs/design/burn.md`.
+//! It reads the metrics of entry processes, or samples of them saved earlier, and changes nothing.
+//! `docs/design/burn.md` describes how requests are counted.
 
 pub mod cause;
 pub mod chart;
--- a/bin/burn/src/metric.rs
+++ b/bin/burn/src/metric.rs
@@ -1,4 +1,4 @@
-//! The counters of one entry process, read from its metrics page.
+//! The counters of one entry process, parsed from its metrics page.
 
 use std::collections::BTreeMap;
 
@@ -9,9 +9,9 @@
 use crate::failure::Failure;
 use cowslipchute_base::code::Code;
 
-/// What one series of `cowslipchute_requests_total` counts.
+/// The labels of one series of `cowslipchute_requests_total`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Kind {
+pub struct Series {
     /// The service.
     pub service: String,
     /// The class of the requests.
@@ -20,73 +20,79 @@
     pub code: u16,
 }
 
-/// What one histogram of `cowslipchute_request_seconds` counts.
+/// The labels of one histogram of `cowslipchute_request_seconds`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Track {
+pub struct Histogram {
     /// The service.
     pub service: String,
     /// The class of the requests.
     pub class: String,
 }
 
-/// The requests that took no longer than a bound.
+/// A cumulative histogram bucket: the requests that took no longer than a bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bucket {
-    /// The bound in seconds.
-    pub within: f64,
-    /// How many.
+    /// The upper bound in seconds.
+    pub upper_bound: f64,
+    /// The number of requests.
     pub count: f64,
 }
 
-/// All that is read of one process at one moment, or its increase over a time.
+/// The counters of one process at one time, or their increase over a time span.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tally {
-    /// Final answers.
-    pub requests: BTreeMap<Kind, f64>,
-    /// Their times, by rising bound.
-    pub seconds: BTreeMap<Track, Vec<Bucket>>,
-    /// Attempts beyond the first, hedges included, by service.
+    /// Final responses to clients.
+    pub requests: BTreeMap<Series, f64>,
+    /// Latency histograms, with buckets in ascending order of their bound.
+    pub latencies: BTreeMap<Histogram, Vec<Bucket>>,
+    /// Attempts beyond the first, including hedges, by service.
     pub extra_attempts: BTreeMap<String, f64>,
-    /// Seconds for which the store could not be read.
+    /// Seconds during which the store could not be read.
     pub store_down: f64,
 }
 
-/// Reads a metrics page. What it holds besides is passed over.
+/// Parses a metrics page; metrics that the report does not use are ignored.
 ///
 /// # Errors
 ///
-/// When the text is no metrics page, or a series lacks a label.
+/// When the text is not a metrics page, or a series lacks a label.
 pub fn parse(text: &str) -> Result<Tally, Failure> {
     let lines = text.lines().map(|line| Ok(line.to_owned()));
-    let scrape = Scrape::parse(lines).map_err(|error| bad(error.to_string()))?;
+    let scrape = Scrape::parse(lines).map_err(|error| bad_metrics(error.to_string()))?;
     let mut tally = Tally::default();
     for sample in &scrape.samples {
-        add(&mut tally, &sample.metric, &sample.labels, &sample.value)?;
+        add_series(&mut tally, &sample.metric, &sample.labels, &sample.value)?;
     }
     Ok(tally)
 }
 
-fn add(tally: &mut Tally, metric: &str, labels: &Labels, value: &Value) -> Result<(), Failure> {
+fn add_series(
+    tally: &mut Tally,
+    metric: &str,
+    labels: &Labels,
+    value: &Value,
+) -> Result<(), Failure> {
     match (metric, value) {
         ("cowslipchute_requests_total", Value::Counter(count)) => {
             let code = label(labels, "code")?;
-            let code = code.parse().map_err(|_| bad(format!("{code:?} is no result code")))?;
-            let kind = Kind {
+            let code =
+                code.parse().map_err(|_| bad_metrics(format!("{code:?} is not a result code")))?;
+            let series = Series {
                 service: label(labels, "service")?.to_owned(),
                 class: label(labels, "class")?.to_owned(),
                 code,
             };
-            *tally.requests.entry(kind).or_default() += count;
+            *tally.requests.entry(series).or_default() += count;
         }
         ("cowslipchute_request_seconds", Value::Histogram(counts)) => {
-            let track = Track {
+            let histogram = Histogram {
                 service: label(labels, "service")?.to_owned(),
                 class: label(labels, "class")?.to_owned(),
             };
             let buckets = counts.iter();
             let buckets =
-                buckets.map(|bucket| Bucket { within: bucket.less_than, count: bucket.count });
-            tally.seconds.insert(track, buckets.collect());
+                buckets.map(|bucket| Bucket { upper_bound: bucket.less_than, count: bucket.count });
+            tally.latencies.insert(histogram, buckets.collect());
         }
         ("cowslipchute_retries_total" | "cowslipchute_hedges_total", Value::Counter(count)) => {
             let service = label(labels, "service")?.to_owned();
@@ -101,9 +107,9 @@
 }
 
 fn label<'a>(labels: &'a Labels, name: &str) -> Result<&'a str, Failure> {
-    labels.get(name).ok_or_else(|| bad(format!("a series has no label {name}")))
+    labels.get(name).ok_or_else(|| bad_metrics(format!("a series lacks the label {name}")))
 }
 
-fn bad(text: String) -> Failure {
-    Failure::new(Code::BadFile, format!("metrics can't be read: {text}"))
+fn bad_metrics(text: String) -> Failure {
+    Failure::new(Code::BadFile, format!("metrics can't be parsed: {text}"))
 }
--- a/bin/burn/src/objective.rs
+++ b/bin/burn/src/objective.rs
@@ -1,37 +1,37 @@
-//! What is promised of a service, and which answers break the promise.
+//! Service-level objectives, and the responses that count against them.
 
 use cowslipchute_base::code::Code;
 use cowslipchute_base::code::Outcome;
 use serde::Serialize;
 
-/// What is promised of each service.
+/// The objectives of each service.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Objective {
-    /// The class of requests that it is promised to.
+    /// The class of requests that the objectives apply to.
     pub class: String,
-    /// The share of requests that are to be answered, such as 0.999.
+    /// The fraction of requests that must be answered, such as 0.999.
     pub answered: f64,
-    /// The share of requests that are to be answered in time.
+    /// The fraction of requests that must be answered within the latency objective.
     pub in_time: f64,
-    /// The time, in seconds.
+    /// The latency objective in seconds.
     pub within: f64,
 }
 
-/// How one final answer counts.
+/// The effect of one final response on the objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Count {
-    /// The service kept its promise.
+pub enum Verdict {
+    /// The request was answered.
     Good,
-    /// It did not.
+    /// The request was not answered and spends error budget.
     Bad,
-    /// The request was wrong or a repeat, so it says nothing about the service.
-    Neither,
+    /// The request was invalid or a duplicate, so its result says nothing about the service.
+    Ignored,
 }
 
-/// Tells how an answer with a result code counts. A code that is not known is bad.
-pub fn count(code: u16) -> Count {
-    let Some(code) = Code::from_number(code) else { return Count::Bad };
+/// Returns how a response with a result code counts. An unknown code counts as bad.
+pub fn count(code: u16) -> Verdict {
+    let Some(code) = Code::from_number(code) else { return Verdict::Bad };
     match code {
         Code::BadRequest
         | Code::TooLarge
@@ -40,8 +40,8 @@
         | Code::BadKey
         | Code::BadClass
         | Code::KeyInProgress
-        | Code::KeyAlreadyRun => Count::Neither,
-        code if code.outcome() == Outcome::Answered => Count::Good,
-        _ => Count::Bad,
+        | Code::KeyAlreadyRun => Verdict::Ignored,
+        code if code.outcome() == Outcome::Answered => Verdict::Good,
+        _ => Verdict::Bad,
     }
 }
--- a/bin/burn/src/report.rs
+++ b/bin/burn/src/report.rs
@@ -1,5 +1,5 @@
-//! The report: for each service and window, what was promised, what was missed and how fast the
-//! budget burns.
+//! The report: for each service and window, the requests that missed the objective and the burn rate
+//! of the error budget. A burn rate of 1 spends the budget exactly over the objective's period.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,39 +10,39 @@
 use crate::cause::Causes;
 use crate::metric::Tally;
 use crate::objective;
-use crate::objective::Count;
 use crate::objective::Objective;
+use crate::objective::Verdict;
 use crate::span::Seconds;
 use crate::span::Span;
 
-/// The label of requests for no declared service.
+/// Label value of requests for a service that is not declared.
 const NO_SERVICE: &str = "-";
-/// A budget that burns so fast in the two shortest windows is gone in two days: wake somebody.
-const PAGE: f64 = 14.4;
-/// A budget that burns so fast in the second and third window is gone in five days.
-const TICKET: f64 = 6.0;
-/// A budget that burns faster than this does not last.
-const EVEN: f64 = 1.0;
-
-/// What was asked for.
+/// Burn rate in the two shortest windows that requires a page: the budget is spent in two days.
+const PAGE_BURN: f64 = 14.4;
+/// Burn rate in the second and third window that requires a ticket: the budget is spent in five days.
+const TICKET_BURN: f64 = 6.0;
+/// Highest burn rate at which the budget lasts.
+const SUSTAINABLE_BURN: f64 = 1.0;
+
+/// The parameters of a report.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Question {
-    /// What is promised.
+pub struct Query {
+    /// The objectives.
     pub objective: Objective,
-    /// The windows, shortest first; they end with the last sample.
+    /// The lengths of the windows, shortest first. All windows end at the last sample.
     pub windows: Vec<Duration>,
 }
 
-/// What an operator is to do about a service.
+/// The urgency with which an operator must handle a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// The budget lasts.
+    /// The budget lasts; nothing to do.
     None,
-    /// Look into it in working hours.
+    /// Investigate during working hours.
     Ticket,
-    /// Look into it now.
+    /// Investigate immediately.
     Page,
 }
 
@@ -52,40 +52,40 @@
 pub struct Window {
     /// Its length in seconds.
     pub seconds: f64,
-    /// The part of it that samples cover, from 0 to 1.
+    /// The fraction of the window that samples cover, from 0 to 1.
     pub covered: f64,
-    /// Requests that count.
+    /// The number of requests that count for the objective.
     pub requests: f64,
-    /// Those of them that were not answered.
+    /// The number of those requests that were not answered.
     pub failed: f64,
-    /// Requests of any outcome that took longer than promised.
+    /// The number of requests of any outcome that exceeded the latency objective.
     pub slow: f64,
-    /// How many times faster than evenly the budget of failed requests was spent.
+    /// The burn rate of the error budget for failed requests.
     pub burn: f64,
-    /// The same for slow requests.
+    /// The burn rate of the error budget for slow requests.
     pub slow_burn: f64,
-    /// What had a part in the failed requests.
+    /// The failed requests by cause.
     pub causes: Causes,
 }
 
-/// One service.
+/// The report on one service.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Service {
     /// Its name.
     pub service: String,
-    /// What is to be done.
+    /// The urgency of its burn rate.
     pub urgency: Urgency,
     /// Its windows, shortest first.
     pub windows: Vec<Window>,
 }
 
-/// The burn of one service between two samples, for the chart.
+/// The burn rate of one service between two samples, for the chart.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// Seconds before the end of the report, as a negative number.
+    /// Time relative to the end of the report; negative or zero.
     pub at: Seconds,
-    /// The burn of failed requests.
+    /// The burn rate of failed requests.
     pub burn: f64,
 }
 
@@ -93,32 +93,32 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Report {
-    /// When the last sample was taken, in seconds since the Unix epoch.
+    /// The time of the last sample, in seconds since the Unix epoch.
     pub end: Seconds,
-    /// What is promised.
+    /// The objectives.
     pub objective: Objective,
     /// Processes that could not be read, by admin address.
     pub missing: Vec<String>,
-    /// The services by name.
+    /// The services in ascending order of name.
     pub services: Vec<Service>,
 }
 
-/// Makes the report.
-pub fn report(question: &Question, spans: &[Span], missing: Vec<String>) -> Report {
-    let end = end_of(spans);
+/// Creates the report.
+pub fn report(query: &Query, spans: &[Span], missing: Vec<String>) -> Report {
+    let end = end_time(spans);
     let names: BTreeSet<&str> = spans
         .iter()
         .flat_map(|span| span.increase.requests.keys())
-        .map(|kind| kind.service.as_str())
+        .map(|series| series.service.as_str())
         .filter(|service| *service != NO_SERVICE)
         .collect();
-    let services = names.into_iter().map(|name| service(question, spans, end, name));
-    Report { end, objective: question.objective.clone(), missing, services: services.collect() }
+    let services = names.into_iter().map(|name| service(query, spans, end, name));
+    Report { end, objective: query.objective.clone(), missing, services: services.collect() }
 }
 
-/// Returns the burn of a service at each sample.
+/// Returns the burn rate of a service between consecutive samples.
 pub fn points(objective: &Objective, spans: &[Span], service: &str) -> Vec<Point> {
-    let end = end_of(spans);
+    let end = end_time(spans);
     let mut times: Vec<Seconds> = spans.iter().map(|span| span.to).collect();
     times.sort_by(f64::total_cmp);
     times.dedup();
@@ -133,32 +133,32 @@
     points
 }
 
-fn end_of(spans: &[Span]) -> Seconds {
+fn end_time(spans: &[Span]) -> Seconds {
     spans.iter().map(|span| span.to).fold(0.0, f64::max)
 }
 
-fn service(question: &Question, spans: &[Span], end: Seconds, name: &str) -> Service {
-    let windows: Vec<Window> = question
+fn service(query: &Query, spans: &[Span], end: Seconds, name: &str) -> Service {
+    let windows: Vec<Window> = query
         .windows
         .iter()
         .map(|length| {
             let from = end - length.as_secs_f64();
-            sum(&question.objective, spans, name, from, end)
+            sum(&query.objective, spans, name, from, end)
         })
         .collect();
     Service { service: name.to_owned(), urgency: urgency(&windows), windows }
 }
 
-/// Both a short and a longer window have to burn: the longer one shows that it matters, the short
-/// one that it still goes on.
+/// Returns the urgency. A short and a longer window must both exceed the limit: the longer one shows
+/// that the loss is significant, the short one that it is still going on.
 fn urgency(windows: &[Window]) -> Urgency {
     let burns: Vec<f64> = windows.iter().map(|window| window.burn.max(window.slow_burn)).collect();
     let both = |short: usize, limit: f64| {
         burns.len() > short + 1 && burns[short] >= limit && burns[short + 1] >= limit
     };
-    if both(0, PAGE) {
+    if both(0, PAGE_BURN) {
         Urgency::Page
-    } else if both(1, TICKET) || both(2, EVEN) {
+    } else if both(1, TICKET_BURN) || both(2, SUSTAINABLE_BURN) {
         Urgency::Ticket
     } else {
         Urgency::None
@@ -179,27 +179,27 @@
     };
     let mut timed = 0.0;
     for span in spans {
-        let share = span.share_within(from, to);
+        let fraction = span.fraction_within(from, to);
         let counts = counts(&span.increase, service, objective);
-        window.requests += counts.requests * share;
-        window.failed += counts.failed * share;
-        window.slow += counts.slow * share;
-        timed += counts.timed * share;
-        window.causes.add(cause::causes(&span.increase, service, objective), share);
+        window.requests += counts.requests * fraction;
+        window.failed += counts.failed * fraction;
+        window.slow += counts.slow * fraction;
+        timed += counts.timed * fraction;
+        window.causes.add(cause::attribute(&span.increase, service, objective), fraction);
     }
-    window.burn = burn(window.failed, window.requests, objective.answered);
-    window.slow_burn = burn(window.slow, timed, objective.in_time);
+    window.burn = burn_rate(window.failed, window.requests, objective.answered);
+    window.slow_burn = burn_rate(window.slow, timed, objective.in_time);
     window
 }
 
-/// The part of a window that some process's samples cover.
+/// Returns the fraction of a window that the samples of any process cover.
 fn covered(spans: &[Span], from: Seconds, to: Seconds) -> f64 {
     let start = spans.iter().map(|span| span.from).fold(to, f64::min);
     ((to - start.max(from)) / (to - from)).clamp(0.0, 1.0)
 }
 
-fn burn(missed: f64, all: f64, promised: f64) -> f64 {
-    if all > 0.0 { missed / all / (1.0 - promised) } else { 0.0 }
+fn burn_rate(missed: f64, all: f64, objective: f64) -> f64 {
+    if all > 0.0 { missed / all / (1.0 - objective) } else { 0.0 }
 }
 
 struct Counts {
@@ -211,24 +211,26 @@
 
 fn counts(increase: &Tally, service: &str, objective: &Objective) -> Counts {
     let mut counts = Counts { requests: 0.0, failed: 0.0, timed: 0.0, slow: 0.0 };
-    for (kind, requests) in &increase.requests {
-        if kind.service != service || kind.class != objective.class {
+    for (series, requests) in &increase.requests {
+        if series.service != service || series.class != objective.class {
             continue;
         }
-        match objective::count(kind.code) {
-            Count::Good => counts.requests += requests,
-            Count::Bad => {
+        match objective::count(series.code) {
+            Verdict::Good => counts.requests += requests,
+            Verdict::Bad => {
                 counts.requests += requests;
                 counts.failed += requests;
             }
-            Count::Neither => {}
+            Verdict::Ignored => {}
         }
     }
-    for (track, buckets) in &increase.seconds {
-        if track.service == service && track.class == objective.class {
+    for (histogram, buckets) in &increase.latencies {
+        if histogram.service == service && histogram.class == objective.class {
             let all = buckets.last().map_or(0.0, |bucket| bucket.count);
-            // The widest bucket that is surely in time: what lies between is counted as slow.
-            let in_time = buckets.iter().rev().find(|bucket| bucket.within <= objective.within);
+            // The largest bucket whose bound meets the objective. Requests between that bound and the
+            // objective can't be told apart from slow ones and count as slow.
+            let in_time =
+                buckets.iter().rev().find(|bucket| bucket.upper_bound <= objective.within);
             counts.timed += all;
             counts.slow += all - in_time.map_or(0.0, |bucket| bucket.count);
         }
--- a/bin/burn/src/sample.rs
+++ b/bin/burn/src/sample.rs
@@ -1,4 +1,4 @@
-//! Samples: what one process's metrics page held at one moment, and files of them.
+//! Samples of a process's metrics page, and files of samples.
 
 use std::fs;
 use std::io::Write as _;
@@ -10,15 +10,15 @@
 
 use crate::failure::Failure;
 
-/// One metrics page, as it is saved: one JSON object a line.
+/// A metrics page read at one time. A file holds one JSON object per line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Sample {
-    /// When it was read, in milliseconds since the Unix epoch.
+    /// The time at which it was read, in milliseconds since the Unix epoch.
     pub at: u64,
-    /// The process, by its admin address.
+    /// The admin address of the process.
     pub instance: String,
-    /// The page.
+    /// The text of the page.
     pub page: String,
 }
 
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 ///
-/// When the file can't be read or a line is no sample; the line is named.
+/// When the file can't be read, or a line is not a sample; the error gives the line number.
 pub fn read(path: &Path) -> Result<Vec<Sample>, Failure> {
     let name = path.display();
     let text = fs::read_to_string(path)
@@ -40,7 +40,7 @@
     samples.collect()
 }
 
-/// Adds samples to the end of a file, which is made if there is none.
+/// Appends samples to a file, which is created if it does not exist.
 ///
 /// # Errors
 ///
@@ -48,7 +48,7 @@
 pub fn append(path: &Path, samples: &[Sample]) -> Result<(), Failure> {
     let mut text = String::new();
     for sample in samples {
-        text.push_str(&serde_json::to_string(sample).expect("a sample is plain text"));
+        text.push_str(&serde_json::to_string(sample).expect("a sample can be serialized"));
         text.push('\n');
     }
     let file = fs::OpenOptions::new().create(true).append(true).open(path);
--- a/bin/burn/src/span.rs
+++ b/bin/burn/src/span.rs
@@ -1,4 +1,4 @@
-//! Spans: what a process counted between two samples that follow on each other.
+//! Spans: the increase of a process's counters between two consecutive samples.
 
 use std::collections::BTreeMap;
 
@@ -11,31 +11,31 @@
 /// Time in seconds since the Unix epoch.
 pub type Seconds = f64;
 
-/// What one process counted in a stretch of time.
+/// The increase of one process's counters over a time span.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Span {
-    /// From the earlier sample.
+    /// The time of the earlier sample.
     pub from: Seconds,
-    /// To the later one.
+    /// The time of the later sample.
     pub to: Seconds,
     /// The increase of each counter.
     pub increase: Tally,
 }
 
 impl Span {
-    /// Returns the part of the span that lies between two times, from 0 to 1. Counters are taken to
-    /// rise evenly within a span.
-    pub fn share_within(&self, from: Seconds, to: Seconds) -> f64 {
+    /// Returns the fraction of the span that lies between two times, from 0 to 1. Counters are assumed
+    /// to increase evenly within a span.
+    pub fn fraction_within(&self, from: Seconds, to: Seconds) -> f64 {
         let overlap = self.to.min(to) - self.from.max(from);
         (overlap / (self.to - self.from)).clamp(0.0, 1.0)
     }
 }
 
-/// Makes the spans of all processes, each with its own samples by rising time.
+/// Returns the spans of all processes, computed from each process's samples in order of time.
 ///
 /// # Errors
 ///
-/// When a page can't be read.
+/// When a page can't be parsed.
 pub fn spans(samples: &[Sample]) -> Result<Vec<Span>, Failure> {
     let mut by_instance: BTreeMap<&str, Vec<&Sample>> = BTreeMap::new();
     for sample in samples {
@@ -49,7 +49,7 @@
         for sample in samples {
             let (at, tally) = (sample.at as f64 / 1000.0, metric::parse(&sample.page)?);
             if let Some((from, before)) = &earlier {
-                let increase = increase(before, &tally);
+                let increase = tally_increase(before, &tally);
                 spans.push(Span { from: *from, to: at, increase });
             }
             earlier = Some((at, tally));
@@ -58,41 +58,42 @@
     Ok(spans)
 }
 
-fn increase(before: &Tally, after: &Tally) -> Tally {
-    let seconds = after.seconds.iter().map(|(track, buckets)| {
-        let earlier = before.seconds.get(track).map_or(&[][..], Vec::as_slice);
-        (track.clone(), rise_of_buckets(earlier, buckets))
+fn tally_increase(before: &Tally, after: &Tally) -> Tally {
+    let latencies = after.latencies.iter().map(|(histogram, buckets)| {
+        let earlier = before.latencies.get(histogram).map_or(&[][..], Vec::as_slice);
+        (histogram.clone(), bucket_increases(earlier, buckets))
     });
     Tally {
-        requests: rise_of_each(&before.requests, &after.requests),
-        seconds: seconds.collect(),
-        extra_attempts: rise_of_each(&before.extra_attempts, &after.extra_attempts),
-        store_down: rise(before.store_down, after.store_down),
+        requests: counter_increases(&before.requests, &after.requests),
+        latencies: latencies.collect(),
+        extra_attempts: counter_increases(&before.extra_attempts, &after.extra_attempts),
+        store_down: counter_increase(before.store_down, after.store_down),
     }
 }
 
-fn rise_of_each<K: Clone + Ord>(
+fn counter_increases<K: Clone + Ord>(
     before: &BTreeMap<K, f64>,
     after: &BTreeMap<K, f64>,
 ) -> BTreeMap<K, f64> {
     let earlier = |key| before.get(key).copied().unwrap_or_default();
-    after.iter().map(|(key, count)| (key.clone(), rise(earlier(key), *count))).collect()
+    after.iter().map(|(key, count)| (key.clone(), counter_increase(earlier(key), *count))).collect()
 }
 
-fn rise_of_buckets(before: &[Bucket], after: &[Bucket]) -> Vec<Bucket> {
-    // A bucket may hold as much as before though the process is a new one; the last one, which
-    // holds all, tells it best.
+fn bucket_increases(before: &[Bucket], after: &[Bucket]) -> Vec<Bucket> {
+    // A single bucket of a restarted process may hold as much as before the restart. The last bucket
+    // holds the total, so it detects a restart most reliably.
     let total = |buckets: &[Bucket]| buckets.last().map_or(0.0, |bucket| bucket.count);
-    let is_new = total(after) < total(before) || before.len() != after.len();
-    let counted = |place: usize| if is_new { 0.0 } else { before[place].count };
-    let rises = after.iter().enumerate().map(|(place, bucket)| Bucket {
-        within: bucket.within,
-        count: (bucket.count - counted(place)).max(0.0),
+    let restarted = total(after) < total(before) || before.len() != after.len();
+    let earlier_count = |index: usize| if restarted { 0.0 } else { before[index].count };
+    let increases = after.iter().enumerate().map(|(index, bucket)| Bucket {
+        upper_bound: bucket.upper_bound,
+        count: (bucket.count - earlier_count(index)).max(0.0),
     });
-    rises.collect()
+    increases.collect()
 }
 
-/// A counter that fell belongs to a process that was started anew, and counts from zero.
-fn rise(before: f64, after: f64) -> f64 {
+/// Returns the increase of a counter. A counter that decreased belongs to a restarted process and
+/// counts from zero.
+fn counter_increase(before: f64, after: f64) -> f64 {
     if after < before { after } else { after - before }
 }
--- a/bin/burn/src/text.rs
+++ b/bin/burn/src/text.rs
@@ -19,10 +19,10 @@
         objective.within * 1000.0,
     );
     if !report.missing.is_empty() {
-        line(&mut out, &format!("not read: {}", report.missing.join(", ")));
+        push_line(&mut out, &format!("not read: {}", report.missing.join(", ")));
     }
     if report.services.is_empty() {
-        line(&mut out, "no service had a request between the samples");
+        push_line(&mut out, "no service had a request between the samples");
     }
     for service in &report.services {
         render_service(&mut out, service);
@@ -36,9 +36,9 @@
         Urgency::Ticket => "TICKET: budget does not last",
         Urgency::Page => "PAGE: budget is being lost now",
     };
-    line(out, "");
-    line(out, &format!("{}: {urgency}", service.service));
-    line(
+    push_line(out, "");
+    push_line(out, &format!("{}: {urgency}", service.service));
+    push_line(
         out,
         "  window  covered  requests  failed  burn    slow  slow-burn  trials  retries  store  other",
     );
@@ -49,29 +49,29 @@
 
 fn render_window(out: &mut String, window: &Window) {
     let causes = &window.causes;
-    let share = |part: f64| {
+    let percentage = |requests: f64| {
         let total = causes.total();
-        if total > 0.0 { format!("{:.0} %", 100.0 * part / total) } else { "-".to_owned() }
+        if total > 0.0 { format!("{:.0} %", 100.0 * requests / total) } else { "-".to_owned() }
     };
     let row = format!(
         "  {:<6}  {:>5.0} %  {:>8.0}  {:>6.0}  {:>4.1}  {:>6.0}  {:>9.1}  {:>6}  {:>7}  {:>5}  {:>5}",
-        length(window.seconds),
+        format_duration(window.seconds),
         100.0 * window.covered,
         window.requests,
         window.failed,
         window.burn,
         window.slow,
         window.slow_burn,
-        share(causes.trials),
-        share(causes.retries),
-        share(causes.store),
-        share(causes.other),
+        percentage(causes.trials),
+        percentage(causes.retries),
+        percentage(causes.store),
+        percentage(causes.other),
     );
-    line(out, &row);
+    push_line(out, &row);
 }
 
-/// Writes a length of time in the largest unit that it is a whole number of.
-pub fn length(seconds: f64) -> String {
+/// Formats a duration in the largest unit of which it is a whole multiple.
+pub fn format_duration(seconds: f64) -> String {
     let seconds = Duration::from_secs_f64(seconds.max(0.0)).as_secs_f64().round() as u64;
     match seconds {
         0 => "<1s".to_owned(),
@@ -82,12 +82,12 @@
     }
 }
 
-/// Writes a share as a percentage without needless digits.
-fn percent(share: f64) -> String {
-    let digits = format!("{:.4}", 100.0 * share);
+/// Formats a fraction as a percentage without trailing zeros.
+fn percent(fraction: f64) -> String {
+    let digits = format!("{:.4}", 100.0 * fraction);
     digits.trim_end_matches('0').trim_end_matches('.').to_owned()
 }
 
-fn line(out: &mut String, text: &str) {
-    writeln!(out, "{text}").expect("a string takes any text");
+fn push_line(out: &mut String, text: &str) {
+    writeln!(out, "{text}").expect("writing to a string can't fail");
 }
--- a/bin/burn/tests/command.rs
+++ b/bin/burn/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command as an operator gives it, against metrics pages served on loopback.
+//! The command with an operator's options, against metrics pages served on loopback.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -25,20 +25,20 @@
     runtime.block_on(command::run(options(words)))
 }
 
-fn file(name: &str) -> PathBuf {
+fn empty_path(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = fs::remove_file(&path);
     path
 }
 
-/// An address on which nothing listens now.
-fn free() -> SocketAddr {
+/// Returns an address on which nothing listens.
+fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
 /// Serves a page for the rest of the test.
 fn serve(page: &Page) -> String {
-    let address = free();
+    let address = unused_address();
     admin::spawn(address, page.registry.clone(), Readiness::default(), None).unwrap();
     address.to_string()
 }
@@ -46,12 +46,12 @@
 #[test]
 fn samples_taken_from_an_entry_are_reported_saved_and_drawn() {
     let page = Page::open();
-    page.answer("web", "paying", 1000, 9);
-    let (admin, gone) = (serve(&page), free().to_string());
-    let (saved, chart) = (file("saved.jsonl"), file("burn.svg"));
+    page.add_answers("web", "paying", 1000, 9);
+    let (admin, unreachable) = (serve(&page), unused_address().to_string());
+    let (saved, chart) = (empty_path("saved.jsonl"), empty_path("burn.svg"));
     let (saved, chart) = (saved.to_str().unwrap(), chart.to_str().unwrap());
-    run(&["--admin", &admin, "--admin", &gone, "--samples", "1", "--save", saved]).unwrap();
-    page.answer("web", "paying", 1300, 1);
+    run(&["--admin", &admin, "--admin", &unreachable, "--samples", "1", "--save", saved]).unwrap();
+    page.add_answers("web", "paying", 1300, 1);
     let words = ["--admin", &admin, "--samples", "1", "--save", saved];
     run(&words).unwrap();
     let json = run(&["--read", saved, "--json", "--svg", chart, "--scale", "0.01"]).unwrap();
@@ -64,17 +64,17 @@
 
 #[test]
 fn an_entry_that_can_not_be_read_is_named() {
-    let (admin, gone) = (serve(&Page::open()), free().to_string());
-    let words = ["--admin", &admin, "--admin", &gone, "--every", "0.01"];
+    let (admin, unreachable) = (serve(&Page::open()), unused_address().to_string());
+    let words = ["--admin", &admin, "--admin", &unreachable, "--every", "0.01"];
     let text = run(&words).unwrap();
-    assert!(text.contains(&format!("not read: {gone}")), "{text}");
+    assert!(text.contains(&format!("not read: {unreachable}")), "{text}");
 }
 
 #[test]
 fn without_any_entry_there_is_no_report() {
-    let failure = run(&["--admin", &free().to_string(), "--every", "0.01"]).unwrap_err();
+    let failure = run(&["--admin", &unused_address().to_string(), "--every", "0.01"]).unwrap_err();
     assert_eq!(failure.code.number(), 3002);
-    assert_eq!(failure.exit(), 4);
+    assert_eq!(failure.exit_code(), 4);
 }
 
 #[parameterized(
@@ -90,7 +90,7 @@
 fn an_option_out_of_range_is_named(words: &[&str], option: &str) {
     let failure = run(words).unwrap_err();
     assert_eq!(failure.code.number(), 3000);
-    assert_eq!(failure.exit(), 2);
+    assert_eq!(failure.exit_code(), 2);
     assert!(failure.text.contains(option), "{failure}");
 }
 
@@ -103,12 +103,12 @@
     },
 )]
 fn a_file_that_holds_something_else_is_refused(text: Option<&str>, problem: &str) {
-    let path = file(&format!("samples-{}", problem.replace(' ', "-")));
+    let path = empty_path(&format!("samples-{}", problem.replace(' ', "-")));
     if let Some(text) = text {
         fs::write(&path, text).unwrap();
     }
     let failure = run(&["--read", path.to_str().unwrap()]).unwrap_err();
     assert_eq!(failure.code.number(), 3003);
-    assert_eq!(failure.exit(), 3);
+    assert_eq!(failure.exit_code(), 3);
     assert!(failure.text.contains(problem), "{failure}");
 }
--- a/bin/burn/tests/page/mod.rs
+++ b/bin/burn/tests/page/mod.rs
@@ -1,4 +1,4 @@
-//! Metrics pages as an entry process writes them, by the same library and with the same names.
+//! Metrics pages as an entry process writes them, with the same library and the same metric names.
 
 #![allow(dead_code, reason = "each test uses its own part")]
 
@@ -14,7 +14,7 @@
 pub struct Page {
     pub registry: Registry,
     requests: IntCounterVec,
-    seconds: HistogramVec,
+    latencies: HistogramVec,
     retries: IntCounterVec,
     hedges: IntCounterVec,
     store_down: IntCounter,
@@ -33,38 +33,38 @@
                 "cowslipchute_requests_total",
                 &["service", "class", "outcome", "code"],
             ),
-            seconds: HistogramVec::new(seconds, &["service", "class"]).unwrap(),
+            latencies: HistogramVec::new(seconds, &["service", "class"]).unwrap(),
             retries: counter("cowslipchute_retries_total", &["service"]),
             hedges: counter("cowslipchute_hedges_total", &["service"]),
             store_down: IntCounter::new("cowslipchute_store_down_seconds_total", "Down.").unwrap(),
         };
         page.registry.register(Box::new(page.requests.clone())).unwrap();
-        page.registry.register(Box::new(page.seconds.clone())).unwrap();
+        page.registry.register(Box::new(page.latencies.clone())).unwrap();
         page.registry.register(Box::new(page.retries.clone())).unwrap();
         page.registry.register(Box::new(page.hedges.clone())).unwrap();
         page.registry.register(Box::new(page.store_down.clone())).unwrap();
         page
     }
 
-    pub fn answer(&self, service: &str, class: &str, code: u16, times: u64) {
+    pub fn add_answers(&self, service: &str, class: &str, code: u16, times: u64) {
         let outcome = Code::from_number(code).unwrap().outcome().as_str();
         let code = code.to_string();
         self.requests.with_label_values(&[service, class, outcome, &code]).inc_by(times);
     }
 
-    pub fn time(&self, service: &str, class: &str, seconds: f64) {
-        self.seconds.with_label_values(&[service, class]).observe(seconds);
+    pub fn add_latency(&self, service: &str, class: &str, seconds: f64) {
+        self.latencies.with_label_values(&[service, class]).observe(seconds);
     }
 
-    pub fn retries(&self, service: &str, times: u64) {
+    pub fn add_retries(&self, service: &str, times: u64) {
         self.retries.with_label_values(&[service]).inc_by(times);
     }
 
-    pub fn hedges(&self, service: &str, times: u64) {
+    pub fn add_hedges(&self, service: &str, times: u64) {
         self.hedges.with_label_values(&[service]).inc_by(times);
     }
 
-    pub fn store_down(&self, seconds: u64) {
+    pub fn add_store_down(&self, seconds: u64) {
         self.store_down.inc_by(seconds);
     }
 
--- a/bin/burn/tests/report.rs
+++ b/bin/burn/tests/report.rs
@@ -1,13 +1,13 @@
-//! From metrics pages to burn, urgency and causes.
+//! Burn rates, urgency and causes computed from metrics pages.
 
 use std::time::Duration;
 
 use cowslipchute_burn::metric;
 use cowslipchute_burn::objective;
-use cowslipchute_burn::objective::Count;
 use cowslipchute_burn::objective::Objective;
+use cowslipchute_burn::objective::Verdict;
 use cowslipchute_burn::report;
-use cowslipchute_burn::report::Question;
+use cowslipchute_burn::report::Query;
 use cowslipchute_burn::report::Report;
 use cowslipchute_burn::report::Urgency;
 use cowslipchute_burn::sample::Sample;
@@ -23,40 +23,40 @@
     Objective { class: "paying".into(), answered: 0.999, in_time: 0.99, within: 0.2 }
 }
 
-/// Windows of ten, a hundred, a thousand and ten thousand seconds.
-fn question() -> Question {
+/// A query with windows of 10, 100, 1,000 and 10,000 seconds.
+fn query() -> Query {
     let windows = (1..=4).map(|power| Duration::from_secs(10_u64.pow(power))).collect();
-    Question { objective: objective(), windows }
+    Query { objective: objective(), windows }
 }
 
 fn sample(seconds: u64, page: &Page) -> Sample {
     Sample { at: seconds * 1000, instance: "e1".into(), page: page.text() }
 }
 
-fn make(samples: &[Sample]) -> Report {
+fn report_of(samples: &[Sample]) -> Report {
     let spans = span::spans(samples).unwrap();
-    report::report(&question(), &spans, Vec::new())
+    report::report(&query(), &spans, Vec::new())
 }
 
-fn close(found: f64, expected: f64) {
+fn assert_close(found: f64, expected: f64) {
     assert!((found - expected).abs() < 1e-6, "{found} is not {expected}");
 }
 
 #[test]
 fn a_page_of_the_metrics_library_is_read() {
     let page = Page::open();
-    page.answer("web", "paying", 1000, 3);
-    page.answer("web", "trial", 1202, 5);
-    page.time("web", "paying", 0.15);
-    page.retries("web", 2);
-    page.hedges("web", 1);
-    page.store_down(7);
+    page.add_answers("web", "paying", 1000, 3);
+    page.add_answers("web", "trial", 1202, 5);
+    page.add_latency("web", "paying", 0.15);
+    page.add_retries("web", 2);
+    page.add_hedges("web", 1);
+    page.add_store_down(7);
     let tally = metric::parse(&page.text()).unwrap();
     assert_eq!(tally.requests.values().copied().collect::<Vec<_>>(), [3.0, 5.0]);
     assert_eq!(tally.extra_attempts["web"], 3.0);
     assert_eq!(tally.store_down, 7.0);
-    let buckets = tally.seconds.values().next().unwrap();
-    let bounds: Vec<f64> = buckets.iter().map(|bucket| bucket.within).collect();
+    let buckets = tally.latencies.values().next().unwrap();
+    let bounds: Vec<f64> = buckets.iter().map(|bucket| bucket.upper_bound).collect();
     assert_eq!(bounds, [0.1, 0.2, 1.0, f64::INFINITY]);
     let counts: Vec<f64> = buckets.iter().map(|bucket| bucket.count).collect();
     assert_eq!(counts, [0.0, 1.0, 1.0, 1.0]);
@@ -66,102 +66,102 @@
 fn one_lost_request_in_a_hundred_burns_ten_times_too_fast() {
     let page = Page::open();
     let before = sample(100, &page);
-    page.answer("web", "paying", 1000, 99);
-    page.answer("web", "paying", 1300, 1);
-    let report = make(&[before, sample(110, &page)]);
+    page.add_answers("web", "paying", 1000, 99);
+    page.add_answers("web", "paying", 1300, 1);
+    let report = report_of(&[before, sample(110, &page)]);
     let window = &report.services[0].windows[0];
-    close(window.requests, 100.0);
-    close(window.failed, 1.0);
-    close(window.burn, 10.0);
-    close(window.covered, 1.0);
-    close(report.services[0].windows[1].covered, 0.1);
+    assert_close(window.requests, 100.0);
+    assert_close(window.failed, 1.0);
+    assert_close(window.burn, 10.0);
+    assert_close(window.covered, 1.0);
+    assert_close(report.services[0].windows[1].covered, 0.1);
 }
 
 #[test]
 fn a_short_window_holds_only_what_is_recent() {
     let page = Page::open();
     let first = sample(0, &page);
-    page.answer("web", "paying", 1301, 10);
+    page.add_answers("web", "paying", 1301, 10);
     let second = sample(90, &page);
-    page.answer("web", "paying", 1000, 10);
+    page.add_answers("web", "paying", 1000, 10);
     let third = sample(100, &page);
-    let report = make(&[third, first, second]);
+    let report = report_of(&[third, first, second]);
     let [short, long, ..] = &report.services[0].windows[..] else { panic!("four windows") };
-    close(short.failed, 0.0);
-    close(long.failed, 10.0);
+    assert_close(short.failed, 0.0);
+    assert_close(long.failed, 10.0);
 }
 
 #[test]
 fn a_process_started_anew_counts_from_zero() {
     let old = Page::open();
-    old.answer("web", "paying", 1000, 1000);
-    old.time("web", "paying", 5.0);
+    old.add_answers("web", "paying", 1000, 1000);
+    old.add_latency("web", "paying", 5.0);
     let new = Page::open();
-    new.answer("web", "paying", 1000, 4);
-    new.answer("web", "paying", 1300, 1);
-    new.time("web", "paying", 5.0);
-    new.time("web", "paying", 0.05);
-    let report = make(&[sample(0, &old), sample(10, &new)]);
-    close(report.services[0].windows[0].requests, 5.0);
-    close(report.services[0].windows[0].failed, 1.0);
+    new.add_answers("web", "paying", 1000, 4);
+    new.add_answers("web", "paying", 1300, 1);
+    new.add_latency("web", "paying", 5.0);
+    new.add_latency("web", "paying", 0.05);
+    let report = report_of(&[sample(0, &old), sample(10, &new)]);
+    assert_close(report.services[0].windows[0].requests, 5.0);
+    assert_close(report.services[0].windows[0].failed, 1.0);
 }
 
 #[test]
 fn slow_answers_burn_a_budget_of_their_own() {
     let page = Page::open();
     let before = sample(0, &page);
-    page.answer("web", "paying", 1000, 10);
+    page.add_answers("web", "paying", 1000, 10);
     for number in 0..10 {
-        page.time("web", "paying", if number < 9 { 0.15 } else { 0.9 });
+        page.add_latency("web", "paying", if number < 9 { 0.15 } else { 0.9 });
     }
-    let report = make(&[before, sample(10, &page)]);
+    let report = report_of(&[before, sample(10, &page)]);
     let window = &report.services[0].windows[0];
-    close(window.slow, 1.0);
-    close(window.slow_burn, 10.0);
-    close(window.burn, 0.0);
+    assert_close(window.slow, 1.0);
+    assert_close(window.slow_burn, 10.0);
+    assert_close(window.burn, 0.0);
 }
 
 #[test]
 fn what_trials_and_requests_for_no_service_meet_burns_nothing() {
     let page = Page::open();
     let before = sample(0, &page);
-    page.answer("web", "trial", 1202, 50);
-    page.answer("web", "paying", 1000, 1);
-    page.answer("-", "paying", 1102, 50);
-    let report = make(&[before, sample(10, &page)]);
+    page.add_answers("web", "trial", 1202, 50);
+    page.add_answers("web", "paying", 1000, 1);
+    page.add_answers("-", "paying", 1102, 50);
+    let report = report_of(&[before, sample(10, &page)]);
     assert_eq!(report.services.len(), 1);
-    close(report.services[0].windows[0].burn, 0.0);
+    assert_close(report.services[0].windows[0].burn, 0.0);
 }
 
 #[test]
 fn bad_answers_are_shared_out_among_what_had_a_part() {
     let page = Page::open();
     let before = sample(0, &page);
-    page.answer("web", "paying", 1000, 60);
-    page.answer("web", "trial", 1000, 20);
-    page.answer("web", "paying", 1201, 20);
-    page.answer("web", "paying", 1304, 4);
-    page.answer("web", "paying", 1302, 3);
-    page.retries("web", 107);
-    page.store_down(2);
-    let report = make(&[before, sample(10, &page)]);
+    page.add_answers("web", "paying", 1000, 60);
+    page.add_answers("web", "trial", 1000, 20);
+    page.add_answers("web", "paying", 1201, 20);
+    page.add_answers("web", "paying", 1304, 4);
+    page.add_answers("web", "paying", 1302, 3);
+    page.add_retries("web", 107);
+    page.add_store_down(2);
+    let report = report_of(&[before, sample(10, &page)]);
     let causes = report.services[0].windows[0].causes;
-    // A quarter of what was served were trials; half of all attempts were retries.
-    close(causes.trials, 5.0);
-    close(causes.retries, 7.5);
-    close(causes.store, 4.0);
-    close(causes.other, 3.0 + 7.5);
-    close(causes.total(), 27.0);
+    // A quarter of the served requests were trials; half of all attempts were retries.
+    assert_close(causes.trials, 5.0);
+    assert_close(causes.retries, 7.5);
+    assert_close(causes.store, 4.0);
+    assert_close(causes.other, 3.0 + 7.5);
+    assert_close(causes.total(), 27.0);
 }
 
 #[test]
 fn without_an_outage_nothing_is_put_down_to_the_store() {
     let page = Page::open();
     let before = sample(0, &page);
-    page.answer("web", "paying", 1304, 4);
-    let report = make(&[before, sample(10, &page)]);
-    close(report.services[0].windows[0].causes.store, 0.0);
-    close(report.services[0].windows[0].causes.other, 4.0);
+    page.add_answers("web", "paying", 1304, 4);
+    let report = report_of(&[before, sample(10, &page)]);
+    assert_close(report.services[0].windows[0].causes.store, 0.0);
+    assert_close(report.services[0].windows[0].causes.other, 4.0);
 }
 
 #[parameterized(
@@ -173,24 +173,24 @@
 fn a_short_and_a_longer_window_have_to_burn(recent: u64, before: u64, expected: Urgency) {
     let page = Page::open();
     let start = sample(0, &page);
-    page.answer("web", "paying", 1300, before * 99);
-    page.answer("web", "paying", 1000, 99_000 - before * 99);
+    page.add_answers("web", "paying", 1300, before * 99);
+    page.add_answers("web", "paying", 1000, 99_000 - before * 99);
     let middle = sample(990, &page);
-    page.answer("web", "paying", 1300, recent);
-    page.answer("web", "paying", 1000, 1000 - recent);
-    let report = make(&[start, middle, sample(1000, &page)]);
+    page.add_answers("web", "paying", 1300, recent);
+    page.add_answers("web", "paying", 1000, 1000 - recent);
+    let report = report_of(&[start, middle, sample(1000, &page)]);
     assert_eq!(report.services[0].urgency, expected);
 }
 
 #[parameterized(
-    answered = { 1000, Count::Good },
-    wrong = { 1100, Count::Neither },
-    repeated = { 1303, Count::Neither },
-    refused = { 1200, Count::Bad },
-    lost = { 1300, Count::Bad },
-    unheard_of = { 1999, Count::Bad },
+    answered = { 1000, Verdict::Good },
+    wrong = { 1100, Verdict::Ignored },
+    repeated = { 1303, Verdict::Ignored },
+    refused = { 1200, Verdict::Bad },
+    lost = { 1300, Verdict::Bad },
+    unheard_of = { 1999, Verdict::Bad },
 )]
-fn answers_count_by_their_code(code: u16, expected: Count) {
+fn answers_count_by_their_code(code: u16, expected: Verdict) {
     assert_eq!(objective::count(code), expected);
 }
 
@@ -198,10 +198,10 @@
 fn the_text_names_each_service_and_window() {
     let page = Page::open();
     let before = sample(0, &page);
-    page.answer("web", "paying", 1000, 99);
-    page.answer("web", "paying", 1300, 1);
-    page.answer("routes", "paying", 1000, 9);
-    let text = text::render(&make(&[before, sample(10, &page)]));
+    page.add_answers("web", "paying", 1000, 99);
+    page.add_answers("web", "paying", 1300, 1);
+    page.add_answers("routes", "paying", 1000, 9);
+    let text = text::render(&report_of(&[before, sample(10, &page)]));
     assert!(text.starts_with("promised to paying requests: 99.9 % answered, 99 % within 200 ms\n"));
     assert!(text.contains("web: "), "{text}");
     assert!(text.contains("routes: budget lasts"), "{text}");
