--- a/bin/ctl/src/run.rs
+++ b/bin/ctl/src/run.rs
@@ -127,11 +127,13 @@
 async fn drain(client: &Client, instance: &str, format: Format) -> Result<String, Failure> {
     let request = Request::change(Method::POST, format!("/v1/drain/{instance}"));
     let answer: Value = client.send(&request).await?;
-    let (told, processes) = (&answer["told"], &answer["processes"]);
+    let (notified, processes) = (&answer["told"], &answer["processes"]);
     Ok(match format {
         Format::Json => show::json(&answer),
-        Format::Quiet => format!("{told}/{processes}\n"),
-        Format::Table => format!("{instance} is leaving: {told}/{processes} processes notified\n"),
+        Format::Quiet => format!("{notified}/{processes}\n"),
+        Format::Table => {
+            format!("{instance} is leaving: {notified}/{processes} processes notified\n")
+        }
     })
 }
 
--- a/bin/ctl/tests/commands.rs
+++ b/bin/ctl/tests/commands.rs
@@ -107,10 +107,10 @@
 }
 
 fn run_with(operators: &str, line: &str) -> Result<String, Failure> {
-    let words = ["--operator", operators].into_iter().chain(line.split_whitespace());
-    let words: Vec<&str> = words.collect();
+    let arguments = ["--operator", operators].into_iter().chain(line.split_whitespace());
+    let arguments: Vec<&str> = arguments.collect();
     let options =
-        command::options().run_inner(words.as_slice()).expect("the command line is valid");
+        command::options().run_inner(arguments.as_slice()).expect("the command line is valid");
     block_on(run::run(options))
 }
 
--- a/bin/ctl/tests/parse.rs
+++ b/bin/ctl/tests/parse.rs
@@ -12,8 +12,8 @@
 use yare::parameterized;
 
 fn parse(line: &str) -> Result<Options, String> {
-    let words: Vec<&str> = line.split_whitespace().collect();
-    command::options().run_inner(words.as_slice()).map_err(|failure| failure.unwrap_stderr())
+    let arguments: Vec<&str> = line.split_whitespace().collect();
+    command::options().run_inner(arguments.as_slice()).map_err(|failure| failure.unwrap_stderr())
 }
 
 fn apply(wait: bool, seconds: u64) -> Command {
