--- a/bin/burn/src/command.rs
+++ b/bin/burn/src/command.rs
@@ -118,7 +118,7 @@
 /// When an option is out of range, a file can't be read or written, or no entry process can be read.
 pub async fn run(options: Options) -> Result<String, Failure> {
     let query = query(&options)?;
-    let Collection { samples, missing } = gather(&options).await?;
+    let Collection { samples, missing } = collect_samples(&options).await?;
     let spans = span::spans(&samples)?;
     let report = report::report(&query, &spans, missing);
     if let Some(path) = &options.svg {
@@ -131,22 +131,22 @@
     Ok(text::render(&report))
 }
 
-async fn gather(options: &Options) -> Result<Collection, Failure> {
-    let mut gathered = Collection::default();
+async fn collect_samples(options: &Options) -> Result<Collection, Failure> {
+    let mut collection = Collection::default();
     for file in &options.files {
-        gathered.samples.extend(sample::read(file)?);
+        collection.samples.extend(sample::read(file)?);
     }
     if !options.admins.is_empty() {
         let interval = Duration::from_secs_f64(options.every);
         let progress = |done| eprintln!("sample {done} of {} taken", options.samples);
-        let taken = collect::collect(&options.admins, options.samples, interval, progress).await?;
+        let new = collect::collect(&options.admins, options.samples, interval, progress).await?;
         if let Some(path) = &options.save {
-            sample::append(path, &taken.samples)?;
+            sample::append(path, &new.samples)?;
         }
-        gathered.samples.extend(taken.samples);
-        gathered.missing = taken.missing;
+        collection.samples.extend(new.samples);
+        collection.missing = new.missing;
     }
-    Ok(gathered)
+    Ok(collection)
 }
 
 /// Validates the options and converts them to report parameters.
--- a/bin/burn/src/report.rs
+++ b/bin/burn/src/report.rs
@@ -21,7 +21,7 @@
 const PAGE_BURN: f64 = 14.4;
 /// Burn rate in the second and third window that requires a ticket: the budget is spent in five days.
 const TICKET_BURN: f64 = 6.0;
-/// Highest burn rate at which the budget lasts.
+/// Burn rate above which the budget does not last.
 const SUSTAINABLE_BURN: f64 = 1.0;
 
 /// The parameters of a report.
--- a/bin/burn/tests/command.rs
+++ b/bin/burn/tests/command.rs
@@ -16,13 +16,13 @@
 
 use page::Page;
 
-fn options(words: &[&str]) -> Options {
-    command::options().run_inner(words).unwrap_or_else(|error| panic!("{error:?}"))
+fn options(arguments: &[&str]) -> Options {
+    command::options().run_inner(arguments).unwrap_or_else(|error| panic!("{error:?}"))
 }
 
-fn run(words: &[&str]) -> Result<String, Failure> {
+fn run(arguments: &[&str]) -> Result<String, Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(command::run(options(words)))
+    runtime.block_on(command::run(options(arguments)))
 }
 
 fn empty_path(name: &str) -> PathBuf {
@@ -52,8 +52,8 @@
     let (saved, chart) = (saved.to_str().unwrap(), chart.to_str().unwrap());
     run(&["--admin", &admin, "--admin", &unreachable, "--samples", "1", "--save", saved]).unwrap();
     page.add_answers("web", "paying", 1300, 1);
-    let words = ["--admin", &admin, "--samples", "1", "--save", saved];
-    run(&words).unwrap();
+    let arguments = ["--admin", &admin, "--samples", "1", "--save", saved];
+    run(&arguments).unwrap();
     let json = run(&["--read", saved, "--json", "--svg", chart, "--scale", "0.01"]).unwrap();
     let report: serde_json::Value = serde_json::from_str(&json).unwrap();
     assert_eq!(report["services"][0]["service"], "web");
@@ -65,8 +65,8 @@
 #[test]
 fn an_entry_that_can_not_be_read_is_named() {
     let (admin, unreachable) = (serve(&Page::open()), unused_address().to_string());
-    let words = ["--admin", &admin, "--admin", &unreachable, "--every", "0.01"];
-    let text = run(&words).unwrap();
+    let arguments = ["--admin", &admin, "--admin", &unreachable, "--every", "0.01"];
+    let text = run(&arguments).unwrap();
     assert!(text.contains(&format!("not read: {unreachable}")), "{text}");
 }
 
@@ -87,8 +87,8 @@
     no_time = { &["--read", "x", "--slow", "0"], "--slow" },
     no_pause = { &["--read", "x", "--every=-1"], "--every" },
 )]
-fn an_option_out_of_range_is_named(words: &[&str], option: &str) {
-    let failure = run(words).unwrap_err();
+fn an_option_out_of_range_is_named(arguments: &[&str], option: &str) {
+    let failure = run(arguments).unwrap_err();
     assert_eq!(failure.code.number(), 3000);
     assert_eq!(failure.exit_code(), 2);
     assert!(failure.text.contains(option), "{failure}");
