--- a/crates/claim/examples/cost.rs
+++ b/crates/claim/examples/cost.rs
@@ -1,5 +1,5 @@
-//! Prints what claims and the roster cost: time and memory a key, bytes of the roster, and slots
-//! moved by a change of members. `docs/design/keys.md` quotes a run.
+//! Prints the costs of claims and of the roster: time and memory per key, bytes of the roster, and
+//! slots moved by a change of members. `docs/design/keys.md` quotes its output.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -96,7 +96,7 @@
     start.elapsed().as_nanos() / keys.len() as u128
 }
 
-/// Resident memory of this process in bytes, as the system counts it.
+/// Returns the resident memory of this process in bytes.
 fn resident() -> u64 {
     const PAGE: u64 = 4096;
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -128,7 +128,7 @@
     println!("| {members} | {bytes} | {join} | {leave} |");
 }
 
-/// Moves every slot to its target, as its owners would.
+/// Moves every slot to its target, as the owners would.
 fn spread(mut roster: Roster) -> Roster {
     for slot in slot::all() {
         let to = roster.target(slot, None).expect("there are members").clone();
--- a/crates/claim/src/action.rs
+++ b/crates/claim/src/action.rs
@@ -1,4 +1,4 @@
-//! What an owner wants done.
+//! Actions requested by an owner.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::roster::Member;
 use crate::roster::Roster;
 
-/// What an owner wants done.
+/// An action requested by an owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Answer a claim.
@@ -22,44 +22,44 @@
         ask: RequestId,
         /// The verdict.
         verdict: Claimed,
-        /// When it makes sense to come back, if the verdict may be another then.
+        /// The delay after which a retry may get another verdict, if it may.
         retry_after: Option<Duration>,
     },
     /// Acknowledge a settlement or a handover.
     Acknowledge {
-        /// What is acknowledged.
+        /// The request that is acknowledged.
         ask: RequestId,
-        /// Whether it was taken in. If not, this process doesn't own the slot: a settlement is to
-        /// be told to the owner by a newer roster.
+        /// Whether it was accepted. If not, this process doesn't own the slot, and a settlement has
+        /// to be sent to the owner by a newer roster.
         accepted: bool,
     },
-    /// Read the roster from the store and tell how that ended. Never more than one at a time.
+    /// Read the roster from the store and report the outcome. At most one read counts at a time.
     ReadRoster {
-        /// Number of the read.
+        /// Identifier of the read.
         read: ReadId,
     },
-    /// Write the roster if its key is still at a revision, and tell how that ended. Never more than
-    /// one at a time.
+    /// Write the roster if its key is still at a revision, and report the outcome. At most one
+    /// proposal is in flight.
     ProposeRoster {
-        /// The revision; zero if the key must not exist.
+        /// The revision, or zero if the key must not exist.
         revision: Revision,
         /// The roster to write.
         roster: Roster,
     },
-    /// Send what is known of some slots to another owner and tell how that ended.
+    /// Send the state of some slots to another owner and report the outcome.
     HandOver {
         /// The other owner.
         to: Member,
-        /// What is known.
+        /// The state of the slots.
         handover: Handover,
     },
     /// Write a log event.
     Note {
         /// The event.
         event: Event,
-        /// The instance that it is about.
+        /// The instance that the event is about.
         subject: Instance,
-        /// Why, for a reader.
+        /// The reason, in plain text.
         reason: String,
     },
 }
--- a/crates/claim/src/calls.rs
+++ b/crates/claim/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls to the store that are out, at most one of each kind, and those that are wanted.
+//! Store calls in flight, at most one of each kind, and requested reads.
 
 use cowslipchute_base::id::Time;
 
@@ -10,17 +10,18 @@
     last_read: ReadId,
     wants_read: bool,
     is_proposing: bool,
-    /// No call is made before this, after one that failed.
+    /// The earliest time of the next call after a failed one.
     not_before: Time,
 }
 
 impl Calls {
-    /// Asks for a read of the roster as soon as one can be made.
+    /// Requests a read of the roster.
     pub(crate) fn want_read(&mut self) {
         self.wants_read = true;
     }
 
-    /// Asks for a read that begins after now, whatever is out; returns its number.
+    /// Requests a read that begins now or later, even if one is in flight, and returns its
+    /// identifier.
     pub(crate) fn want_fresh_read(&mut self, now: Time) -> ReadId {
         self.reading = None;
         self.wants_read = true;
@@ -28,7 +29,7 @@
         self.last_read + 1
     }
 
-    /// Begins a read if one is wanted and may be made.
+    /// Begins a read if one is requested and may be made.
     pub(crate) fn begin_read(&mut self, now: Time) -> Option<ReadId> {
         if !self.wants_read || self.reading.is_some() || now < self.not_before {
             return None;
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Only a read tells what a proposal has come to, whatever its answer.
+    /// Ends a proposal and requests a read, since only a read shows the outcome for certain.
     pub(crate) fn end_proposal(&mut self) {
         self.is_proposing = false;
         self.wants_read = true;
@@ -63,8 +64,8 @@
         self.not_before = not_before;
     }
 
-    /// Tells whether a proposal may be made: what is known is not about to change by a call that
-    /// is out, and the last call did not just fail.
+    /// Returns `true` if a proposal may be made: no call in flight is about to change what is
+    /// known, and the last call has not just failed.
     pub(crate) fn may_propose(&self, now: Time) -> bool {
         let is_idle = self.reading.is_none() && !self.wants_read && !self.is_proposing;
         is_idle && now >= self.not_before
--- a/crates/claim/src/change.rs
+++ b/crates/claim/src/change.rs
@@ -1,5 +1,5 @@
-//! Changes of the roster that this process proposes: to join, to take over from members that have
-//! ended, and to give up slots.
+//! Changes of the roster that this process proposes: joining, taking over from members that have
+//! ended, and transferring slots.
 
 use cowslipchute_base::id::Time;
 
@@ -11,12 +11,13 @@
 use crate::transfer::Stage;
 use crate::transfer::Transfer;
 
-/// How many times `handover_timeout` passes before slots are offered again to one that did not take
-/// them. They can't be granted while they are offered, so this bounds how often they can't.
+/// Delay before slots are offered again to a member that did not accept them, as a multiple of
+/// `handover_timeout`. No key of an offered slot can be granted, so this bounds how often that
+/// happens.
 const OFFER_PAUSE: u32 = 10;
 
 impl Owner {
-    /// Makes the next step of a change, or begins one that is due.
+    /// Performs the next step of a change, or begins one that is due.
     pub(crate) fn advance_change(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.is_ended || self.unproven.is_some() || !self.calls.may_propose(now) {
             return;
@@ -34,7 +35,8 @@
         }
     }
 
-    /// Returns the roster to propose if this process is not a member yet or members have ended.
+    /// Returns the roster to propose if this process is not a member yet or other members have
+    /// ended.
     fn vacancy(&self) -> Option<Roster> {
         if self.is_draining || !self.listing.shows(&self.me) {
             return None;
@@ -48,8 +50,9 @@
         }
     }
 
-    /// Proposes a vacancy's roster: at once to join, else in the order of the members, so that one
-    /// of them does it and the others see it done. Waiting decides only who proposes.
+    /// Proposes a roster that adds this process or removes ended members: at once to join,
+    /// otherwise with a delay by the order of the members, so that usually only one of them
+    /// proposes it. The delay has no other effect.
     fn fill_vacancy(&mut self, now: Time, next: Roster, actions: &mut Vec<Action>) {
         let since = *self.vacancy_since.get_or_insert(now);
         if let Some(roster) = &self.roster
@@ -64,7 +67,7 @@
         self.propose(next, actions);
     }
 
-    /// Stops granting the slots that another should own, and sends it what is known of them.
+    /// Stops granting keys of the slots that another member should own, and sends their state.
     fn begin_offer(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(roster) = &self.roster else { return };
         if now < self.offer_after && !self.is_draining {
--- a/crates/claim/src/event.rs
+++ b/crates/claim/src/event.rs
@@ -1,4 +1,4 @@
-//! What an owner is told.
+//! Events handled by an owner.
 
 use std::sync::Arc;
 
@@ -13,79 +13,80 @@
 use crate::roster::Version;
 use crate::slot::Key;
 
-/// Number by which a process matches a reply to what was asked of its owner.
+/// Identifier by which a process matches a reply to a request to its owner.
 pub type RequestId = u64;
-/// Number of one read of the roster, rising within an owner.
+/// Identifier of a read of the roster, increasing within an owner.
 pub type ReadId = u64;
 
-/// What an owner is told.
+/// An event handled by an owner.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A read of the roster that the owner asked for ended.
+    /// A requested read of the roster ended.
     RosterRead {
-        /// Which read.
+        /// The read.
         read: ReadId,
-        /// The store's revision of the roster's key; zero if there is none.
+        /// The store's revision of the roster's key, or zero if the key doesn't exist.
         revision: Revision,
-        /// The roster, or nothing when there is none yet.
+        /// The roster, or `None` if there is none yet.
         roster: Option<Arc<Roster>>,
     },
-    /// A roster came by a watch or a peer. It may be late, so it doesn't prove what is so now.
+    /// A roster arrived by a watch or from a peer. It may be late, so it doesn't prove the
+    /// current state.
     RosterReceived {
         /// The store's revision of the roster's key.
         revision: Revision,
         /// The roster.
         roster: Arc<Roster>,
     },
-    /// A proposal was decided by the store, either way.
+    /// The store applied or rejected a proposal.
     Proposed,
     /// A read or proposal of the roster failed; a proposal may still take effect.
     StoreFailed,
-    /// The platform's list of all failure domains was read; an older version is ignored.
+    /// The platform's list of all failure domains was read; older versions are ignored.
     Listed {
         /// The list.
         view: list::View,
     },
-    /// An entry asks whether it may run the request with a key.
+    /// An entry process asks whether it may run the request with a key.
     Claim {
-        /// To match the verdict.
+        /// Identifier that the verdict carries.
         ask: RequestId,
-        /// Who asks.
+        /// The request for which the key is claimed.
         claimant: Claimant,
         /// The key.
         key: Key,
-        /// Version of the roster that the asker went by.
+        /// Version of the roster by which the entry process chose the owner.
         roster: Version,
     },
-    /// An entry tells what became of a request that it was granted. It does so once for a grant.
+    /// An entry process reports the outcome of a granted request, once for each grant.
     Settle {
-        /// To match the acknowledgement.
+        /// Identifier that the acknowledgement carries.
         ask: RequestId,
-        /// Who was granted it.
+        /// The request that the key was granted to.
         claimant: Claimant,
         /// The key.
         key: Key,
-        /// What became of it.
+        /// The outcome.
         settlement: Settlement,
     },
-    /// Another owner passes on what it knows of slots that it is about to give up.
+    /// Another owner sent the state of slots that it is about to give up.
     HandoverReceived {
-        /// To match the acknowledgement.
+        /// Identifier that the acknowledgement carries.
         ask: RequestId,
-        /// What it knows.
+        /// The state of the slots.
         handover: Handover,
     },
-    /// A handover that this owner sent was acknowledged, or failed.
+    /// A handover sent by this owner was acknowledged or failed.
     HandedOver {
-        /// The offer.
+        /// The transfer.
         transfer: TransferId,
-        /// Number of the message within it.
+        /// Number of the message within the transfer.
         message_number: u32,
-        /// Whether the other owner holds it.
+        /// Whether the other owner accepted it.
         accepted: bool,
     },
     /// Time passed.
     Tick,
-    /// Give up every slot; the process is about to stop.
+    /// Transfer all slots; the process is about to stop.
     Drain,
 }
--- a/crates/claim/src/handover.rs
+++ b/crates/claim/src/handover.rs
@@ -1,4 +1,4 @@
-//! What an owner passes on when it gives up a slot.
+//! The state of slots that an owner sends to their next owner.
 
 use std::time::Duration;
 
@@ -13,15 +13,15 @@
 use crate::slot::Key;
 use crate::slot::Slot;
 
-/// What became of one granted key, so far as its owner was told.
+/// The state of a granted key, as known to its owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum State {
-    /// It was granted and not settled since.
+    /// The key was granted and its outcome is not reported yet.
     Running,
-    /// It ran; the answer is kept if it was small enough.
+    /// The request ran; the answer is kept if it is small enough.
     Ran(Option<Answer>),
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
@@ -32,73 +32,73 @@
 pub struct Grant {
     /// The key.
     pub key: Key,
-    /// To whom it was granted.
+    /// The request that it was granted to.
     pub claimant: Claimant,
-    /// What became of it.
+    /// The state of the key.
     pub state: State,
-    /// How long it has to be kept yet.
+    /// The time for which the key still has to be kept.
     #[serde_as(as = "Millis")]
     pub expires_in: Duration,
 }
 
-/// All that is known of one slot.
+/// The state of one slot.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct SlotState {
     /// The slot.
     pub slot: Slot,
-    /// How long a key that is not among `grants` may have been granted by an earlier owner.
+    /// The time for which a key missing from `grants` may have been granted by a previous owner.
     #[serde_as(as = "Millis")]
     pub in_doubt_for: Duration,
-    /// The keys granted.
+    /// The granted keys.
     pub grants: Vec<Grant>,
 }
 
-/// Names what was sent of an offer of slots.
+/// The identifier of a transfer of slots.
 ///
-/// A parcel is used only if the roster says that its slot was given up under the same number and
-/// right after the same version. Anything else was sent for a change that did not come about, and
-/// keys may have been granted since.
+/// A received slot state is used only if the roster says that the slot was transferred under the
+/// same number and by the version that follows `base_version`. Otherwise it was sent for a change
+/// that did not take effect, and keys may have been granted since.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct TransferId {
-    /// Version of the roster that is to be changed.
+    /// Version of the roster that the transfer changes.
     pub base_version: Version,
-    /// Number of the offer, never used again by its sender.
+    /// Number of the transfer, unique for its sender.
     pub number: u64,
 }
 
-/// Several slots for one owner, in one message.
+/// A message with the state of several slots for one owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Handover {
-    /// Which offer it belongs to.
+    /// The transfer that the message belongs to.
     pub transfer: TransferId,
-    /// Number of this message within the offer.
+    /// Number of the message within the transfer.
     pub message_number: u32,
     /// The slots.
     pub slots: Vec<SlotState>,
 }
 
 impl Handover {
-    /// Encodes it for a message between peers.
+    /// Encodes the handover for a message between peers.
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("a handover always has a postcard form")
     }
 
-    /// Reads what [`Handover::to_bytes`] made; nothing if the bytes are no handover.
+    /// Decodes the output of [`Handover::to_bytes`]. Returns `None` if the bytes are invalid.
     pub fn from_bytes(bytes: &[u8]) -> Option<Handover> {
         let (handover, rest) = postcard::take_from_bytes(bytes).ok()?;
         rest.is_empty().then_some(handover)
     }
 
-    /// Counts the keys of all slots.
+    /// Returns the number of keys in all slots.
     pub fn keys(&self) -> usize {
         self.slots.iter().map(|parcel| parcel.grants.len()).sum()
     }
 
-    /// Counts the bytes of all answers.
+    /// Returns the total size of all answers in bytes.
     pub fn answers_bytes(&self) -> usize {
         let kept = self.slots.iter().flat_map(|parcel| &parcel.grants);
         kept.map(|kept| match &kept.state {
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions about idempotency keys: who owns a key, and whether a request under it may run.
+//! Ownership of idempotency keys, and decisions on whether a request under a key may run.
 //!
-//! Every entry process holds one [`owner::Owner`]: an [`event::Event`] and the time go in,
-//! [`action::Action`]s come out. It does no I/O, reads no clock and draws no randomness. The
+//! Every entry process has one [`owner::Owner`], which takes an [`event::Event`] and the time and
+//! returns [`action::Action`]s. It does no I/O, reads no clock and draws no randomness. The
 //! [`roster::Roster`] of owners changes only by compare-and-swap in the platform's store; the keys
-//! themselves are never written there. What is promised, and what is given up for it, stands in
+//! themselves are never written there. The guarantees and their costs are described in
 //! `docs/design/keys.md`.
 
 pub mod action;
--- a/crates/claim/src/listing.rs
+++ b/crates/claim/src/listing.rs
@@ -1,4 +1,4 @@
-//! The platform's list, as far as entry processes matter.
+//! The entry processes in the platform's list.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 }
 
 impl Listing {
-    /// Goes by a view unless it is older; tells whether it did.
+    /// Applies a view if it is newer. Returns `true` if it was.
     pub(crate) fn take(&mut self, view: &list::View) -> bool {
         if view.version <= self.version {
             return false;
@@ -30,8 +30,8 @@
         self.entries.get(&member.instance) == Some(&member.incarnation)
     }
 
-    /// Tells whether the platform has ended a member. A list older than the one that showed it when
-    /// it joined says nothing.
+    /// Returns `true` if the list proves that a member has ended. A list older than the one that
+    /// showed the member when it joined proves nothing.
     pub(crate) fn has_ended(&self, member: &Member) -> bool {
         self.version >= member.list_version && !self.shows(member)
     }
--- a/crates/claim/src/owned.rs
+++ b/crates/claim/src/owned.rs
@@ -1,5 +1,5 @@
-//! What this process holds: its slots, the keys granted in them, and handovers for slots that are
-//! about to be its own.
+//! The slots owned by this process, the keys granted in them, and received handovers of slots that
+//! it is about to own.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,25 +20,25 @@
 use crate::table::Table;
 use crate::transfer::Transfer;
 
-/// Bytes of answers that go with one slot; the other answers are dropped on the way.
+/// Maximum bytes of answers sent with one slot; further answers are dropped.
 const PARCEL_BYTES: usize = 64 * 1024;
-/// Keys, and bytes of answers, after which a handover takes no further slot, so that a message of
-/// peers holds it.
+/// Number of keys, and bytes of answers, from which no further slot is added to a handover, so that
+/// it fits into a frame between peers.
 const HANDOVER_KEYS: usize = 1000;
 const HANDOVER_BYTES: usize = 1024 * 1024;
 
-/// A handover on its way.
+/// A handover to be sent.
 pub(crate) struct Outgoing {
     pub to: Member,
     pub handover: Handover,
 }
 
-/// One slot that this process owns.
+/// The ownership of one slot by this process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ownership {
-    /// Version of the roster with which it got the slot.
+    /// Version of the roster by which this process became the owner.
     since: Version,
-    /// Until when a key that is not known may have been granted by an earlier owner.
+    /// The time until which an unknown key may have been granted by a previous owner.
     pub doubt: Time,
 }
 
@@ -50,7 +50,7 @@
     adopted: BTreeMap<Slot, Received>,
 }
 
-/// What was sent of a slot that may become this process's.
+/// The received state of a slot that this process may become the owner of.
 #[derive(Debug)]
 struct Received {
     stamp: TransferId,
@@ -75,7 +75,8 @@
         self.holds.iter().flatten().count()
     }
 
-    /// Keeps a handover until the roster says whether the slots are given up with it.
+    /// Stores a handover until the roster shows whether its transfer took effect. Returns `false`
+    /// if there is no capacity for its keys.
     pub(crate) fn adopt(&mut self, handover: Handover) -> bool {
         let pending: usize = self.adopted.values().map(|held| held.parcel.grants.len()).sum();
         if self.table.len() + pending + handover.keys() > self.limits.claims {
@@ -88,7 +89,7 @@
         true
     }
 
-    /// Copies what is known of all slots on offer, in messages of bounded size.
+    /// Copies the state of all slots of a transfer into messages of bounded size.
     pub(crate) fn handovers(&self, now: Time, offer: &mut Transfer) -> Vec<Outgoing> {
         let mut moves = offer.moves.clone();
         moves.sort_by(|a, b| a.to.instance.cmp(&b.to.instance).then(a.slot.cmp(&b.slot)));
@@ -119,7 +120,7 @@
         SlotState { slot, in_doubt_for: hold.doubt.saturating_sub(now), grants }
     }
 
-    /// Goes by a newer roster; returns how many slots changed here.
+    /// Applies a newer roster and returns the number of slots whose ownership changed here.
     pub(crate) fn take(&mut self, now: Time, roster: &Roster, me: &Member) -> usize {
         let changed = slot::all().filter(|slot| self.take_slot(now, *slot, roster, me)).count();
         self.adopted.retain(|_, held| held.stamp.base_version >= roster.version);
@@ -142,8 +143,8 @@
         is_mine || former.is_some()
     }
 
-    /// Begins to own a slot, and tells how long its unknown keys are in doubt. Its former owner, if
-    /// any, has surely stopped granting by now.
+    /// Starts owning a slot and returns how long its unknown keys are in doubt. The previous owner,
+    /// if any, has stopped granting its keys.
     fn begin(&mut self, now: Time, slot: Slot, share: Assignment) -> Duration {
         let adopted = self.adopted.remove(&slot);
         match (share.origin, adopted) {
@@ -159,7 +160,7 @@
     }
 }
 
-/// Tells whether a handover takes a further slot.
+/// Returns `true` if another slot may be added to a handover.
 fn has_room(handover: &Handover) -> bool {
     handover.keys() < HANDOVER_KEYS && handover.answers_bytes() < HANDOVER_BYTES
 }
--- a/crates/claim/src/owner.rs
+++ b/crates/claim/src/owner.rs
@@ -1,4 +1,4 @@
-//! The owner: one entry process's decisions about the idempotency keys of its slots.
+//! The owner of slots: one entry process's decisions about the idempotency keys of its slots.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,34 +26,34 @@
 use crate::verdict::MIN_RETRY_AFTER;
 use crate::verdict::Verdict;
 
-/// Steps that an owner asks for within one lease, so that a pause of half a lease stands out.
+/// Number of steps that an owner requests per lease, so that a stall of half a lease is detected.
 const STEPS_A_LEASE: u32 = 8;
 
-/// Settings of an owner that no operator changes while it runs.
+/// Settings of an owner, fixed while it runs.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This process. `list_version` is filled in when it joins.
     pub member: Member,
-    /// How long a key is remembered after it was granted and after its request was settled. Has to
-    /// be longer than any request's deadline.
+    /// How long a key is kept after it was granted and after its request was settled. Must be
+    /// longer than the deadline of any request.
     pub retention: Duration,
-    /// A process that was paused for half of this reads the roster before it grants again. Has to
-    /// be longer than twice the time for which a claimant waits for its verdict.
+    /// A process that was stalled for half of this reads the roster before it grants again. Must be
+    /// longer than twice the time for which a claimant waits for its verdict.
     pub lease: Duration,
-    /// How long handovers are waited for before a slot is given up, and how long the store is left
-    /// alone after a call that failed.
+    /// How long acknowledgements of handovers are waited for, and the retry delay after a failed
+    /// call to the store.
     pub handover_timeout: Duration,
-    /// How much longer each member waits than the one before it to take over from one that ended.
+    /// Delay per preceding member before a member takes over the slots of ended members.
     pub takeover_delay: Duration,
-    /// Keys kept at most.
+    /// Maximum number of keys.
     pub max_claims: usize,
-    /// Bytes of one answer at most; of a larger one it is only kept that the request ran.
+    /// Maximum bytes of one answer; of a larger one, only the fact that the request ran is kept.
     pub max_answer_bytes: usize,
-    /// Bytes of all answers at most; the oldest give way.
+    /// Maximum bytes of all answers; the oldest are evicted.
     pub max_total_answer_bytes: usize,
 }
 
-/// Decides about every key whose slot this process owns.
+/// Decides about the keys whose slots this process owns.
 #[derive(Debug)]
 pub struct Owner {
     pub(crate) settings: Settings,
@@ -61,7 +61,7 @@
     pub(crate) roster: Option<Arc<Roster>>,
     /// The store's revision of the roster's key.
     pub(crate) revision: Revision,
-    /// A read found no roster, so the first one may be made.
+    /// Whether a read found no roster, so that the initial one may be proposed.
     pub(crate) is_missing: bool,
     pub(crate) holding: Slots,
     pub(crate) offer: Option<Transfer>,
@@ -70,7 +70,7 @@
     pub(crate) listing: Listing,
     pub(crate) vacancy_since: Option<Time>,
     pub(crate) calls: Calls,
-    /// Set after a pause: only this read or a later one proves what is owned.
+    /// The read needed after a stall: only this read or a later one proves what is owned.
     pub(crate) unproven: Option<ReadId>,
     pub(crate) is_ended: bool,
     pub(crate) is_draining: bool,
@@ -78,7 +78,7 @@
 }
 
 impl Owner {
-    /// Opens an owner that knows no roster yet and owns nothing.
+    /// Opens an owner that knows no roster yet and owns no slots.
     pub fn open(settings: Settings) -> Owner {
         let limits = Limits {
             retention: settings.retention,
@@ -108,9 +108,9 @@
         }
     }
 
-    /// Takes one event at a time and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions in order.
     ///
-    /// `now` never goes back from one call to the next, and is read right before the call.
+    /// `now` must not decrease from one call to the next, and must be read right before the call.
     pub fn step(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.notice_pause(now);
         self.holding.table.expire(now);
@@ -151,43 +151,44 @@
         self.advance_change(now, actions);
     }
 
-    /// Tells when a [`Event::Tick`] is next due. Steps that come later than this look like a pause.
+    /// Returns the time at which the next [`Event::Tick`] is due. Much later steps count as a
+    /// stall.
     pub fn next_due(&self) -> Option<Time> {
         let beat = self.last_step? + self.settings.lease / STEPS_A_LEASE;
         let offer = self.offer.as_ref().map_or(Time::MAX, Transfer::due);
         Some(beat.min(offer))
     }
 
-    /// Returns the roster in force here, to find the owner of a key by.
+    /// Returns the roster in force here, by which the owner of a key is found.
     pub fn roster(&self) -> Option<&Arc<Roster>> {
         self.roster.as_ref()
     }
 
-    /// Counts the keys kept.
+    /// Returns the number of keys kept.
     pub fn claims(&self) -> usize {
         self.holding.table.len()
     }
 
-    /// Counts the slots owned by the roster in force here.
+    /// Returns the number of slots owned by this process.
     pub fn slots(&self) -> usize {
         self.holding.slots()
     }
 
-    /// Tells whether a draining process has left the roster, or is alone in it.
+    /// Returns `true` if this process is draining and has left the roster or is its only member.
     pub fn is_drained(&self) -> bool {
         let Some(roster) = &self.roster else { return self.is_draining };
         let has_others = roster.members.iter().any(|member| !member.is_same(&self.me));
         self.is_draining && !(roster.contains(&self.me) && has_others)
     }
 
-    /// Tells whether others take this process for ended. It grants nothing from then on; an owner
-    /// opened anew, under a higher life, may join again once the platform lists the instance.
+    /// Returns `true` if other members consider this process ended. It grants nothing from then on.
+    /// A new owner with a later start time may join once the platform lists the instance.
     pub fn is_ended(&self) -> bool {
         self.is_ended
     }
 
-    /// After a pause the roster may have changed and this process may have been taken for ended, so
-    /// it proves what it owns by a read that begins after the pause.
+    /// Detects a stall. During a stall the roster may have changed and this process may have been
+    /// considered ended, so nothing is granted until a read begun afterwards proves what it owns.
     fn notice_pause(&mut self, now: Time) {
         let last = self.last_step.replace(now).unwrap_or(now);
         debug_assert!(now >= last, "time never goes back");
@@ -199,7 +200,7 @@
     fn claim(&mut self, now: Time, claimant: Claimant, key: Key, asked: Version) -> Verdict {
         let Some(roster) = &self.roster else { return Verdict::not_owner(MIN_RETRY_AFTER) };
         if asked > roster.version {
-            // The asker knows of a change that has not come here; it may be about this slot.
+            // The claimant knows a newer roster, which may have moved this slot.
             self.calls.want_read();
             return Verdict::not_owner(MIN_RETRY_AFTER);
         }
@@ -217,7 +218,7 @@
             return Verdict::not_owner(hold.doubt - now);
         }
         if !self.holding.table.has_room() {
-            // Forgetting a key early could run its request twice, so a new one has to wait.
+            // Evicting a key early could run its request twice, so the new one has to wait.
             let room = self.holding.table.next_room().unwrap_or(now);
             return Verdict::not_owner(room.saturating_sub(now));
         }
@@ -233,7 +234,8 @@
         self.offer.as_ref().is_some_and(|offer| offer.contains(slot))
     }
 
-    /// What was sent to the next owner is not changed here any more.
+    /// Returns `true` if a settlement is accepted here: state already sent to the next owner must
+    /// not change.
     fn is_settled_here(&self, slot: Slot) -> bool {
         self.holding.hold(slot).is_some() && !self.is_offered(slot)
     }
@@ -273,7 +275,7 @@
         }
     }
 
-    /// Goes by a roster that is newer than the one in force.
+    /// Applies a roster if it is newer than the one in force.
     fn take(
         &mut self,
         now: Time,
@@ -287,7 +289,7 @@
         }
         self.is_missing = false;
         self.revision = revision;
-        // A proposal from an earlier version can't be applied any more.
+        // A proposal based on an older version can't be applied any more.
         self.offer = None;
         self.is_ended |= roster.members.iter().any(|member| is_later(member, &self.me));
         let changed = self.holding.take(now, &roster, &self.me);
@@ -300,7 +302,7 @@
     }
 }
 
-/// Tells whether `other` came in the place of `me`.
+/// Returns `true` if `other` is a later incarnation or start of this process's instance.
 fn is_later(other: &Member, me: &Member) -> bool {
     other.instance == me.instance
         && (other.incarnation, other.started_at) > (me.incarnation, me.started_at)
--- a/crates/claim/src/roster.rs
+++ b/crates/claim/src/roster.rs
@@ -1,8 +1,8 @@
-//! The roster: which entry process owns which slots.
+//! The roster: the assignment of slots to entry processes.
 //!
 //! It is one value in the platform's store and changes only by compare-and-swap, each time to the
-//! next version. A slot changes its owner in one of two ways alone: its owner gives it up by a
-//! change of its own, or the owner has ended.
+//! next version. A slot changes its owner only if the owner transfers it by its own proposal or has
+//! ended.
 
 use std::net::SocketAddr;
 
@@ -20,9 +20,9 @@
 /// Key of the roster in the platform's store.
 pub const KEY: &str = "/cowslipchute/roster";
 
-/// Version of the roster; rises by one with each change.
+/// Version of the roster, which rises by one with each change.
 pub type Version = u64;
-/// Number that tells one start of a process from every other start of the same instance.
+/// Start time of a process, which distinguishes it from other starts of the same instance.
 pub type StartTime = u64;
 
 /// One entry process that may own slots.
@@ -33,29 +33,29 @@
     pub instance: Instance,
     /// The incarnation of the instance, as the platform lists it.
     pub incarnation: Incarnation,
-    /// Which start of the process it is. A process that is started again under the same
-    /// incarnation has forgotten every key, so it is another member.
+    /// The start time of the process. A process restarted under the same incarnation has lost all
+    /// keys, so it is another member.
     #[serde(rename = "life")]
     pub started_at: StartTime,
     /// Its failure domain.
     pub domain: Domain,
-    /// Where its peers reach it.
+    /// The address at which peers reach it.
     pub address: SocketAddr,
-    /// Version of the platform's list that showed the instance when it joined. Only a list at
-    /// least as new says by its absence that the instance has ended.
+    /// Version of the platform's list that showed the instance when it joined. Only its absence
+    /// from a list at least as new proves that the instance has ended.
     #[serde(rename = "listed")]
     pub list_version: u64,
 }
 
 impl Member {
-    /// Tells whether two members are the same process.
+    /// Returns `true` if two members are the same process.
     pub fn is_same(&self, other: &Member) -> bool {
         self.instance == other.instance
             && self.incarnation == other.incarnation
             && self.started_at == other.started_at
     }
 
-    /// Tells whether `self` runs in the place of `other`, which has therefore ended.
+    /// Returns `true` if `self` is a later start of `other`, which has therefore ended.
     pub fn replaces(&self, other: &Member) -> bool {
         self.instance == other.instance
             && self.incarnation == other.incarnation
@@ -63,79 +63,79 @@
     }
 }
 
-/// How a slot came to its owner.
+/// The way in which a slot's owner became its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Origin {
-    /// It had none before: no key of it can have been granted.
+    /// The slot had no owner before, so none of its keys can have been granted.
     First,
-    /// The former owner gave it up, and sent what it knew under this number.
+    /// The previous owner transferred the slot and sent its state under this transfer number.
     Handed(u64),
-    /// The former owner ended, and what it knew ended with it.
+    /// The previous owner ended, and the state of the slot is lost.
     Ended,
 }
 
-/// One slot's entry in the roster.
+/// The assignment of one slot to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Assignment {
-    /// Place of its owner among the members.
+    /// Index of the owner among the members.
     pub owner: u16,
-    /// Version of the roster with which the owner got it.
+    /// Version of the roster by which the owner got the slot.
     pub since: Version,
-    /// How the owner got it.
+    /// The way in which the owner got the slot.
     pub origin: Origin,
 }
 
-/// One slot on its way from its owner to another member.
+/// The move of a slot from its owner to another member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
     /// The slot.
     pub slot: Slot,
-    /// Who gets it.
+    /// The new owner.
     pub to: Member,
-    /// The number under which what is known of the slot was sent.
+    /// Number of the transfer under which the state of the slot was sent.
     pub number: u64,
 }
 
-/// A roster that breaks its own rules.
+/// A violated invariant of a roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Error {
-    /// The number of shares is not [`slot::COUNT`].
+    /// The number of assignments is not [`slot::COUNT`].
     #[error("the roster has {0} slots, {expected} are needed", expected = slot::COUNT)]
     Slots(usize),
-    /// A share names a member that is not there.
+    /// A slot is assigned to a member that doesn't exist.
     #[error("slot {0} has no owner")]
     NoOwner(Slot),
 }
 
-/// The owners of all slots, as of one version.
+/// The owners of all slots at one version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Roster {
     /// The version.
     pub version: Version,
-    /// The processes that may own slots, in the order in which they joined.
+    /// The processes that may own slots, in order of joining.
     pub members: Vec<Member>,
-    /// One share for each slot, by its number.
+    /// The assignment of each slot, indexed by slot number.
     #[serde(rename = "shares")]
     pub assignments: Vec<Assignment>,
 }
 
 impl Roster {
-    /// Makes the first roster of a deployment: one member owns every slot.
+    /// Returns the initial roster of a deployment, in which one member owns every slot.
     pub fn initial(member: Member) -> Roster {
         let share = Assignment { owner: 0, since: 1, origin: Origin::First };
         Roster { version: 1, members: vec![member], assignments: vec![share; slot::COUNT] }
     }
 
-    /// Checks a roster that was read.
+    /// Checks the invariants of a roster.
     ///
     /// # Errors
     ///
-    /// When the number of slots is wrong or a slot has no owner among the members.
+    /// Returns an error if the number of slots is wrong or a slot has no owner among the members.
     pub fn check(&self) -> Result<(), Error> {
         if self.assignments.len() != slot::COUNT {
             return Err(Error::Slots(self.assignments.len()));
@@ -144,7 +144,7 @@
         orphan.map_or(Ok(()), |slot| Err(Error::NoOwner(slot)))
     }
 
-    /// Returns the member to ask about a key.
+    /// Returns the owner of a key.
     pub fn owner_of(&self, service: &str, key: &str) -> &Member {
         self.owner_at(slot::of(service, key))
     }
@@ -155,32 +155,32 @@
             .expect("a checked roster has an owner for each slot")
     }
 
-    /// Returns a slot's entry.
+    /// Returns the assignment of a slot.
     pub fn assignment(&self, slot: Slot) -> Assignment {
         self.assignments[usize::from(slot)]
     }
 
-    /// Finds the member that is reached at an address.
+    /// Returns the member with an address; of several, the one that joined last.
     pub fn member_at(&self, address: SocketAddr) -> Option<&Member> {
         self.members.iter().rev().find(|member| member.address == address)
     }
 
-    /// Tells whether a process is a member.
+    /// Returns `true` if a process is a member.
     pub fn contains(&self, process: &Member) -> bool {
         self.members.iter().any(|member| member.is_same(process))
     }
 
-    /// Returns who should own a slot, `leaver` left out: the member with the highest weight for it.
+    /// Returns the member that should own a slot, except `leaver`: the one with the highest weight.
     ///
-    /// A member that joins draws slots only to itself, and the slots of one that leaves are spread
-    /// over all others; nothing else moves.
+    /// This is rendezvous hashing: a member that joins only gains slots, and the slots of a member
+    /// that leaves are spread over all others; no other slot moves.
     pub fn target(&self, slot: Slot, leaver: Option<&Member>) -> Option<&Member> {
         let stays = |member: &&Member| leaver.is_none_or(|leaver| !member.is_same(leaver));
         self.members.iter().filter(stays).max_by_key(|member| weight(slot, member))
     }
 
-    /// Makes the next version with `joining` among the members and without those that have ended.
-    /// Slots of the ended go to their targets. Nothing if that changes nothing.
+    /// Returns the next version with `joining` among the members and without those that have ended,
+    /// whose slots go to their targets. Returns `None` if that changes nothing.
     pub fn revised(&self, joining: &Member, has_ended: impl Fn(&Member) -> bool) -> Option<Roster> {
         let stays = |member: &&Member| !has_ended(member) && !joining.replaces(member);
         let mut members: Vec<Member> = self.members.iter().filter(stays).cloned().collect();
@@ -193,7 +193,7 @@
         Some(self.with_members(members))
     }
 
-    /// Makes the next version with slots moved, and without `leaver` if it owns none any more.
+    /// Returns the next version with slots moved, and without `leaver` if it owns no slot any more.
     pub fn released(&self, moves: &[Move], leaver: Option<&Member>) -> Roster {
         let mut next = self.clone();
         next.version += 1;
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Drops a member that owns nothing, without counting that as a version of its own.
+    /// Removes a member that owns no slot, within the same version.
     fn without(mut self, leaver: &Member) -> Roster {
         let stays = |member: &&Member| !member.is_same(leaver);
         let members = self.members.iter().filter(stays).cloned().collect();
@@ -249,7 +249,8 @@
     }
 }
 
-/// Weight of a member for a slot, then what tells two lives of one instance apart.
+/// The weight of a member for a slot. Incarnation and start time distinguish members of the same
+/// instance.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Weight {
     hash: u64,
@@ -258,7 +259,7 @@
 }
 
 fn weight(slot: Slot, member: &Member) -> Weight {
-    // By name alone, so that an instance that is replaced gets the slots of its predecessor.
+    // Only the name is hashed, so that a replaced instance gets the slots of its predecessor.
     let hash = xxh3_64_with_seed(member.instance.as_bytes(), u64::from(slot));
     Weight { hash, incarnation: member.incarnation, life: member.started_at }
 }
--- a/crates/claim/src/slot.rs
+++ b/crates/claim/src/slot.rs
@@ -1,7 +1,8 @@
-//! Slots: the shares in which keys are owned.
+//! Slots: the partitions of the key space.
 //!
-//! A key belongs to a slot for ever, and the roster gives each slot one owner. So the roster's size
-//! doesn't depend on the number of keys, and a change of owners moves whole slots.
+//! A key always belongs to the same slot, and the roster assigns one owner to each slot. So the
+//! size of the roster doesn't depend on the number of keys, and a change of owners moves whole
+//! slots.
 
 use cowslipchute_base::id::IdempotencyKey;
 use cowslipchute_base::id::Service;
@@ -12,7 +13,7 @@
 /// Number of a slot.
 pub type Slot = u8;
 
-/// How many slots there are. Part of the protocol between our processes: all have to agree.
+/// The number of slots. It is part of the protocol, so all processes must agree on it.
 pub const COUNT: usize = 256;
 
 /// A key within its service.
@@ -35,14 +36,14 @@
 /// Returns the slot that a key belongs to.
 pub fn of(service: &str, key: &str) -> Slot {
     let mut hash = Xxh3::new();
-    // The length keeps two pairs apart that are the same when put together.
+    // The length distinguishes pairs with the same concatenation.
     hash.update(&(service.len() as u64).to_le_bytes());
     hash.update(service.as_bytes());
     hash.update(key.as_bytes());
     hash.digest() as Slot
 }
 
-/// Walks all slots by rising number.
+/// Returns all slots in ascending order.
 pub fn all() -> impl Iterator<Item = Slot> {
     0..=Slot::MAX
 }
--- a/crates/claim/src/table.rs
+++ b/crates/claim/src/table.rs
@@ -1,4 +1,4 @@
-//! The keys granted in the slots that this process owns, bounded in number and in bytes of answers.
+//! The keys granted in owned slots, bounded in number and in bytes of answers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,13 +18,13 @@
 /// Bounds of a table.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Limits {
-    /// How long a settled key is kept.
+    /// How long a key is kept after it was granted or settled.
     pub retention: Duration,
-    /// Keys kept at most.
+    /// Maximum number of keys.
     pub claims: usize,
-    /// Bytes of one answer at most; a larger one is not kept.
+    /// Maximum bytes of one answer; a larger one is not kept.
     pub answer_bytes: usize,
-    /// Bytes of all answers at most; the oldest give way.
+    /// Maximum bytes of all answers; the oldest are evicted.
     pub answers_bytes: usize,
 }
 
@@ -33,12 +33,12 @@
 pub(crate) struct Record {
     pub claimant: Claimant,
     pub state: State,
-    /// When it is forgotten. A claimant that is frozen with a grant in hand until then finds its
-    /// request's deadline passed.
+    /// The time at which the key expires. A claimant that was stalled with a grant until then finds
+    /// its request's deadline passed.
     until: Time,
 }
 
-/// A key by the time at which something is due for it.
+/// A key with its expiry, ordered by expiry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Due {
     at: Time,
@@ -50,9 +50,9 @@
     limits: Limits,
     slots: Vec<BTreeMap<Key, Record>>,
     len: usize,
-    /// All keys by the time at which they are forgotten.
+    /// All keys by expiry.
     due: BTreeSet<Due>,
-    /// Those of them whose answer is kept.
+    /// The keys whose answer is kept, by expiry.
     answered: BTreeSet<Due>,
     answers_bytes: usize,
 }
@@ -77,27 +77,27 @@
         self.slots[usize::from(key.slot())].get(key)
     }
 
-    /// Tells whether another key can be kept.
+    /// Returns `true` if another key can be kept.
     pub(crate) fn has_room(&self) -> bool {
         self.len < self.limits.claims
     }
 
-    /// Tells when the next key is forgotten.
+    /// Returns the time at which the next key expires.
     pub(crate) fn next_room(&self) -> Option<Time> {
         self.due.first().map(|due| due.at)
     }
 
-    /// Records a grant. There has to be room.
+    /// Records a grant. The table must have capacity.
     pub(crate) fn grant(&mut self, now: Time, key: Key, claimant: Claimant) {
         debug_assert!(self.has_room() && self.find(&key).is_none(), "a key is granted once");
         self.put(now, key, claimant, State::Running);
     }
 
-    /// Takes in what a claimant tells of its request.
+    /// Records the outcome of a request as reported by its claimant.
     ///
-    /// A key is freed only by the claimant that it is granted to. A key that is not known here was
-    /// granted by an earlier owner, so what became of it is learnt; but it is not freed, since that
-    /// owner may have granted it again.
+    /// Only the claimant that holds a key can free it. An unknown key was granted by a previous
+    /// owner: its outcome is recorded, but the key is not freed, since that owner may have granted
+    /// it again.
     pub(crate) fn settle(
         &mut self,
         now: Time,
@@ -118,7 +118,7 @@
         };
         match known {
             Some(false) => {}
-            // What is known to have run is not made unknown again.
+            // A request that is known to have run must not become unknown again.
             Some(true) if has_run => {}
             Some(true) => self.put(now, key, claimant, state),
             None if self.has_room() => self.put(now, key, claimant, state),
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Forgets what was granted or settled a retention window ago.
+    /// Removes expired keys.
     pub(crate) fn expire(&mut self, now: Time) {
         while let Some(due) = self.due.first()
             && due.at <= now
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Forgets a slot that this process doesn't own any more.
+    /// Removes all keys of a slot.
     pub(crate) fn clear(&mut self, slot: Slot) {
         let keys: Vec<Key> = self.slots[usize::from(slot)].keys().cloned().collect();
         for key in keys {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Copies a slot for its next owner, answers up to a number of bytes in all.
+    /// Copies the grants of a slot for its next owner, with at most `bytes` of answers in total.
     pub(crate) fn export(&self, now: Time, slot: Slot, mut bytes: usize) -> Vec<Grant> {
         let mut kept = Vec::new();
         for (key, record) in &self.slots[usize::from(slot)] {
@@ -167,7 +167,7 @@
         kept
     }
 
-    /// Takes over a slot from its former owner.
+    /// Inserts the grants received from the previous owner of a slot.
     pub(crate) fn import(&mut self, now: Time, kept: Vec<Grant>) {
         for Grant { key, claimant, state, expires_in } in kept {
             self.remove(&key);
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Drops the answers that are due first, not the knowledge that their requests ran.
+    /// Evicts the answers that expire first; that their requests ran stays recorded.
     fn trim_answers(&mut self) {
         while self.answers_bytes > self.limits.answers_bytes
             && let Some(due) = self.answered.pop_first()
--- a/crates/claim/src/transfer.rs
+++ b/crates/claim/src/transfer.rs
@@ -1,9 +1,9 @@
-//! Slots on offer: being given up by this process, and not granted meanwhile.
+//! Transfer of slots from this process to other members.
 //!
-//! The order is what makes it safe. Granting stops first; then what is known is sent; then the
-//! roster is changed. As a proposal may take effect long after its answer was lost, granting begins
-//! again only when a roster of a later version than the proposal's basis was read, because the
-//! store can't apply the proposal after that.
+//! The order of the steps makes it safe: granting keys of the slots stops first, then their state
+//! is sent, then the roster is changed. A proposal may take effect long after its answer was lost.
+//! So granting resumes only when a roster newer than the proposal's base version was read, because
+//! the store can't apply the proposal after that.
 
 use std::collections::BTreeMap;
 
@@ -16,33 +16,35 @@
 use crate::slot;
 use crate::slot::Slot;
 
-/// How far an offer has come.
+/// The progress of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// Other owners are being sent what is known.
+    /// The state of the slots is being sent to their next owners.
     Sending,
-    /// The roster is to be changed, or may have been.
+    /// The change of the roster is being proposed, or may have taken effect.
     Proposing,
 }
 
 #[derive(Debug)]
 pub(crate) struct Transfer {
-    /// Names it, and the version of the roster that it is made from.
+    /// The identifier, with the version of the roster that the transfer changes.
     pub stamp: TransferId,
-    /// The slots and where they go.
+    /// The slots and their next owners.
     pub moves: Vec<Move>,
-    /// Whether the process leaves, so that slots are given up even to one that got no handover.
+    /// Whether the process is leaving, so that slots are transferred even to a member that did not
+    /// receive their state.
     pub is_last: bool,
     pub stage: Stage,
-    /// The slots of each message that is not acknowledged yet.
+    /// The slots of each message that is not acknowledged yet, by message number.
     waiting: BTreeMap<u32, Vec<Slot>>,
     until: Time,
 }
 
 impl Transfer {
-    /// Makes an offer of the slots that are held here and that another should own by `roster`.
+    /// Opens a transfer of the owned slots that another member should own by `roster`.
     ///
-    /// Nothing if there is none, unless the process leaves: then it leaves the roster too.
+    /// Returns `None` if there are no such slots, unless the process is leaving and still has to be
+    /// removed from the roster.
     pub(crate) fn open(
         roster: &Roster,
         is_held: impl Fn(Slot) -> bool,
@@ -72,14 +74,14 @@
         self.moves.iter().any(|moved| moved.slot == slot)
     }
 
-    /// Waits for the acknowledgement of one more message.
+    /// Registers a message to be acknowledged and returns its number.
     pub(crate) fn await_part(&mut self, slots: Vec<Slot>) -> u32 {
         let part = self.waiting.len() as u32;
         self.waiting.insert(part, slots);
         part
     }
 
-    /// Notes that a message was acknowledged or failed.
+    /// Records that a message was acknowledged or failed.
     pub(crate) fn handed_over(&mut self, stamp: TransferId, part: u32, held: bool) {
         if self.stage == Stage::Proposing || stamp != self.stamp {
             return;
@@ -90,7 +92,8 @@
         }
     }
 
-    /// Gives up waiting when the time has passed; tells whether nothing is waited for.
+    /// Returns `true` if no acknowledgement is pending. After the timeout, pending ones count as
+    /// failed.
     pub(crate) fn is_sent(&mut self, now: Time) -> bool {
         if now >= self.until {
             for slots in std::mem::take(&mut self.waiting).into_values() {
@@ -100,7 +103,7 @@
         self.waiting.is_empty()
     }
 
-    /// Tells until when handovers are waited for.
+    /// Returns the time at which waiting for acknowledgements ends.
     pub(crate) fn due(&self) -> Time {
         match self.stage {
             Stage::Sending => self.until,
@@ -108,8 +111,8 @@
         }
     }
 
-    /// Keeps slots that their next owner knows nothing of, unless the process leaves: then the next
-    /// owner is in doubt about their keys, which is no worse than if the process had just ended.
+    /// Keeps slots whose state did not arrive, unless the process is leaving. In that case the keys
+    /// are in doubt for their next owner, as if this process had crashed.
     fn keep(&mut self, slots: &[Slot]) {
         if !self.is_last {
             self.moves.retain(|moved| !slots.contains(&moved.slot));
--- a/crates/claim/src/verdict.rs
+++ b/crates/claim/src/verdict.rs
@@ -1,4 +1,4 @@
-//! Verdicts on claims, before they are addressed to the asker.
+//! Verdicts on claims.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::event::RequestId;
 use crate::handover::State;
 
-/// When a client is told to come back if only other processes have to catch up.
+/// Minimum retry delay sent to a client, enough for other processes to catch up.
 pub(crate) const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 pub(crate) struct Verdict {
@@ -21,18 +21,18 @@
         Verdict { claimed: Claimed::Granted, retry_after: None }
     }
 
-    /// Refuses without telling whether the request ran; another answer may be had later.
+    /// Returns a refusal that leaves open whether the request ran; a retry may be answered.
     pub(crate) fn not_owner(retry_after: Duration) -> Verdict {
         Verdict { claimed: Claimed::NotOwner, retry_after: Some(retry_after.max(MIN_RETRY_AFTER)) }
     }
 
-    /// Tells what is known of a key that was granted before.
+    /// Returns the verdict on a key that was granted before.
     pub(crate) fn of_state(state: &State) -> Verdict {
         let claimed = match state {
             State::Running | State::Unknown => Claimed::InDoubt,
             State::Ran(answer) => Claimed::Ran(answer.clone()),
         };
-        // Only a running request is on its way to another state.
+        // Only the state of a running request can change.
         let retry_after = (*state == State::Running).then_some(MIN_RETRY_AFTER);
         Verdict { claimed, retry_after }
     }
--- a/crates/claim/tests/format.rs
+++ b/crates/claim/tests/format.rs
@@ -1,4 +1,4 @@
-//! What is stored and sent keeps its form: processes of two versions run side by side.
+//! Stored and sent formats must not change, because processes of two versions run side by side.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/claim/tests/handover_size.rs
+++ b/crates/claim/tests/handover_size.rs
@@ -1,4 +1,4 @@
-//! Messages of a handover are small enough for one frame between peers, whatever is kept.
+//! Checks that each message of a handover fits into one frame between peers, whatever is kept.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use cowslipchute_ports::peer::Answer;
 use cowslipchute_ports::peer::Settlement;
 
-/// The most bytes of a frame between peers, less what a call adds.
+/// Maximum size of a frame between peers in bytes, less the overhead of a call.
 const FRAME: usize = 4 * 1024 * 1024 - 64;
 const SECOND: Duration = Duration::from_secs(1);
 const ANSWER: usize = 60 * 1024;
--- a/crates/claim/tests/interleavings.rs
+++ b/crates/claim/tests/interleavings.rs
@@ -1,7 +1,8 @@
-//! Random interleavings of claims, settlements, crashes, freezes, cuts, lost and late messages.
+//! Random interleavings of claims, settlements, crashes, stalls, partitions, and lost and late
+//! messages.
 //!
-//! The world's ledger stops the test when a key is granted twice; afterwards all is healed, and
-//! keys have to be granted again.
+//! The world's ledger fails the test when a key is granted twice. After all faults have ended, keys
+//! must be granted again.
 
 use std::time::Duration;
 
@@ -21,17 +22,17 @@
 
 const ENTRIES: [&str; 3] = ["e1", "e2", "e3"];
 const KEYS: u8 = 32;
-/// Keys claimed at once, so that some are of any slots that move.
+/// Number of keys claimed at once, so that some of them are in slots that move.
 const BURST: u8 = 8;
 const RETENTION: Duration = Duration::from_secs(60);
-/// Long enough for every doubt to pass after the last change.
+/// Ticks after the faults, enough for all keys to be out of doubt after the last change.
 const HEALED: u64 = 80;
 
 #[derive(Clone, Debug)]
 enum Op {
-    /// Delivers one message, whenever it was sent.
+    /// Delivers one message out of order.
     Deliver(usize),
-    /// Delivers so many messages in order.
+    /// Delivers a number of messages in order.
     Flush(usize),
     Lose(usize),
     Settle(usize, u8),
@@ -92,7 +93,7 @@
         Op::Start(entry, new) if is_gone(world, entry) => {
             world.start(ENTRIES[entry], "a", new || !world.is_listed(ENTRIES[entry]));
         }
-        // The platform lists no more what has ended, or what it takes for ended.
+        // The platform removes an instance that has ended or that it considers ended.
         Op::Unlist(entry) if !runs(world, entry) => world.unlist(ENTRIES[entry]),
         Op::Freeze(entry) if runs(world, entry) => world.freeze(ENTRIES[entry]),
         Op::Thaw(entry) if world.nodes.contains_key(ENTRIES[entry]) => thaw(world, entry),
@@ -118,7 +119,7 @@
     world.nodes.get(ENTRIES[entry]).is_some_and(|node| !node.frozen)
 }
 
-/// A drained process ends by itself.
+/// Returns `true` if an entry process has ended; a drained one ends by itself.
 fn is_gone(world: &World, entry: usize) -> bool {
     world.nodes.get(ENTRIES[entry]).is_none_or(|node| node.owner.is_drained())
 }
@@ -132,7 +133,7 @@
 fn lose(world: &mut World, place: usize) {
     let Some(message) = world.wire.remove(place) else { return };
     match message {
-        // The store may take effect of what it was sent, however late.
+        // A proposal that reached the store may take effect however late.
         Message::LateCommit { .. } => world.wire.push_back(message),
         message => world.lose(message),
     }
@@ -141,7 +142,7 @@
 fn settle(world: &mut World, grant: usize, outcome: u8) {
     let Some((claimant, key)) = world.granted.iter().nth(grant) else { return };
     let (claimant, key) = (claimant.clone(), key.clone());
-    // A frozen entry says nothing.
+    // A stalled entry process sends nothing.
     if world.nodes.get(&*claimant.instance).is_none_or(|node| node.frozen) {
         return;
     }
@@ -154,7 +155,8 @@
     world.settle(&claimant, &key, settlement);
 }
 
-/// A process that the platform takes for ended is not woken so soon that it does not notice.
+/// Ends the stall of a process. One that the platform considers ended stays stalled for longer than
+/// half a lease, so that it detects the stall.
 fn thaw(world: &mut World, entry: usize) {
     let node = &world.nodes[ENTRIES[entry]];
     let slept = world.now - node.froze_at;
@@ -175,12 +177,12 @@
     world
 }
 
-/// Mends everything and lets every doubt pass.
+/// Ends all faults and runs until no key is in doubt.
 fn heal(world: &mut World) {
     world.cut.clear();
     world.cut_platform.clear();
     for entry in ENTRIES {
-        // Whoever drains or was taken for ended makes room for a new process.
+        // Replaces processes that are draining or were considered ended.
         world.start(entry, "a", true);
     }
     for _ in 0..HEALED {
--- a/crates/claim/tests/scenarios.rs
+++ b/crates/claim/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Runs the scenario files. Each block's directive says what the block checks; its lines are steps,
-//! and its output is what claimants were told.
+//! Runs the scenario files. The directive of each block names what it checks, its input lines are
+//! steps, and its output is what the claimants received.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,16 +18,16 @@
 use world::settings;
 
 const RETENTION: Duration = Duration::from_secs(60);
-/// Keys tried for one that suits.
+/// Maximum number of keys tried to find a matching one.
 const MANY: u32 = 100_000;
 
-/// A world with names for keys.
+/// A world with named keys.
 struct Scenario {
     world: World,
     keys: BTreeMap<String, Key>,
-    /// Who settled a key last through an entry, to settle it again.
+    /// The claimant that last settled a key through an entry process, for settling it again.
     settled: BTreeMap<(String, Key), Claimant>,
-    /// Nothing is delivered but what a step names.
+    /// Whether messages are delivered only by explicit steps.
     holds: bool,
 }
 
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Gives a name to a key that an entry owns by the roster in the store, and that is to go to
-    /// another once that one is a member.
+    /// Names a key that `owner` owns by the stored roster and, if `next` is given, whose slot moves
+    /// to `next` once that process joins.
     fn name_key(&mut self, name: &str, owner: &str, next: Option<&str>) {
         let roster = self.world.store.roster.as_ref().expect("there is a roster");
         let joining = next.map(|next| world::member(next, "a", 1));
@@ -143,13 +143,13 @@
         self.keys.insert(name.to_owned(), key);
     }
 
-    /// Delivers the oldest message of a kind that a node gets, or that it sent to the store.
+    /// Delivers the oldest message of a kind that a node receives or has sent to the store.
     fn deliver(&mut self, kind: &str, whose: &str) {
         let place = self.place(kind, whose);
         self.world.deliver(place);
     }
 
-    /// Loses such a message.
+    /// Drops the oldest such message.
     fn lose(&mut self, kind: &str, whose: &str) {
         let place = self.place(kind, whose);
         let message = self.world.wire.remove(place).expect("there is one");
--- a/crates/claim/tests/smoke.rs
+++ b/crates/claim/tests/smoke.rs
@@ -1,4 +1,4 @@
-//! One owner alone, from an empty store to a replayed answer.
+//! A single owner, from an empty store to a replayed answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/claim/tests/world/message.rs
+++ b/crates/claim/tests/world/message.rs
@@ -1,4 +1,4 @@
-//! What is on the wire between owners, the store and the list.
+//! Messages between owners, the store and the list.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use cowslipchute_ports::peer::Claimed;
 use cowslipchute_ports::peer::Settlement;
 
-/// What a message is about; `from` and `to` are names of nodes.
+/// A message; `from` and `to` are names of nodes.
 #[derive(Clone, Debug)]
 pub enum Message {
     Read {
@@ -23,12 +23,12 @@
         revision: u64,
         roster: Roster,
     },
-    /// A proposal whose answer was lost already, and that may yet take effect.
+    /// A proposal whose answer was lost and that may still take effect.
     LateCommit {
         revision: u64,
         roster: Roster,
     },
-    /// Something for a node, from another or from the platform.
+    /// An event for a node, from another node or from the platform.
     Tell {
         from: String,
         to: String,
@@ -72,7 +72,7 @@
 }
 
 impl Message {
-    /// The word by which scenarios name messages of this kind.
+    /// Returns the name of this kind of message in scenarios.
     pub fn kind(&self) -> &'static str {
         match self {
             Message::Read { .. } => "read",
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Who gets it, or who sent it to the store.
+    /// Returns the receiver, or the sender of a message to the store.
     pub fn whose(&self) -> &str {
         match self {
             Message::Read { from, .. } | Message::Commit { from, .. } => from,
--- a/crates/claim/tests/world/mod.rs
+++ b/crates/claim/tests/world/mod.rs
@@ -1,7 +1,7 @@
-//! Owners around a small store, list and wire, all under virtual time.
+//! Owners with a minimal store, list and network, in virtual time.
 //!
-//! Every message waits on the wire until it is delivered, so a test decides about order, loss and
-//! delay. A ledger of the claimants' own knowledge stops the test when a key is granted twice.
+//! Every message stays on the wire until a test delivers it, so that tests control order, loss and
+//! delay. A ledger of all grants fails the test when a key is granted twice.
 
 #![allow(dead_code, reason = "each test uses its own part")]
 
@@ -37,12 +37,12 @@
     pub member: Member,
     pub frozen: bool,
     pub froze_at: Duration,
-    /// Requests up to this number were an earlier process's.
+    /// Requests up to this number belong to an earlier process of the instance.
     born: u64,
     inbox: VecDeque<Message>,
 }
 
-/// A grant that its claimant has not taken back.
+/// A grant that its claimant has not freed by `NotRun`.
 struct Grant {
     at: Duration,
     claimant: Claimant,
@@ -57,9 +57,9 @@
     pub cut: BTreeSet<String>,
     pub cut_platform: BTreeSet<String>,
     pub wire: VecDeque<Message>,
-    /// What claimants were told, oldest first.
+    /// The verdicts and answers received by claimants, oldest first.
     pub log: Vec<String>,
-    /// Grants that claimants hold and have not settled.
+    /// Grants that claimants have received and not settled.
     pub granted: BTreeMap<Claimant, Key>,
     ledger: BTreeMap<Key, Grant>,
     listed: BTreeMap<String, Member>,
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Starts a process; one that runs under the name is killed first. The platform lists it.
+    /// Starts a process, replacing one of the same name, and lists it. With `replaced`, it gets a
+    /// new incarnation.
     pub fn start(&mut self, name: &str, domain: &str, replaced: bool) {
         self.lives += 1;
         let mut member = member(name, domain, self.lives);
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Lets time pass in steps of a tick, with a step of every owner that runs at each.
+    /// Advances time by one tick and steps every running owner.
     pub fn tick(&mut self) {
         self.now += TICK;
         for name in self.names() {
@@ -166,14 +167,14 @@
         }
     }
 
-    /// Delivers everything in the order in which it was sent, until nothing is on the wire.
+    /// Delivers messages in the order of sending until the wire is empty.
     pub fn settle_down(&mut self) {
         while !self.wire.is_empty() {
             self.deliver(0);
         }
     }
 
-    /// Claims a key for a new request through an entry, by the roster that it knows.
+    /// Claims a key for a new request through an entry process, by the roster known there.
     pub fn claim(&mut self, via: &str, key: &Key) {
         self.requests += 1;
         let node = &self.nodes[via];
@@ -191,7 +192,7 @@
         self.wire.push_back(Message::Claim { from, to, claimant, key: key.clone(), version });
     }
 
-    /// Tells the owner, by the roster that the claimant's entry knows, what became of a grant.
+    /// Sends the outcome of a grant to the owner by the roster known to the claimant's process.
     pub fn settle(&mut self, claimant: &Claimant, key: &Key, settlement: Settlement) {
         if settlement == Settlement::NotRun
             && self.ledger.get(key).is_some_and(|grant| grant.claimant == *claimant)
@@ -234,7 +235,7 @@
         }
     }
 
-    /// Loses a message, and tells the sender if it waits for an answer.
+    /// Drops a message, and reports the failure to a sender that waits for an answer.
     pub fn lose(&mut self, message: Message) {
         match message {
             Message::Read { from, .. } => self.tell("platform", &from, Event::StoreFailed),
@@ -256,7 +257,7 @@
             Message::Claim { from, to, .. } => {
                 self.log.push(format!("{from} asks {to}: no answer"));
             }
-            // A claimant that never heard the verdict surely did not run the request.
+            // A claimant that never received the verdict has not run the request.
             Message::Verdict { to, claimant, key, .. } if self.nodes.contains_key(&to) => {
                 self.settle(&claimant, &key, Settlement::NotRun);
             }
@@ -296,7 +297,7 @@
             }
             Message::Taken { taken: false, claimant, key, settlement, from, .. } => {
                 self.log.push(format!("{from} does not take {to}'s settlement"));
-                // Told again only where the roster has changed in the meantime.
+                // The settlement is sent again only if the roster has changed meanwhile.
                 let roster = self.nodes[to].owner.roster().cloned();
                 let owner = roster.map(|roster| roster.owner_of(&key.service, &key.key).clone());
                 if owner.is_some_and(|owner| *owner.instance != *from) {
@@ -329,7 +330,8 @@
         }
     }
 
-    /// No key is granted again within the retention window unless its claimant said `NotRun`.
+    /// Checks that no key is granted again within the retention time unless its claimant settled it
+    /// as `NotRun`.
     fn check_grant(&mut self, by: &str, claimant: &Claimant, key: &Key) {
         self.grants += 1;
         let grant = Grant { at: self.now, claimant: claimant.clone(), by: by.to_owned() };
--- a/crates/claim/tests/world/platform.rs
+++ b/crates/claim/tests/world/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's part of the world: the store of one key, and the list.
+//! The platform in the simulation: a store with one key, and the list.
 
 use std::sync::Arc;
 
@@ -11,26 +11,26 @@
 
 use super::World;
 
-/// The platform's store, as far as one key goes.
+/// The platform's store, reduced to the roster's key.
 #[derive(Default)]
 pub struct Store {
     pub revision: u64,
     pub roster: Option<Arc<Roster>>,
-    /// Every roster that was written, oldest first.
+    /// All rosters that were written, oldest first.
     pub history: Vec<Arc<Roster>>,
     pub down: bool,
-    /// Changes take effect and their answers are lost.
+    /// Whether changes take effect while their answers are lost.
     pub lossy: bool,
 }
 
 impl World {
-    /// The platform lists an instance no more.
+    /// Removes an instance from the platform's list.
     pub fn unlist(&mut self, name: &str) {
         self.listed.remove(name);
         self.list();
     }
 
-    /// The platform lists a running instance again.
+    /// Adds a running instance to the platform's list again.
     pub fn relist(&mut self, name: &str) {
         self.listed.insert(name.to_owned(), self.nodes[name].member.clone());
         self.list();
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Shows the platform's list to a node, unless it is cut off from the platform.
+    /// Sends the platform's list to a node, unless it is cut off from the platform.
     pub fn show_list(&mut self, name: &str) {
         if !self.cut_platform.contains(name) {
             let members = self.listed.values().map(listed).collect();
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Passes the store's roster, or an earlier version of it, on to a node as a peer would.
+    /// Sends the stored roster, or an earlier version of it, to a node as a peer would.
     pub fn pass_roster(&mut self, name: &str, version: Option<u64>) {
         let revision = self.store.revision;
         let rosters = &self.store.history;
@@ -88,7 +88,7 @@
         self.tell("platform", from, answer);
     }
 
-    /// Decides a proposal, and lets the watches tell of it.
+    /// Applies a proposal if its revision is current, and notifies the watches.
     pub fn apply(&mut self, revision: u64, roster: Roster) {
         let current = if self.store.roster.is_some() { self.store.revision } else { 0 };
         if revision != current {
--- a/crates/tenure/src/action.rs
+++ b/crates/tenure/src/action.rs
@@ -1,4 +1,4 @@
-//! What a keeper wants done.
+//! Actions requested by an ownership manager.
 
 use std::time::Duration;
 
@@ -12,79 +12,80 @@
 use crate::event::Ticket;
 use crate::owner::Owner;
 
-/// What a keeper wants done.
+/// An action requested by an ownership manager.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Read the domain's whole prefix.
+    /// Read all keys below the domain's prefix.
     ReadDomain {
-        /// Number of the call.
+        /// Identifier of the call.
         ticket: Ticket,
     },
-    /// Decide a transaction.
+    /// Commit a transaction.
     Commit {
-        /// Number of the call.
+        /// Identifier of the call.
         ticket: Ticket,
         /// The transaction.
         txn: kv::Txn,
     },
     /// Grant a lease.
     Grant {
-        /// Number of the call.
+        /// Identifier of the call.
         ticket: Ticket,
-        /// How long it lasts.
+        /// The duration of the lease.
         ttl: Duration,
     },
     /// Renew a lease.
     Renew {
-        /// Number of the call.
+        /// Identifier of the call.
         ticket: Ticket,
         /// The lease.
         lease: kv::LeaseId,
     },
-    /// End a lease; nothing is told about the outcome.
+    /// Revoke a lease; the outcome is not reported back.
     Revoke {
         /// The lease.
         lease: kv::LeaseId,
     },
-    /// Run this cell from now on: read its records, then tell the cell `OwnershipAcquired`.
+    /// Start running this cell: read its records, then send the cell `OwnershipAcquired`.
     Own {
         /// The cell.
         cell: id::Cell,
         /// The epoch.
         epoch: id::Epoch,
-        /// Revision of the cell's key, which guards every record written for it.
+        /// Revision of the cell's key, which guards every record written for the cell.
         revision: id::Revision,
-        /// How the former owners ended, as far as is known.
+        /// What is known about whether the previous owners have stopped.
         former: Former,
     },
-    /// Tell the cell how its former owners ended.
+    /// Tell the cell that all its previous owners have stopped or ended.
     PreviousOwners {
         /// The cell.
         cell: id::Cell,
-        /// How.
+        /// How the previous owners stopped.
         former: Former,
     },
-    /// Finish what is in progress for a cell, write its last records, stop, then say `Quiesced`.
+    /// Finish the work in progress for a cell, write its last records, stop the cell, then report
+    /// `Quiesced`.
     Quiesce {
         /// The cell.
         cell: id::Cell,
         /// The epoch.
         epoch: id::Epoch,
     },
-    /// Stop all that is done for a cell now, then say `Quiesced` once nothing of it is on its way.
+    /// Stop a cell immediately, then report `Quiesced` once none of its requests is in flight.
     Stop {
         /// The cell.
         cell: id::Cell,
-        /// The epoch that is lost.
+        /// The epoch whose ownership was lost.
         epoch: id::Epoch,
     },
-    /// Ask a former owner over the peer link whether it has stopped.
+    /// Ask a previous owner over the peer connection whether it has stopped.
     QueryStopped {
         /// The cell.
         cell: id::Cell,
-        /// Our epoch.
+        /// This placer's epoch.
         epoch: id::Epoch,
-        /// Whom; an answer of another life of the instance is none.
+        /// The previous owner; an answer of another incarnation of the instance doesn't count.
         owner: Owner,
     },
     /// Answer an incoming call.
@@ -94,15 +95,15 @@
         /// The answer.
         reply: peer::Reply,
     },
-    /// Tell operators.
+    /// Write a log event.
     Note {
         /// The event.
         event: Event,
-        /// The cell or instance it is about.
+        /// The cell or instance that the event is about.
         subject: id::Instance,
-        /// Why, for a reader.
+        /// The reason, in plain text.
         reason: String,
     },
-    /// Every cell is given up and the lease ended; the process may stop.
+    /// Report that all cells are released and the lease is revoked; the process may exit.
     Drained,
 }
--- a/crates/tenure/src/directory.rs
+++ b/crates/tenure/src/directory.rs
@@ -1,8 +1,9 @@
-//! Homes of jobs: at most one cell at a time, decided by compare-and-swap on a key of the job's own.
+//! The directory of jobs and their home cells. A job has at most one home cell at a time, decided
+//! by compare-and-swap on the job's home key.
 //!
-//! Every owner ranks the cells for a job in the same order and waits a moment for each cell that
-//! ranks before its own, so that usually one write is made for a job, and many jobs share one
-//! transaction. The wait saves writes; what decides is the store.
+//! All owners rank the cells for a job in the same order, and each waits for a delay per rank of
+//! its best cell before it claims the job. So usually a single write is made for a job, and many
+//! jobs share a transaction. The delay only saves writes; the store decides.
 
 mod claim;
 mod removal;
@@ -20,50 +21,51 @@
 
 use crate::home::Home;
 
-/// A home as the store holds it.
+/// A job's home as stored.
 #[derive(Clone, Debug)]
 struct Entry {
     home: Home,
     revision: id::Revision,
-    /// The job's removal from its cell is being written.
+    /// The removal of the job from its cell, while it is being written.
     leaving: Option<Removal>,
 }
 
-/// A job's removal from its cell. Until what was written is seen, the cell is told nothing more
-/// about the job, so that it can't start anew what may next have its home elsewhere.
+/// The removal of a job from its cell. Until the written home is read back, the cell receives
+/// no further updates of the job, so that it can't restart a job that may get another home.
 #[derive(Clone, Copy, Debug)]
 struct Removal {
-    /// Revision of the home that is given up.
+    /// Revision of the home before the removal.
     from: id::Revision,
-    /// The removal is in the store.
+    /// Whether the removal is in the store.
     written: bool,
 }
 
 impl Entry {
-    /// Tells whether the removal is written and what it left behind is seen.
+    /// Returns `true` if the removal is written and its result has been read back.
     fn has_left(&self) -> bool {
         self.leaving.is_some_and(|leaving| leaving.written && self.revision > leaving.from)
     }
 }
 
-/// What a board wants done.
+/// An action requested by a directory.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Decide a transaction and tell [`Directory::claim_ended`]; there is never more than one.
+    /// Commit a transaction and report its outcome to [`Directory::claim_ended`]. At most one claim
+    /// is in flight.
     Claim {
         /// The transaction.
         txn: kv::Txn,
     },
-    /// Tell a cell of a job that is at home there, or that its declaration changed.
+    /// Notify a cell of a job whose home it is, or of a change of the job's declaration.
     Assigned {
         /// The cell.
         cell: id::Cell,
         /// The job.
         name: id::Job,
-        /// Its desired state.
+        /// The job's desired state.
         spec: Arc<job::Spec>,
     },
-    /// Tell a cell that a job is no longer declared.
+    /// Notify a cell that a job is no longer declared or has its home elsewhere.
     Removed {
         /// The cell.
         cell: id::Cell,
@@ -72,41 +74,41 @@
     },
 }
 
-/// All declared jobs and their homes, as one placer knows them.
+/// All declared jobs and their home cells, as known to one placer.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     rank_delay: Duration,
     jobs: BTreeMap<id::Job, Arc<job::Spec>>,
     homes: BTreeMap<id::Job, Entry>,
-    /// Jobs without a home, and since when.
+    /// Jobs without a home, with the time since which they have had none.
     waiting: BTreeMap<id::Job, Time>,
-    /// Every cell that the store knows.
+    /// All cells in the store.
     cells: BTreeSet<id::Cell>,
-    /// Those that this placer owns.
+    /// The cells that this placer owns.
     own: BTreeSet<id::Cell>,
     claim: Vec<id::Job>,
     retry_at: Time,
-    /// When the next waiting job may be due; no earlier, so that the others needn't be looked at.
+    /// The earliest time at which a waiting job may be due; no scan is needed before.
     scan_at: Time,
-    /// Revision up to which the declarations are known.
+    /// Revision up to which all job declarations are known.
     declared_revision: id::Revision,
-    /// Homes were read at least once; before that every job would seem to have none.
+    /// Whether the homes were read at least once; before that every job seems to have none.
     homes_loaded: bool,
 }
 
 impl Directory {
-    /// Opens a board that knows nothing. Each rank waits `rank_delay` for the one before it.
+    /// Opens an empty directory. A claim is delayed by `rank_delay` per rank of the claiming cell.
     pub fn open(rank_delay: Duration) -> Directory {
         Directory { rank_delay, ..Directory::default() }
     }
 
-    /// Learns which cells there are in the whole deployment.
+    /// Sets all cells of the deployment.
     pub fn set_cells(&mut self, cells: impl IntoIterator<Item = id::Cell>) {
         self.cells = cells.into_iter().collect();
         self.scan_at = Time::ZERO;
     }
 
-    /// Learns that a cell is this placer's, and lists the jobs that are at home there.
+    /// Records that this placer owns a cell, and assigns to the cell the jobs whose home it is.
     pub fn add_owned_cell(&mut self, cell: &id::Cell, actions: &mut Vec<Action>) {
         self.own.insert(cell.clone());
         self.scan_at = Time::ZERO;
@@ -118,9 +120,11 @@
         }
     }
 
-    /// Learns up to which revision the declarations are known. A job that has a home was declared
-    /// before it got one; if the declarations are known past that and it is not among them, it is
-    /// gone. Any earlier it may just not be known here yet.
+    /// Sets the revision up to which all job declarations are known.
+    ///
+    /// A job is declared before it gets a home. If the declarations are known up to the home's
+    /// revision and don't contain the job, the job was removed; below that revision its declaration
+    /// may just not have arrived yet.
     pub fn set_declared_revision(&mut self, revision: id::Revision, actions: &mut Vec<Action>) {
         let before = std::mem::replace(&mut self.declared_revision, revision);
         for (name, kept) in &self.homes {
@@ -130,7 +134,7 @@
         }
     }
 
-    /// Learns that a cell is no longer this placer's.
+    /// Records that this placer no longer owns a cell.
     pub fn remove_owned_cell(&mut self, cell: &id::Cell) {
         self.own.remove(cell);
         let here = |kept: &&mut Entry| kept.home.cell.as_ref() == Some(cell);
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Learns of a job or a change of its declaration.
+    /// Records a new or changed declaration of a job.
     pub fn declared(
         &mut self,
         now: Time,
@@ -152,7 +156,7 @@
         self.wait_if_homeless(now, name);
     }
 
-    /// Learns that a job is no longer declared.
+    /// Records that a job is no longer declared.
     pub fn undeclared(&mut self, name: &id::Job, actions: &mut Vec<Action>) {
         self.jobs.remove(name);
         self.waiting.remove(name);
@@ -163,7 +167,7 @@
         actions.push(Action::Removed { cell, name: name.clone() });
     }
 
-    /// Learns all homes at once.
+    /// Replaces all homes by those read from the store.
     pub fn load_homes(&mut self, now: Time, entries: &[kv::Entry], actions: &mut Vec<Action>) {
         let names = entries.iter().filter_map(|entry| entry.key.strip_prefix(HOME));
         let present: BTreeSet<&str> = names.collect();
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Learns one home.
+    /// Records the home at a key, unless it is older than the known one.
     pub fn update_home(&mut self, now: Time, entry: &kv::Entry, actions: &mut Vec<Action>) {
         let Some(name) = entry.key.strip_prefix(HOME) else { return };
         let Some(home) = Home::from_bytes(&entry.value) else { return };
@@ -205,7 +209,7 @@
         self.wait_if_homeless(now, &name);
     }
 
-    /// Learns that a job has no home key any more.
+    /// Records that the home key of a job was deleted at a revision.
     pub fn remove_home(&mut self, now: Time, name: &str, revision: id::Revision) {
         let Some((name, kept)) = self.homes.get_key_value(name) else { return };
         if kept.revision > revision {
@@ -216,7 +220,7 @@
         self.wait_if_homeless(now, &name);
     }
 
-    /// Tells whether a job is declared.
+    /// Returns `true` if a job is declared.
     pub fn is_declared(&self, name: &str) -> bool {
         self.jobs.contains_key(name)
     }
@@ -233,7 +237,7 @@
         }
     }
 
-    /// Tells the owned cell in which a job is at home about it.
+    /// Notifies a job's home cell of the job, if this placer owns the cell.
     fn tell(&self, name: &id::Job, actions: &mut Vec<Action>) {
         if let Some((name, kept)) = self.homes.get_key_value(name) {
             self.tell_kept(name, kept, actions);
--- a/crates/tenure/src/directory/claim.rs
+++ b/crates/tenure/src/directory/claim.rs
@@ -1,4 +1,4 @@
-//! Claiming homes for jobs that have none.
+//! Claims of home cells for jobs that have none.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 use super::Action;
 use super::Directory;
 
-/// Jobs claimed in one transaction; the store takes 128 operations.
+/// Maximum number of jobs claimed in one transaction; the store accepts 128 operations.
 const BATCH: usize = 100;
 
 impl Directory {
-    /// Claims the jobs whose turn it is.
+    /// Claims the waiting jobs that are due.
     pub fn tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.next_due().is_none_or(|due| now < due) {
             return;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Learns how a claim ended. `retry` is how long to wait after a failure.
+    /// Handles the outcome of a claim. After a failure the next claim waits for `retry`.
     pub fn claim_ended(
         &mut self,
         now: Time,
@@ -65,15 +65,15 @@
                 for entry in &verdict.current {
                     self.update_home(now, entry, actions);
                 }
-                // A guard on a key that is gone shows nothing; the watch will.
+                // A guard on a deleted key returns no entry; the watch reports the deletion.
                 self.retry_at = now + retry;
             }
-            // The guards make a second claim harmless whatever became of the first.
+            // The guards make a repeated claim safe whether or not the first took effect.
             Err(_) => self.retry_at = now + retry,
         }
     }
 
-    /// Returns when [`Directory::tick`] next has something to do.
+    /// Returns the time at which [`Directory::tick`] next has something to do.
     pub fn next_due(&self) -> Option<Time> {
         let idle = !self.claim.is_empty() || self.own.is_empty() || self.waiting.is_empty();
         let due = self.scan_at.max(self.retry_at);
@@ -92,7 +92,7 @@
         txn.changes.push(kv::Change::Put { key, value, lease: 0 });
     }
 
-    /// Returns our best-ranked cell for a job and its rank among all cells that may run it.
+    /// Returns the best-ranked owned cell for a job and its rank among all cells that may run it.
     pub(super) fn best_claim(&self, name: &id::Job) -> Option<(id::Cell, usize)> {
         let spec = self.jobs.get(name)?;
         let tried = self.homes.get(name).map_or(&[][..], |kept| &kept.home.tried);
--- a/crates/tenure/src/directory/removal.rs
+++ b/crates/tenure/src/directory/removal.rs
@@ -1,4 +1,4 @@
-//! Jobs that leave their cell.
+//! Removal of jobs from their home cell.
 
 use cowslipchute_base::id;
 use cowslipchute_ports::kv;
@@ -12,17 +12,19 @@
 use super::Removal;
 
 impl Directory {
-    /// Tells whether a job could have its home in another cell than the one it is in.
+    /// Returns `true` if the job could move to a cell that it hasn't tried yet.
     pub fn can_move(&self, name: &id::Job) -> bool {
         self.next_home(name).is_some()
     }
 
-    /// Builds what is written together with the removal of a job's record from its cell, after
-    /// nothing of the job is left there. The home of a job that is no longer declared is removed;
-    /// one that is to `depart` gives it up; any other was declared anew and keeps it, and writing
-    /// it again undoes a removal that is still on its way.
+    /// Starts the removal of a job from its cell and returns the transaction to commit together
+    /// with the deletion of the job's record, once nothing of the job is left in the cell.
     ///
-    /// Nothing if the job's home is not in that cell.
+    /// The home of a job that is no longer declared is deleted; if `depart` is set, the job gives
+    /// up its home for another cell. Otherwise the job was declared again and keeps its home;
+    /// writing it again makes a removal that is still in flight fail its guard.
+    ///
+    /// Returns `None` if the job's home is not this cell.
     pub fn begin_removal(
         &mut self,
         name: &id::Job,
@@ -46,7 +48,7 @@
         Some(kv::Txn { guards, changes: vec![change] })
     }
 
-    /// Learns that a job's removal from its cell is in the store.
+    /// Records that the removal of a job from its cell is in the store.
     pub fn removal_written(&mut self, name: &id::Job, actions: &mut Vec<Action>) {
         let Some(kept) = self.homes.get_mut(name) else { return };
         let Some(leaving) = &mut kept.leaving else { return };
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Returns the home by which a job asks for another cell, if there is one left to ask.
+    /// Returns the home value by which a job requests another cell, if there is one left to try.
     fn next_home(&self, name: &id::Job) -> Option<Home> {
         let kept = self.homes.get(name)?;
         let spec = self.jobs.get(name)?;
--- a/crates/tenure/src/event.rs
+++ b/crates/tenure/src/event.rs
@@ -1,4 +1,4 @@
-//! What a keeper is told.
+//! Events handled by an ownership manager.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 
 use crate::owner::Owner;
 
-/// Number of one store call, rising within a keeper.
+/// Identifier of a store call, increasing within one manager.
 pub type Ticket = u64;
-/// Number of one incoming peer call, chosen by the process.
+/// Identifier of an incoming peer call, chosen by the process.
 pub type CallId = u64;
 
-/// What a keeper is told.
+/// An event handled by an ownership manager.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time passed.
     Tick,
-    /// The platform's list of this failure domain; an older version than the last is ignored.
+    /// A new version of the platform's list of this failure domain; older versions are ignored.
     Listed {
         /// The list.
         view: list::View,
@@ -29,14 +29,14 @@
     DomainRead {
         /// The call.
         ticket: Ticket,
-        /// What was found.
+        /// The entries below the domain's prefix.
         outcome: Result<kv::Snapshot, kv::Error>,
     },
     /// A `Commit` ended.
     Committed {
         /// The call.
         ticket: Ticket,
-        /// The store's verdict.
+        /// The outcome of the transaction.
         outcome: Result<kv::Verdict, kv::Error>,
     },
     /// A `Grant` ended.
@@ -50,41 +50,41 @@
     Renewed {
         /// The call.
         ticket: Ticket,
-        /// How long the lease lasts from the renewal on.
+        /// The duration of the lease from its renewal.
         outcome: Result<Duration, kv::Error>,
     },
-    /// A later owner of a cell asks whether this process has stopped.
+    /// A later owner of a cell asks whether this process has stopped the cell.
     StoppedQueried {
         /// The call, answered by exactly one `Answer`.
         call: CallId,
         /// The cell.
         cell: id::Cell,
-        /// The epoch that the asker has taken.
+        /// The epoch of the later owner.
         epoch: id::Epoch,
     },
-    /// A former owner said that it has stopped.
+    /// A previous owner confirmed that it has stopped a cell.
     StopConfirmed {
         /// The cell.
         cell: id::Cell,
-        /// The epoch for which it was asked.
+        /// The epoch under which the query was sent.
         epoch: id::Epoch,
-        /// The life that answered, as it named itself.
+        /// The incarnation that answered, as it identified itself.
         owner: Owner,
     },
-    /// A worker's report shows a higher epoch than ours.
+    /// A worker's report shows a higher epoch than this placer's.
     HigherEpoch {
         /// The cell.
         cell: id::Cell,
-        /// The epoch seen.
+        /// The epoch in the report.
         epoch: id::Epoch,
     },
-    /// The process has stopped all it did for a cell, sending included.
+    /// The process has stopped a cell, and none of its requests is in flight.
     Quiesced {
         /// The cell.
         cell: id::Cell,
-        /// The epoch under which it did it.
+        /// The epoch under which the cell was run.
         epoch: id::Epoch,
     },
-    /// The process is asked to stop: give up every cell.
+    /// The process was asked to stop: release all cells.
     Drain,
 }
--- a/crates/tenure/src/inquiry.rs
+++ b/crates/tenure/src/inquiry.rs
@@ -1,4 +1,5 @@
-//! How former owners of a cell ended, from the platform's list and from themselves.
+//! Inquiry into whether the previous owners of a cell have stopped, by the platform's list and by
+//! queries to them.
 
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
@@ -9,7 +10,7 @@
 use crate::owner::Owner;
 use crate::owner::PreviousOwners;
 
-/// Tells whether the platform has surely ended that life of an instance.
+/// Returns `true` if the platform's list proves that an owner's incarnation has ended.
 pub fn has_ended(owner: &Owner, view: &list::View) -> bool {
     let mut lives = view.members.iter().filter(|member| member.instance == owner.instance);
     if lives.clone().any(|member| member.incarnation > owner.incarnation) {
@@ -19,11 +20,11 @@
     !listed && view.version >= owner.list_version
 }
 
-/// The former owners of one cell that have to be heard of before their tasks may run elsewhere.
+/// The previous owners of a cell that must have stopped before their tasks may run elsewhere.
 #[derive(Clone, Debug)]
 pub struct Inquiry {
     queries: SmallVec<[Query; 2]>,
-    /// Whether any of those settled so far was ended rather than stopping by itself.
+    /// Whether any previous owner was ended by the platform rather than stopping by itself.
     ended: bool,
 }
 
@@ -34,11 +35,12 @@
 }
 
 impl Inquiry {
-    /// Starts with all former owners; `own` is this life, which knows that it has stopped.
+    /// Opens an inquiry into all previous owners. `own` is this incarnation, which has stopped
+    /// running the cell.
     pub fn open(formers: &[Owner], own: &Owner, view: &list::View, now: Time) -> Inquiry {
         let mut inquiry = Inquiry { queries: SmallVec::new(), ended: false };
         for owner in formers {
-            // What this process sent under an earlier epoch of its own may still be on its way.
+            // Requests of this process under a previous epoch may still be in flight.
             if owner.is_same(own) || has_ended(owner, view) {
                 inquiry.ended = true;
             } else {
@@ -48,7 +50,7 @@
         inquiry
     }
 
-    /// Returns how the former owners ended, taken together.
+    /// Returns what is known of all previous owners together.
     pub fn former(&self) -> Former {
         match (self.queries.is_empty(), self.ended) {
             (false, _) => Former::Unheard,
@@ -57,12 +59,13 @@
         }
     }
 
-    /// Lists those that are not settled.
+    /// Returns the previous owners that are not known to have stopped.
     pub fn unconfirmed(&self) -> PreviousOwners {
         self.queries.iter().map(|question| question.owner.clone()).collect()
     }
 
-    /// Drops those that the list shows as ended; tells whether that settled the last one.
+    /// Removes the previous owners that the list proves to have ended. Returns `true` if that
+    /// removed the last one.
     pub fn apply_list(&mut self, view: &list::View) -> bool {
         let before = self.queries.len();
         self.queries.retain(|question| !has_ended(&question.owner, view));
@@ -71,14 +74,15 @@
         settled && self.queries.is_empty()
     }
 
-    /// Drops one that has said it stopped; tells whether that settled the last one.
+    /// Removes a previous owner that confirmed that it has stopped. Returns `true` if it was the
+    /// last one.
     pub fn confirm_stopped(&mut self, owner: &Owner) -> bool {
         let before = self.queries.len();
         self.queries.retain(|question| !question.owner.is_same(owner));
         self.queries.len() < before && self.queries.is_empty()
     }
 
-    /// Takes the owners to be asked now; each is asked again after `every`.
+    /// Returns the owners to query now; each is queried again after `interval`.
     pub fn due(&mut self, now: Time, every: Time) -> SmallVec<[Owner; 2]> {
         let mut due = SmallVec::new();
         for question in self.queries.iter_mut().filter(|question| question.ask_at <= now) {
@@ -88,7 +92,7 @@
         due
     }
 
-    /// Returns when the next one is to be asked.
+    /// Returns the time of the next query.
     pub fn next_due(&self) -> Option<id::Time> {
         self.queries.iter().map(|question| question.ask_at).min()
     }
--- a/crates/tenure/src/key.rs
+++ b/crates/tenure/src/key.rs
@@ -1,5 +1,5 @@
-//! Keys of one failure domain's ownership, all below one prefix so that one read shows them as of
-//! one revision and one watch covers them.
+//! Store keys of a failure domain. All keys about its cells share one prefix, so that one read
+//! returns them at a single revision and one watch covers them.
 
 use cowslipchute_base::id;
 use cowslipchute_resource::key::CELL;
@@ -11,23 +11,23 @@
 const ALIVE: &str = "alive/";
 const PLAN: &str = "plan";
 
-/// What stands at a key below a domain's prefix.
+/// The kind of a key below a domain's prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind<'a> {
     /// The ownership of a cell.
     Cell(CellIndex),
-    /// The liveness of one life of a placer.
+    /// The liveness of one incarnation of a placer.
     Alive {
         /// The placer's instance.
         instance: &'a str,
-        /// Which life of it.
+        /// The incarnation of the instance.
         incarnation: id::Incarnation,
     },
-    /// Which rack belongs to which cell.
+    /// The assignment of racks to cells.
     Plan,
 }
 
-/// Returns the prefix of everything about the cells of a domain.
+/// Returns the prefix of all keys about the cells of a domain.
 pub fn domain(domain: &str) -> String {
     format!("{CELL}{domain}/")
 }
@@ -37,12 +37,12 @@
     format!("{CELL}{domain}/{slice}")
 }
 
-/// Returns the name of a cell, `domain/slice`.
+/// Returns the name of a cell, `domain/index`.
 pub fn name(domain: &str, slice: CellIndex) -> id::Cell {
     format!("{domain}/{slice}").into()
 }
 
-/// Returns the key of a placer's liveness, which goes with its lease.
+/// Returns the liveness key of a placer, which the store deletes when the placer's lease expires.
 pub fn alive(domain: &str, instance: &str, incarnation: id::Incarnation) -> String {
     format!("{CELL}{domain}/{ALIVE}{instance}/{incarnation}")
 }
@@ -62,12 +62,12 @@
     format!("{RECORD}{cell}/{job}")
 }
 
-/// Returns the key of a job's home.
+/// Returns the key of a job's home cell.
 pub fn home(job: &str) -> String {
     format!("{HOME}{job}")
 }
 
-/// Tells what stands at a key of a domain; nothing if it is none of ours.
+/// Parses a key of a domain. Returns `None` for a key that is not about a cell.
 pub fn parse<'a>(domain: &str, key: &'a str) -> Option<Kind<'a>> {
     let rest = key.strip_prefix(CELL)?.strip_prefix(domain)?.strip_prefix('/')?;
     if rest == PLAN {
@@ -80,7 +80,7 @@
     Some(Kind::Cell(rest.parse().ok()?))
 }
 
-/// Names the cell at a key of any domain; nothing if the key holds no cell's ownership.
+/// Returns the cell whose ownership is stored at a key of any domain, or `None` for another key.
 pub fn parse_cell(key: &str) -> Option<id::Cell> {
     let rest = key.strip_prefix(CELL)?;
     let (_, slice) = rest.split_once('/')?;
--- a/crates/tenure/src/lease.rs
+++ b/crates/tenure/src/lease.rs
@@ -1,4 +1,4 @@
-//! The lease by which a placer shows that it is alive.
+//! The lease that keeps a placer's liveness key in the store.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 use crate::action::Action;
 use crate::event::Ticket;
 
-/// A lease is renewed after this part of its time.
+/// A lease is renewed after this fraction of its duration.
 const RENEW_PART: u32 = 3;
-/// A failed call is made again after this part of the lease's time.
+/// A failed call is retried after this fraction of the lease's duration.
 const RETRY_PART: u32 = 10;
 
-/// Numbers store calls.
+/// A generator of store call identifiers.
 #[derive(Clone, Debug, Default)]
 pub struct Tickets {
     last: Ticket,
 }
 
 impl Tickets {
-    /// Returns the next number.
+    /// Returns the next identifier.
     pub fn issue(&mut self) -> Ticket {
         self.last += 1;
         self.last
     }
 }
 
-/// A call on its way. Its time is counted from before the send, so that the holder's reckoning of
-/// the lease never outlasts the store's.
+/// A call in flight. The lease is counted from before the call was sent, so that the holder never
+/// considers the lease valid for longer than the store does.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sent {
     pub(crate) ticket: Ticket,
@@ -43,7 +43,7 @@
     Valid { lease: kv::LeaseId, until: Time, renew_at: Time, sent: Option<Sent> },
 }
 
-/// The lease: granted, then bound to the liveness key, then renewed.
+/// A lease, which is granted, then attached to the liveness key, then renewed.
 #[derive(Clone, Debug)]
 pub struct Lease {
     ttl: Duration,
@@ -51,17 +51,17 @@
 }
 
 impl Lease {
-    /// Starts without a lease.
+    /// Opens the state without a lease.
     pub fn open(ttl: Duration) -> Lease {
         Lease { ttl, state: State::Absent { retry_at: Duration::ZERO } }
     }
 
-    /// Tells whether the liveness key surely stands at `now`.
+    /// Returns `true` if the liveness key is certain to exist at `now`.
     pub fn is_valid(&self, now: Time) -> bool {
         matches!(self.state, State::Valid { until, .. } if now < until)
     }
 
-    /// Returns the lease if there is one.
+    /// Returns the identifier of the lease, if there is one.
     pub fn id(&self) -> Option<kv::LeaseId> {
         match self.state {
             State::Publishing { lease, .. } | State::Valid { lease, .. } => Some(lease),
@@ -69,13 +69,13 @@
         }
     }
 
-    /// Forgets the lease; nothing is renewed again until it is granted anew.
+    /// Drops the lease; a new one is requested at `retry_at`.
     pub fn drop_lease(&mut self, retry_at: Time) {
         self.state = State::Absent { retry_at };
     }
 
-    /// Renews the lease when it is due. A lease that still stands could be taken over by nobody, so
-    /// this needs no look at the cells first.
+    /// Renews the lease when the renewal is due. No cell can have been taken over while the lease
+    /// is valid, so the domain doesn't have to be read first.
     pub fn renew(&mut self, now: Time, tickets: &mut Tickets, actions: &mut Vec<Action>) {
         let State::Valid { lease, renew_at, sent, .. } = &mut self.state else { return };
         if sent.is_some() || now < *renew_at {
@@ -86,7 +86,7 @@
         actions.push(Action::Renew { ticket, lease: *lease });
     }
 
-    /// Takes the next step towards a lease that is bound to the liveness key.
+    /// Performs the next step towards a lease that is attached to the liveness key.
     pub fn obtain(
         &mut self,
         now: Time,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Learns how a grant ended.
+    /// Handles the outcome of a grant.
     pub fn granted(&mut self, now: Time, ticket: Ticket, outcome: Result<kv::LeaseId, kv::Error>) {
         let State::Granting { sent } = self.state else { return };
         if sent.ticket != ticket {
@@ -121,12 +121,13 @@
             Ok(lease) => {
                 State::Publishing { lease, until: sent.at + self.ttl, sent: None, retry_at: now }
             }
-            // A lease whose grant was lost is bound to no key and lapses by itself.
+            // A lease whose grant was lost is attached to no key and expires.
             Err(_) => State::Absent { retry_at: now + self.retry() },
         };
     }
 
-    /// Learns how the write of the liveness key ended; tells whether the call was this lease's.
+    /// Handles the outcome of the write of the liveness key. Returns `true` if `ticket` was that
+    /// write.
     pub fn published(
         &mut self,
         now: Time,
@@ -140,13 +141,13 @@
         self.state = match outcome {
             Ok(_) => State::Valid { lease, until, renew_at: self.renew_at(until), sent: None },
             Err(kv::Error::LeaseGone) => State::Absent { retry_at: now },
-            // The write is the same each time, so it may be made again whatever became of it.
+            // The write is idempotent, so it can be repeated whether or not it took effect.
             Err(_) => State::Publishing { lease, until, sent: None, retry_at: now + self.retry() },
         };
         true
     }
 
-    /// Learns how a renewal ended.
+    /// Handles the outcome of a renewal.
     pub fn renewed(&mut self, now: Time, ticket: Ticket, outcome: Result<Duration, kv::Error>) {
         let State::Valid { lease, until, sent: Some(sent), .. } = self.state else { return };
         if sent.ticket != ticket {
@@ -162,7 +163,7 @@
         };
     }
 
-    /// Returns when `renew` or `obtain` next has something to do.
+    /// Returns the time at which `renew` or `obtain` next has something to do.
     pub fn next_due(&self) -> Option<Time> {
         match self.state {
             State::Absent { retry_at } => Some(retry_at),
@@ -186,7 +187,7 @@
 pub struct Liveness {
     /// The key.
     pub key: String,
-    /// The value, for a reader only: what counts is that the key stands.
+    /// The value, for information only: liveness depends on the existence of the key.
     pub value: Vec<u8>,
 }
 
--- a/crates/tenure/src/lib.rs
+++ b/crates/tenure/src/lib.rs
@@ -1,11 +1,11 @@
-//! Decisions about who owns which cell of a failure domain, and which cell is a job's home.
+//! Ownership of the cells of a failure domain, and the home cell of each job.
 //!
-//! [`ownership::Manager`] has one door: an [`event::Event`] and the time go in, [`action::Action`]s
-//! come out. [`seat::Seat`] does the same for a cell that one process at a time owns as a whole.
-//! Neither does I/O, reads a clock or draws randomness. Ownership is a value in the
-//! platform's store that changes only by compare-and-swap under a rising epoch; what an owner does
-//! with its cell is `cowslipchute-cell`'s business, and sending is the placer's. The reasons are in
-//! `docs/design/tenure.md`.
+//! [`ownership::Manager`] takes an [`event::Event`] and the time and returns [`action::Action`]s.
+//! [`seat::Seat`] does the same for a cell that exactly one process owns at a time, by leader
+//! election. Neither does I/O, reads a clock or draws randomness. Ownership is a value in the
+//! platform's store that changes only by compare-and-swap, with a rising epoch. What an owner does
+//! with its cell is decided by `cowslipchute-cell`; the placer carries the actions out. The design
+//! is explained in `docs/design/tenure.md`.
 
 pub mod action;
 pub mod directory;
--- a/crates/tenure/src/ownership.rs
+++ b/crates/tenure/src/ownership.rs
@@ -1,9 +1,9 @@
-//! The keeper: one placer's decisions about the cells of its failure domain.
+//! The ownership manager: one placer's decisions about the cells of its failure domain.
 //!
-//! Everything that goes wrong with the store ends in one place: the keeper stops trusting what it
-//! knows ([`Manager::invalidate`]) and writes nothing until a look begun afterwards has come back.
-//! That look settles writes whose answers were lost, shows cells that were taken while this
-//! process was frozen or cut off, and tells that the store is back.
+//! All store failures are handled in the same way: the manager invalidates what it has read
+//! ([`Manager::invalidate`]) and writes nothing until a read begun afterwards has returned. That
+//! read resolves writes whose answers were lost, shows cells that were taken while this process
+//! was stalled or cut off, and shows that the store is reachable again.
 
 mod cells;
 mod peers;
@@ -40,35 +40,35 @@
 
 use read::Reader;
 
-/// A gap between steps of more than this part of the lease counts as a pause.
+/// A gap between steps of more than this fraction of the lease counts as a stall.
 const PAUSE_PART: u32 = 2;
-/// The keeper wants a step at least this often, as a part of the lease.
+/// The longest interval between steps that the manager requests, as a fraction of the lease.
 const STEP_PART: u32 = 8;
 
-/// Settings of a keeper.
+/// Settings of an ownership manager.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This instance.
     pub instance: id::Instance,
-    /// Which life of it.
+    /// The incarnation of the instance.
     pub incarnation: id::Incarnation,
-    /// Where its peers reach it.
+    /// The address at which peers reach it.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// How long its lease lasts.
+    /// The duration of its lease.
     pub lease: Duration,
-    /// The most workers of a cell, unless one rack has more.
+    /// Maximum number of workers in a cell, unless a single rack has more.
     pub max_cell_workers: usize,
-    /// How long each rank waits for the one before it to take a free cell. Only saves writes.
+    /// Delay per rank before a placer takes a free cell. It only saves conflicting writes.
     pub rank_delay: Duration,
-    /// How long another placer has to rank before us until a cell is handed to it.
+    /// How long another placer must rank first for a cell before the cell is handed over to it.
     pub handover_delay: Duration,
-    /// How often a former owner is asked whether it has stopped.
+    /// Interval at which a previous owner is asked whether it has stopped.
     pub query_interval: Duration,
 }
 
-/// What a commit on its way is for.
+/// The purpose of a commit in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
     Plan,
@@ -76,7 +76,7 @@
     Release(CellIndex),
 }
 
-/// Whether the process is asked to stop.
+/// The progress of the drain before the process exits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Drain {
     No,
@@ -84,13 +84,14 @@
     Done,
 }
 
-/// Decides about the cells of one failure domain for one placer.
+/// Decides which cells of a failure domain a placer owns.
 #[derive(Clone, Debug)]
 pub struct Manager {
     settings: Settings,
     alive: Liveness,
     view: Option<list::View>,
-    /// The placers among them; most of the list are workers, and every step looks for placers.
+    /// The placers of this domain in `view`. Most members are workers, and every step needs only
+    /// the placers.
     placers: Vec<list::Member>,
     scene: Option<Snapshot>,
     plan: Plan,
@@ -105,7 +106,7 @@
 }
 
 impl Manager {
-    /// Opens a keeper that knows nothing and owns nothing.
+    /// Opens a manager that has read nothing and owns no cell.
     pub fn open(settings: Settings) -> Manager {
         let key = key::alive(&settings.domain, &settings.instance, settings.incarnation);
         let alive = Liveness { key, value: settings.address.to_string().into_bytes() };
@@ -127,9 +128,9 @@
         }
     }
 
-    /// Takes one event at a time and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions in order.
     ///
-    /// `now` never goes back from one call to the next.
+    /// `now` must not decrease from one call to the next.
     pub fn step(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.check_stall(now);
         match event {
@@ -160,7 +161,7 @@
         self.last = Some(now);
     }
 
-    /// Does what time and the last event made due.
+    /// Performs everything that is due now.
     fn advance(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.drain == Drain::Done {
             return;
@@ -179,18 +180,19 @@
         self.finish_drain(actions);
     }
 
-    /// Tells whether the process must let its cells do nothing: it was paused for so long that
-    /// another placer may have taken them, and the look that would show it is not back yet.
+    /// Returns `true` if the process must not step its cells: it was stalled for so long that
+    /// another placer may have taken them, and the read that would show this has not returned yet.
     pub fn is_suspended(&self) -> bool {
         self.reader.is_suspended()
     }
 
-    /// Tells the same for a process that is about to step its cells at `now`.
+    /// Returns `true` if the process must not step its cells at `now`, also because of a stall that
+    /// [`Manager::step`] has not seen yet.
     pub fn is_suspended_at(&self, now: Time) -> bool {
         self.is_suspended() || self.is_stall(now)
     }
 
-    /// Returns when a [`Event::Tick`] is next due.
+    /// Returns the time at which the next [`Event::Tick`] is due.
     pub fn next_due(&self, now: Time) -> Time {
         let idle = self.last.unwrap_or(now) + self.settings.lease / STEP_PART;
         let mut due = idle.min(self.reader.next_due().unwrap_or(idle));
@@ -201,17 +203,17 @@
         due
     }
 
-    /// Returns which rack belongs to which cell.
+    /// Returns the assignment of racks to cells.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Tells whether the platform's list shows this life.
+    /// Returns `true` if the platform's list shows this incarnation.
     pub fn is_listed(&self) -> bool {
         self.own_member().is_some()
     }
 
-    /// Tells whether the store has answered since it last failed.
+    /// Returns `true` if the store was read successfully since its last failure.
     pub fn reaches_store(&self) -> bool {
         self.reader.is_fresh()
     }
@@ -225,7 +227,7 @@
         member.instance == self.settings.instance && member.incarnation == self.settings.incarnation
     }
 
-    /// Returns this life as it stands in claims.
+    /// Returns this incarnation as it is written into claims.
     fn own(&self) -> Owner {
         Owner {
             instance: self.settings.instance.clone(),
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Returns an identity that no other write has.
+    /// Returns a unique identity for the next write.
     fn next_operation(&mut self) -> id::Operation {
         self.operations += 1;
         let life = format!("{}/{}", self.settings.instance, self.settings.incarnation);
@@ -247,7 +249,7 @@
         gap > self.settings.lease / PAUSE_PART
     }
 
-    /// After a pause nothing that was known about the store counts until it is read again.
+    /// Invalidates everything known about the store after a stall, until the store is read again.
     fn check_stall(&mut self, now: Time) {
         if !self.is_stall(now) {
             return;
@@ -259,7 +261,7 @@
         }
     }
 
-    /// Learns from the end of any store call whether the store answers.
+    /// Updates the availability of the store from the outcome of a store call.
     fn store_call_ended(
         &mut self,
         now: Time,
@@ -270,7 +272,7 @@
             None | Some(kv::Error::LeaseGone | kv::Error::Compacted(_)) => {
                 self.store_answered(now, actions);
             }
-            // A lost answer is settled by its own caller; it doesn't show that the store is gone.
+            // The caller resolves a lost answer; it doesn't mean that the store is unavailable.
             Some(kv::Error::Unknown(_)) => self.reader.require_reread(now),
             Some(error) => self.store_failed(now, error, actions),
         }
--- a/crates/tenure/src/ownership/cells.rs
+++ b/crates/tenure/src/ownership/cells.rs
@@ -1,4 +1,4 @@
-//! Keeping, losing and giving up cells.
+//! Reconciliation of cells with the store, loss of ownership, and handovers.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 use super::Manager;
 use super::Purpose;
 
-/// Each handing over of a cell doubles the time until the next, up to this many times.
+/// Maximum number of doublings: each handover of a cell doubles the delay before the next one.
 const HANDOVERS_MAX: u32 = 6;
 
 impl Manager {
@@ -35,7 +35,7 @@
         let purpose = self.commits.remove(&ticket);
         self.store_call_ended(now, outcome.as_ref().err(), actions);
         if self.lease.published(now, ticket, &outcome) {
-            // The lease may have lapsed for a moment, in which a cell could have been taken.
+            // The previous lease may have expired, and a cell may have been taken meanwhile.
             self.reader.request(now);
             return;
         }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Holds every stage against what the store showed.
+    /// Reconciles all stages with the last snapshot of the store.
     pub(super) fn reconcile(&mut self, now: Time, actions: &mut Vec<Action>) {
         for slice in 0..self.plan.cell_count() {
             let cell = key::name(&self.settings.domain, slice);
@@ -79,7 +79,7 @@
         }
         match stage {
             Stage::Held(mut tenure) => {
-                // A look from before the taking says nothing about it.
+                // A snapshot older than the ownership says nothing about it.
                 if seen < tenure.state.revision || standing == Some(tenure.state.claim.operation) {
                     tenure.state.isolated = false;
                     return Stage::Held(tenure);
@@ -118,7 +118,7 @@
         Stage::Stopping(tenure)
     }
 
-    /// Drops a cell at once if we act for it under a lower epoch; tells whether we did.
+    /// Stops a cell at once if it runs here under an epoch below `epoch`. Returns `true` if it did.
     pub(super) fn lose_below(
         &mut self,
         slice: CellIndex,
@@ -137,7 +137,7 @@
         below
     }
 
-    /// Starts to give up cells that another placer should have, and all when asked to stop.
+    /// Starts to release the cells that another placer should own, and all cells during a drain.
     pub(super) fn give_up_cells(&mut self, now: Time, actions: &mut Vec<Action>) {
         let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
         for slice in slices {
@@ -164,8 +164,8 @@
         now >= since + handover_wait(wait, tenure)
     }
 
-    /// Starts counting anew for how long others have ranked before us: while the store can't be
-    /// read, nobody shows that they are alive.
+    /// Resets the time since which others have ranked before this placer: while the store can't be
+    /// read, no placer is known to be alive.
     pub(super) fn forget_ranks(&mut self) {
         for stage in self.stages.values_mut() {
             if let Stage::Held(tenure) = stage {
@@ -182,7 +182,7 @@
         self.stages.insert(slice, Stage::Yielding(tenure.give_up()));
     }
 
-    /// Tells operators once when cells are kept without the store.
+    /// Logs once per cell that it is kept running without the store.
     pub(super) fn log_isolation(&mut self, now: Time, actions: &mut Vec<Action>) {
         if !self.reader.is_down() || self.lease.is_valid(now) {
             return;
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Returns when a stage has something to do by itself.
+    /// Returns the time at which a stage next has something to do, if any.
     pub(super) fn stage_due(&self, now: Time, stage: &Stage) -> Option<Time> {
         match stage {
             Stage::Vacant(tenure) if self.can_take(now) => {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Returns a cell's number if it is of this domain.
+    /// Returns the index of a cell if the cell is of this domain.
     pub(super) fn slice_of(&self, cell: &str) -> Option<CellIndex> {
         let rest = cell.strip_prefix(&*self.settings.domain)?.strip_prefix('/')?;
         rest.parse().ok()
--- a/crates/tenure/src/ownership/peers.rs
+++ b/crates/tenure/src/ownership/peers.rs
@@ -1,4 +1,4 @@
-//! What placers tell each other, and what workers show.
+//! Information about ownership from the platform's list, other placers and workers.
 
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
@@ -13,7 +13,7 @@
 use super::Manager;
 
 impl Manager {
-    /// Takes a newer list; it may show that a former owner has ended.
+    /// Applies a newer list, which may show that a previous owner has ended.
     pub(super) fn listed(&mut self, view: list::View, actions: &mut Vec<Action>) {
         if self.view.as_ref().is_some_and(|last| last.version >= view.version) {
             return;
@@ -32,7 +32,7 @@
         self.view = Some(view);
     }
 
-    /// Answers a later owner, after everything that we did for the cell has ended.
+    /// Answers the query of a later owner, once this placer has stopped the cell.
     pub(super) fn asked(
         &mut self,
         call: CallId,
@@ -82,7 +82,8 @@
         }
     }
 
-    /// A worker obeys a higher epoch, so ours is over whatever the store last showed.
+    /// Handles a higher epoch reported by a worker: this placer's epoch has ended, whatever the
+    /// store last showed.
     pub(super) fn outranked(
         &mut self,
         now: Time,
--- a/crates/tenure/src/ownership/read.rs
+++ b/crates/tenure/src/ownership/read.rs
@@ -1,4 +1,4 @@
-//! Looks: reading the domain's prefix, and what the keeper trusts in between.
+//! Reads of the domain's prefix, and the validity of what was read.
 
 use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id::Time;
@@ -10,23 +10,23 @@
 
 use super::Manager;
 
-/// A look is made at least this often, as a part of the lease, in case a watch was lost.
+/// The interval between reads, as a fraction of the lease, in case the watch missed a change.
 const LOOK_PART: u32 = 2;
-/// A failed look is made again after this part of the lease.
+/// The delay before a failed read is retried, as a fraction of the lease.
 const RETRY_PART: u32 = 10;
-/// After an outage of more than this part of the lease, other owners get a whole lease's time to
-/// show that they are alive before any cell counts as abandoned.
+/// After an outage longer than this fraction of the lease, other owners get the duration of a lease
+/// to renew their liveness before their cells are taken.
 const OUTAGE_PART: u32 = 2;
 
-/// What is known about the store, and when it is to be read next.
+/// The state of the reads of the store.
 #[derive(Clone, Debug)]
 pub(super) struct Reader {
-    /// The look whose answer counts; an answer of any other is out of date.
+    /// The read in flight; the result of any other read is ignored as outdated.
     ticket: Option<Ticket>,
     due: Time,
-    /// A change was announced while a look was on its way.
+    /// Whether a change was announced while a read was in flight.
     again: bool,
-    /// A look begun after the last failure or pause has come back.
+    /// Whether a read begun after the last failure or stall has returned.
     fresh: bool,
     suspended: bool,
     down_since: Option<Time>,
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Asks for a look, after the one on its way if there is one.
+    /// Requests a read, after the one in flight if there is one.
     pub(super) fn request(&mut self, now: Time) {
         self.again = self.ticket.is_some();
         self.due = self.due.min(now);
     }
 
-    /// Lets nothing be written until a look has come back; one on its way still counts.
+    /// Blocks all writes until a read has returned; a read in flight counts.
     pub(super) fn require_reread(&mut self, now: Time) {
         self.fresh = false;
         self.due = self.due.min(now);
@@ -74,7 +74,7 @@
         self.down_since.is_some()
     }
 
-    /// Tells whether owners whose lease lapsed still get time to show that they are alive.
+    /// Returns `true` if owners with an expired lease still have time to renew their liveness.
     pub(super) fn in_grace_period(&self, now: Time) -> bool {
         now < self.grace_until
     }
@@ -85,8 +85,8 @@
 }
 
 impl Manager {
-    /// Stops trusting what is known about the store; a look already on its way may have read it
-    /// too early and no longer counts.
+    /// Invalidates what is known about the store. A read already in flight may have read it too
+    /// early and is ignored.
     pub(super) fn invalidate(&mut self, now: Time) {
         self.reader.fresh = false;
         self.reader.ticket = None;
@@ -115,7 +115,7 @@
             return;
         }
         self.reader.ticket = None;
-        // Without the store nothing can have been taken over lawfully and nothing can be learnt.
+        // Without the store no cell can have been taken over, and no further read can show more.
         self.reader.suspended = false;
         match outcome {
             Ok(snapshot) => self.apply_snapshot(now, &snapshot, actions),
@@ -151,7 +151,7 @@
             self.log(LogEvent::StoreLost, &instance, error.to_string(), actions);
         }
         self.forget_ranks();
-        // Nothing is written until the store was read again. A look on its way still counts.
+        // Nothing is written until the store has been read again. A read in flight counts.
         self.reader.fresh = false;
         self.reader.due = self.reader.due.min(now + self.settings.lease / RETRY_PART);
     }
--- a/crates/tenure/src/ownership/release.rs
+++ b/crates/tenure/src/ownership/release.rs
@@ -1,4 +1,4 @@
-//! Giving cells up in the store, and the end of a planned stop.
+//! Release of cells in the store, and the end of a drain.
 
 use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
@@ -18,7 +18,7 @@
 use super::Purpose;
 
 impl Manager {
-    /// Learns that the process does nothing for a cell any more.
+    /// Handles the report that the process has stopped a cell.
     pub(super) fn quiesced(&mut self, cell: &str, epoch: id::Epoch, actions: &mut Vec<Action>) {
         let Some(slice) = self.slice_of(cell) else { return };
         let Some(stage) = self.stages.remove(&slice) else { return };
@@ -72,7 +72,7 @@
         let Some(Stage::Releasing(mut tenure)) = self.stages.remove(&slice) else { return };
         tenure.state.ticket = None;
         let stage = match outcome {
-            // What stands there is another's, so there is nothing left to release.
+            // If the guard failed, the key is another owner's, and nothing is left to release.
             Ok(_) => self.released(tenure, actions),
             Err(_) => Stage::Releasing(tenure),
         };
--- a/crates/tenure/src/ownership/status.rs
+++ b/crates/tenure/src/ownership/status.rs
@@ -1,4 +1,4 @@
-//! What a keeper tells about itself.
+//! Status output of the ownership manager.
 
 use cowslipchute_base::id;
 
@@ -6,21 +6,21 @@
 
 use super::Manager;
 
-/// One cell as status output shows it.
+/// The status of one cell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
     /// The cell.
     pub cell: id::Cell,
-    /// How this placer stands to it.
+    /// The stage of this placer's ownership.
     pub stage: &'static str,
-    /// Our epoch, if we act for it.
+    /// This placer's epoch, if it runs the cell.
     pub epoch: Option<id::Epoch>,
-    /// The owner as last read.
+    /// The owner as last read from the store.
     pub owner: Option<id::Instance>,
 }
 
 impl Manager {
-    /// Lists every cell of the domain as this placer stands to it.
+    /// Returns the status of every cell of the domain.
     pub fn cell_statuses(&self) -> impl Iterator<Item = Status> {
         self.stages.iter().map(|(&slice, stage)| {
             let title = self.scene.as_ref().and_then(|scene| scene.entry(slice));
--- a/crates/tenure/src/ownership/take.rs
+++ b/crates/tenure/src/ownership/take.rs
@@ -1,4 +1,4 @@
-//! Taking cells: which are free, whose turn it is, and the write that decides.
+//! Taking of free cells: the conditions, the order among placers, and the write that decides.
 
 use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
@@ -23,7 +23,7 @@
 use super::Manager;
 use super::Purpose;
 
-/// What a cell's key said when it was found free, and what must still be so when it is taken.
+/// A free cell: its last epoch and previous owners, and the guards for taking it.
 struct Vacancy {
     guards: Vec<kv::Guard>,
     epoch: id::Epoch,
@@ -31,7 +31,7 @@
 }
 
 impl Manager {
-    /// Adds racks that no cell has yet.
+    /// Extends the plan by racks that have no cell yet.
     pub(super) fn extend_plan(&mut self, actions: &mut Vec<Action>) {
         if self.commits.values().any(|purpose| *purpose == Purpose::Plan) || !self.may_take() {
             return;
@@ -46,7 +46,7 @@
         self.commit(Purpose::Plan, txn, actions);
     }
 
-    /// Lets a write pass only if the plan is still as it was read.
+    /// Returns a guard that fails if the plan has changed since it was read.
     fn plan_guard(&self, scene: &Snapshot) -> kv::Guard {
         let key = key::plan(&self.settings.domain);
         match scene.plan_revision {
@@ -67,13 +67,14 @@
         ticket
     }
 
-    /// Tells whether this placer stands to take cells at all.
+    /// Returns `true` if this placer is eligible to take cells: it is listed as live and not
+    /// draining.
     fn may_take(&self) -> bool {
         let listed = self.own_member().is_some_and(|member| member.state == list::State::Live);
         listed && self.drain == Drain::No
     }
 
-    /// Tells whether it can take them now.
+    /// Returns `true` if this placer can take cells now.
     pub(super) fn can_take(&self, now: Time) -> bool {
         self.may_take() && self.reader.is_fresh() && self.lease.is_valid(now)
     }
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Returns what makes a cell free, if it is.
+    /// Returns the vacancy of a cell, if the cell is free.
     fn vacancy(&self, now: Time, slice: CellIndex) -> Option<Vacancy> {
         let scene = self.scene.as_ref()?;
         let key = key::cell(&self.settings.domain, slice);
@@ -111,7 +112,7 @@
             let guards = vec![kv::Guard::Missing(key)];
             return Some(Vacancy { guards, epoch: 0, formers: Vec::new() });
         };
-        // A value that can't be read is another version's; its cell is not ours to take.
+        // A value that can't be decoded was written by another version; its cell is never taken.
         let claim = title.claim.as_ref()?;
         let mut guards = vec![kv::Guard::Unchanged(key, title.revision)];
         let mut formers = claim.previous_owners.to_vec();
@@ -131,13 +132,13 @@
         key::alive(&self.settings.domain, &owner.instance, owner.incarnation)
     }
 
-    /// Counts the live placers that come before this one for a cell.
+    /// Returns the number of live placers that rank before this one for a cell.
     pub(super) fn rank(&self, slice: CellIndex) -> usize {
         let cell = key::name(&self.settings.domain, slice);
         rank::rank(&cell, &self.settings.instance, self.candidates())
     }
 
-    /// Lists the other placers that the list shows as staying and the store as alive.
+    /// Returns the other placers that are listed as live and whose liveness key exists.
     pub(super) fn candidates(&self) -> impl Iterator<Item = &str> {
         let others = self.placers.iter().filter(|member| {
             member.state == list::State::Live && member.instance != self.settings.instance
@@ -161,7 +162,7 @@
         let operation = self.next_operation();
         let claim = Claim { owner: own, epoch, operation, released: false, previous_owners };
         let mut guards = opening.guards;
-        // The former owner may have used a rack that an older plan doesn't show as the cell's.
+        // The previous owner may have used a rack that an older plan doesn't assign to the cell.
         guards.extend(self.scene.as_ref().map(|scene| self.plan_guard(scene)));
         guards.push(kv::Guard::Present(self.alive.key.clone()));
         let key = key::cell(&self.settings.domain, slice);
@@ -172,7 +173,7 @@
         self.stages.insert(slice, Stage::Taking(taking));
     }
 
-    /// Learns how the write that takes a cell ended.
+    /// Handles the outcome of the write that takes a cell.
     pub(super) fn take_ended(
         &mut self,
         now: Time,
@@ -182,7 +183,7 @@
     ) {
         let Some(Stage::Taking(mut tenure)) = self.stages.remove(&slice) else { return };
         let stage = match outcome {
-            // An answer that lay around while we were paused or cut off may be out of date.
+            // An answer received after a stall or while cut off from the store may be outdated.
             Ok(verdict) if verdict.applied && self.is_certain(now) => {
                 self.own_cell(now, tenure, verdict.revision, actions)
             }
@@ -202,12 +203,12 @@
         self.stages.insert(slice, stage);
     }
 
-    /// Tells whether an answer just received can be acted on without looking again.
+    /// Returns `true` if an answer just received can be acted on without another read.
     fn is_certain(&self, now: Time) -> bool {
         self.reader.is_fresh() && self.lease.is_valid(now)
     }
 
-    /// Becomes the owner, unless a higher epoch was met meanwhile.
+    /// Records this placer as the owner, unless a higher epoch was seen meanwhile.
     pub(super) fn own_cell(
         &mut self,
         now: Time,
--- a/crates/tenure/src/plan.rs
+++ b/crates/tenure/src/plan.rs
@@ -1,8 +1,8 @@
-//! Which rack belongs to which cell.
+//! The assignment of racks to cells.
 //!
-//! The plan is a value in the store and only ever grows: a rack stays in its cell for good. A plan
-//! worked out afresh from each list would move racks whenever the fleet grows, and a worker that
-//! changes its cell would have two owners whose epochs say nothing about each other.
+//! The plan is a value in the store and only grows: a rack never changes its cell. A plan
+//! recomputed from each list would move racks whenever the fleet grows, and a worker that changes
+//! its cell would have two owners whose epochs are not comparable.
 
 use std::collections::BTreeMap;
 
@@ -12,42 +12,42 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Number of a cell within its failure domain.
+/// Index of a cell within its failure domain.
 pub type CellIndex = u32;
 
-/// Which rack belongs to which cell.
+/// The assignment of racks to cells.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Plan {
-    /// The cell of each rack ever seen.
+    /// The cell of each rack that was ever listed.
     pub racks: BTreeMap<id::Rack, CellIndex>,
 }
 
 impl Plan {
-    /// Reads the value of the plan's key; nothing when it can't be read.
+    /// Decodes the value of the plan's key. Returns `None` if it is invalid.
     pub fn from_bytes(bytes: &[u8]) -> Option<Plan> {
         serde_json::from_slice(bytes).ok()
     }
 
-    /// Returns the value of the plan's key.
+    /// Encodes the value of the plan's key.
     pub fn to_bytes(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("a plan always has a JSON form")
     }
 
-    /// Returns the cell of a rack, once it has one.
+    /// Returns the cell of a rack, if it has one.
     pub fn cell_index(&self, rack: &str) -> Option<CellIndex> {
         self.racks.get(rack).copied()
     }
 
-    /// Counts the cells; they are numbered from zero without a gap.
+    /// Returns the number of cells; they are numbered from zero without gaps.
     pub fn cell_count(&self) -> CellIndex {
         self.racks.values().max().map_or(0, |last| last + 1)
     }
 
-    /// Returns the plan with every listed worker's rack in it, or nothing if it has them all.
+    /// Returns the plan extended by the racks of all listed workers, or `None` if it has them all.
     ///
-    /// A new rack goes to the first cell that it fits into; one that fits into none opens a cell. A rack of
-    /// more than `limit` workers gets a cell to itself.
+    /// A new rack is assigned to the first cell that stays within `limit` workers, or else to a new
+    /// cell. A rack of more than `limit` workers gets a cell of its own.
     pub fn extended(&self, members: &[Member], limit: usize) -> Option<Plan> {
         let sizes = rack_sizes(members);
         let mut missing = sizes.keys().filter(|rack| !self.racks.contains_key(**rack)).peekable();
@@ -67,7 +67,7 @@
         Some(plan)
     }
 
-    /// Counts the listed workers of each cell.
+    /// Returns the number of listed workers in each cell.
     fn loads(&self, sizes: &BTreeMap<&id::Rack, usize>) -> Vec<usize> {
         let mut loads = vec![0; self.cell_count() as usize];
         for (rack, &slice) in &self.racks {
--- a/crates/tenure/src/rank.rs
+++ b/crates/tenure/src/rank.rs
@@ -1,9 +1,9 @@
-//! Rendezvous ranking: everyone who knows the same names gets the same order, and a name that
-//! joins or leaves moves only what it wins or held.
+//! Rendezvous hashing: all processes that know the same candidates compute the same order, and a
+//! candidate that joins or leaves changes only the items for which it ranks first.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Weighs a candidate for a thing; the highest weight comes first.
+/// Returns the weight of a candidate for an item; the highest weight ranks first.
 pub fn weight(thing: &str, candidate: &str) -> u64 {
     let mut text = String::with_capacity(thing.len() + candidate.len() + 1);
     text.push_str(thing);
@@ -12,7 +12,7 @@
     xxh3_64(text.as_bytes())
 }
 
-/// Counts the candidates that come before `own`, leaving `own` itself out.
+/// Returns the number of other candidates that rank before `own`.
 pub fn rank<'a>(thing: &str, own: &str, candidates: impl Iterator<Item = &'a str>) -> usize {
     let mine = (weight(thing, own), own);
     candidates.filter(|&other| other != own && (weight(thing, other), other) > mine).count()
--- a/crates/tenure/src/seat.rs
+++ b/crates/tenure/src/seat.rs
@@ -1,10 +1,11 @@
-//! Who owns a cell that one process at a time owns as a whole: a key in the store, bound to its
-//! holder's lease.
+//! Leader election for a cell that exactly one process owns at a time: a key in the store, attached
+//! to its holder's lease.
 //!
-//! The key's revision is the owner's epoch, so a later owner always ranks above an earlier one, and
-//! a write guarded by that revision can be made by no earlier owner. An owner counts its lease from
-//! before each renewal was sent, so that it never believes longer than the store does. A claim
-//! whose answer was lost is settled by what the watch shows: each claim carries its own mark.
+//! The key's revision is the owner's epoch. So a later owner always has a higher epoch, and a write
+//! guarded by that revision fails for any previous owner. An owner counts its lease from before
+//! each renewal was sent, so that it never considers the lease valid for longer than the store
+//! does. A claim whose answer was lost is resolved by the watch: the key's value identifies the
+//! holder.
 
 use std::time::Duration;
 
@@ -16,19 +17,19 @@
 use crate::lease::Sent;
 use crate::lease::Tickets;
 
-/// A lease is renewed after this part of its time.
+/// A lease is renewed after this fraction of its duration.
 const RENEW_PART: u32 = 5;
-/// A failed call is made again after this part of the lease's time.
+/// A failed call is retried after this fraction of the lease's duration.
 const RETRY_PART: u32 = 12;
 
-/// What a seat is told.
+/// An event handled by an election.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Time passed.
     Tick,
-    /// The key as the store holds it, or its absence, as of a revision.
+    /// The key was read or changed, or is absent, as of a revision.
     Seen {
-        /// The store's revision of the look or of the change.
+        /// The store's revision of the read or of the change.
         at: Revision,
         /// The key.
         entry: Option<kv::Entry>,
@@ -44,86 +45,86 @@
     Claimed {
         /// The call.
         ticket: Ticket,
-        /// The store's verdict.
+        /// The outcome of the transaction.
         outcome: Result<kv::Verdict, kv::Error>,
     },
     /// A `Renew` ended.
     Renewed {
         /// The call.
         ticket: Ticket,
-        /// How long the lease lasts.
+        /// The duration of the lease.
         outcome: Result<Duration, kv::Error>,
     },
-    /// A write as the owner was refused, since the key has changed.
+    /// A write as the owner was rejected because the key has changed.
     Refused,
-    /// The process is asked to stop: give the cell up and never claim it again.
+    /// The process was asked to stop: release the cell and never claim it again.
     Drain,
 }
 
-/// What a seat wants done.
+/// An action requested by an election.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Grant a lease.
     Grant {
-        /// Number of the call.
+        /// Identifier of the call.
         ticket: Ticket,
-        /// How long it lasts.
+        /// The duration of the lease.
         ttl: Duration,
     },
-    /// Write the key, bound to the lease, if it doesn't exist.
+    /// Write the key, attached to the lease, if it doesn't exist.
     Claim {
-        /// Number of the call.
+        /// Identifier of the call.
         ticket: Ticket,
         /// The lease.
         lease: kv::LeaseId,
     },
     /// Renew the lease.
     Renew {
-        /// Number of the call.
+        /// Identifier of the call.
         ticket: Ticket,
         /// The lease.
         lease: kv::LeaseId,
     },
-    /// Read the key, and tell what was `Seen`; a failed read is told by nothing.
+    /// Read the key and report it as `Seen`; a failed read is not reported.
     Look,
-    /// End the lease; nothing is told about the outcome.
+    /// Revoke the lease; the outcome is not reported back.
     Revoke {
         /// The lease.
         lease: kv::LeaseId,
     },
-    /// Run the cell from now on.
+    /// Start running the cell.
     Own {
         /// The key's revision, which guards every write of this owner.
         epoch: Revision,
-        /// The lease lasts at least until then.
+        /// Earliest possible expiry of the lease.
         until: Time,
     },
-    /// The lease lasts at least until then.
+    /// Earliest possible expiry of the lease.
     Extend {
-        /// The time.
+        /// Earliest possible expiry of the lease.
         until: Time,
     },
-    /// Stop running the cell now.
+    /// Stop running the cell immediately.
     Disown,
 }
 
-/// Figures of a seat.
+/// Settings of an election.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How long the lease lasts.
+    /// The duration of the lease.
     pub ttl: Duration,
-    /// How long this process waits after it has seen the key go before it claims it. Only saves
-    /// writes, and lets the process best suited come first.
+    /// Delay between seeing that the key is absent and claiming it. It only saves writes and lets
+    /// the preferred process claim first.
     pub delay: Duration,
-    /// Tells this life of this process from all others, in the key's value.
+    /// The value of the key, which identifies this start of this process.
     pub mark: Vec<u8>,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum State {
-    /// Somebody else owns it, or it is not known who does.
+    /// Another process owns the cell, or the owner is not known.
     Watching,
-    /// Nobody owns it; it is claimed at a time.
+    /// No process owns the cell; it is claimed at `claim_at`.
     Vacant {
         claim_at: Time,
     },
@@ -135,7 +136,7 @@
         until: Time,
         sent: Ticket,
     },
-    /// The claim's answer was lost; the watch will tell, or the lease runs out.
+    /// The answer to the claim was lost; the watch shows its outcome, or the lease expires.
     Unsettled {
         lease: kv::LeaseId,
         until: Time,
@@ -149,12 +150,12 @@
     },
 }
 
-/// Decides whether this process owns the cell.
+/// Decides whether this process owns a cell.
 #[derive(Clone, Debug)]
 pub struct Seat {
     settings: Settings,
     state: State,
-    /// Revision of the newest look at the key.
+    /// Revision of the newest read of the key.
     seen: Revision,
     vacant: bool,
     draining: bool,
@@ -162,7 +163,7 @@
 }
 
 impl Seat {
-    /// Opens a seat that knows nothing of the key yet.
+    /// Opens an election that has not read the key yet.
     pub fn open(settings: Settings) -> Seat {
         Seat {
             settings,
@@ -174,12 +175,12 @@
         }
     }
 
-    /// Changes how long this process waits before it claims a cell that becomes vacant from now on.
+    /// Sets the delay before a claim, for a cell that becomes vacant from now on.
     pub fn set_delay(&mut self, delay: Duration) {
         self.settings.delay = delay;
     }
 
-    /// Returns the epoch if this process owns the cell, whether or not its lease still lasts.
+    /// Returns the epoch if this process owns the cell, even if its lease may have expired.
     pub fn epoch(&self) -> Option<Revision> {
         match self.state {
             State::Owning { epoch, .. } => Some(epoch),
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn step(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
@@ -201,7 +202,7 @@
         self.run(now, actions);
     }
 
-    /// Tells when a [`Event::Tick`] is next due.
+    /// Returns the time at which the next [`Event::Tick`] is due.
     pub fn next_due(&self) -> Option<Time> {
         match self.state {
             State::Vacant { claim_at } => Some(claim_at),
@@ -272,9 +273,9 @@
         }
     }
 
-    /// Renews a lease that has run out as counted here, since the store answers again and the key
-    /// still stands. Until it answers nothing is renewed: renewals that arrive though their answers
-    /// don't would keep the cell from an owner that can run it.
+    /// Renews a lease that has expired by this process's count, because the store answers again and
+    /// the key still exists. Until then nothing is renewed: renewals that reach the store while
+    /// their answers are lost would keep the cell from a process that can run it.
     fn renew_again(&mut self, now: Time, actions: &mut Vec<Action>) {
         let State::Owning { lease, until, sent: sent @ None, .. } = &mut self.state else { return };
         if *until > now {
@@ -285,7 +286,7 @@
         actions.push(Action::Renew { ticket, lease: *lease });
     }
 
-    /// Begins again after a claim that came to nothing.
+    /// Returns the state after a claim that failed.
     fn again(&self, now: Time) -> State {
         match self.vacant && !self.draining {
             true => State::Vacant { claim_at: now + self.retry() },
@@ -311,7 +312,7 @@
                 self.state = State::Claiming { lease, until, sent: ticket };
                 actions.push(Action::Claim { ticket, lease });
             }
-            // A lease that is bound to no key lapses by itself.
+            // A lease that is attached to no key expires.
             _ => self.state = self.again(now),
         }
     }
@@ -333,8 +334,8 @@
             }
             Err(kv::Error::Unknown(_)) => self.state = State::Unsettled { lease, until },
             outcome => {
-                // Refused: somebody else was first; the watch shows it, and may have shown already
-                // that the key is gone again.
+                // Another process claimed the key first. The watch shows that, and may already
+                // have shown that the key is absent again.
                 if let Ok(verdict) = &outcome {
                     let newer = verdict.current.iter().any(|entry| entry.revision > self.seen);
                     self.vacant &= !newer;
@@ -390,8 +391,8 @@
     fn lose(&mut self, now: Time, actions: &mut Vec<Action>) {
         if let State::Owning { .. } = self.state {
             actions.push(Action::Disown);
-            // Whether the key is gone or another's is settled by the watch; a claim too early is
-            // refused by its guard.
+            // The watch shows whether the key is absent or held by another process; a claim made
+            // too early fails its guard.
             self.state = match self.draining {
                 true => State::Watching,
                 false => State::Vacant { claim_at: now + self.settings.delay + self.retry() },
@@ -412,7 +413,7 @@
                 actions.push(Action::Revoke { lease });
                 self.state = State::Watching;
             }
-            // Settled when the call ends.
+            // Handled when the call ends.
             State::Granting { .. } | State::Claiming { .. } | State::Watching => {}
         }
     }
--- a/crates/tenure/src/snapshot.rs
+++ b/crates/tenure/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the store showed about a domain's cells at one revision.
+//! The state of a domain's cells as read from the store at one revision.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,38 +13,38 @@
 use crate::plan::CellIndex;
 use crate::plan::Plan;
 
-/// A cell's key as it was read.
+/// A cell's key as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The value; nothing if it can't be read, in which case the cell is left alone.
+    /// The value, or `None` if it can't be decoded; such a cell is never taken.
     pub claim: Option<Claim>,
     /// Revision of the key.
     pub revision: id::Revision,
 }
 
-/// One life of a placer.
+/// One incarnation of a placer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Identity {
     instance: id::Instance,
     incarnation: id::Incarnation,
 }
 
-/// What the store showed at one revision.
+/// The decoded state of a domain at one revision.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
     /// The store's revision.
     pub revision: id::Revision,
     /// The plan.
     pub plan: Plan,
-    /// Revision of the plan's key; zero if there is none.
+    /// Revision of the plan's key, or zero if the key doesn't exist.
     pub plan_revision: id::Revision,
     entries: BTreeMap<CellIndex, Entry>,
     alive: BTreeSet<Identity>,
 }
 
 impl Snapshot {
-    /// Reads a snapshot of the domain's prefix. A plan that can't be read leaves `last` in force,
-    /// since racks must never lose their cell.
+    /// Decodes the entries below the domain's prefix. If the plan can't be decoded, `last` stays in
+    /// force, since a rack must never lose its cell.
     pub fn parse(domain: &str, snapshot: &kv::Snapshot, last: &Plan) -> Snapshot {
         let mut scene =
             Snapshot { revision: snapshot.revision, plan: last.clone(), ..Snapshot::default() };
@@ -73,18 +73,18 @@
         }
     }
 
-    /// Returns a cell's key as it was read; nothing if there was none.
+    /// Returns the entry of a cell's key, or `None` if the key doesn't exist.
     pub fn entry(&self, slice: CellIndex) -> Option<&Entry> {
         self.entries.get(&slice)
     }
 
-    /// Tells whether that life's lease was alive.
+    /// Returns `true` if the liveness key of the owner's incarnation existed.
     pub fn is_alive(&self, owner: &Owner) -> bool {
         let life = Identity { instance: owner.instance.clone(), incarnation: owner.incarnation };
         self.alive.contains(&life)
     }
 
-    /// Tells whether a life's lease was alive.
+    /// Returns `true` if the liveness key of an incarnation existed.
     pub fn is_incarnation_alive(
         &self,
         instance: &id::Instance,
--- a/crates/tenure/src/stage.rs
+++ b/crates/tenure/src/stage.rs
@@ -1,8 +1,8 @@
-//! The life cycle of a cell's ownership, one type for each state, so that no state can be left
-//! but by the transitions written here.
+//! The state machine of a cell's ownership, with one type for each state, so that only the
+//! transitions in this module are possible.
 //!
 //! `Vacant -> Taking -> Held -> Yielding -> Releasing -> Vacant`, and from `Held` or `Yielding`
-//! through `Stopping` to `Vacant` when a higher epoch is met.
+//! through `Stopping` to `Vacant` when a higher epoch is seen.
 
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
@@ -15,103 +15,103 @@
 use crate::owner::Owner;
 use crate::plan::CellIndex;
 
-/// What lasts over all states.
+/// The data kept in all states.
 #[derive(Clone, Debug)]
 pub struct Common {
-    /// Number of the cell.
+    /// Index of the cell within its domain.
     pub index: CellIndex,
     /// Name of the cell.
     pub cell: id::Cell,
-    /// The highest epoch met anywhere; ours is to be above it.
+    /// The highest epoch seen in the store or at a worker; a new epoch must be above it.
     pub max_epoch: id::Epoch,
-    /// Later owners waiting to hear that we have stopped.
+    /// Queries of later owners, answered once this placer has stopped the cell.
     pub pending_calls: SmallVec<[CallId; 1]>,
-    /// How often we have handed the cell to a placer that ranks before us.
+    /// How often this placer has released the cell.
     pub handovers: u32,
 }
 
-/// One cell as this placer stands to it.
+/// This placer's ownership of one cell, in state `S`.
 #[derive(Clone, Debug)]
 pub struct Ownership<S> {
-    /// What lasts over all states.
+    /// The data kept in all states.
     pub common: Common,
-    /// What belongs to the state.
+    /// The data of the state.
     pub state: S,
 }
 
-/// Not ours.
+/// The cell is not owned by this placer.
 #[derive(Clone, Debug)]
 pub struct Vacant {
-    /// Since when it could be taken.
+    /// The time since which the cell has been free to take.
     pub free_since: Option<Time>,
 }
 
-/// A write that would make it ours is on its way, or its answer was lost.
+/// The write that takes the cell is in flight, or its answer was lost.
 #[derive(Clone, Debug)]
 pub struct Taking {
-    /// The call; nothing once its answer was lost.
+    /// The call, or `None` once its answer was lost.
     pub ticket: Option<Ticket>,
-    /// What is written.
+    /// The value being written.
     pub claim: Claim,
-    /// All former owners that have not released it.
+    /// All previous owners that have not released the cell.
     pub previous_owners: Vec<Owner>,
 }
 
-/// Ours.
+/// The cell is owned by this placer.
 #[derive(Clone, Debug)]
 pub struct Held {
-    /// What stands at the key.
+    /// The value at the cell's key.
     pub claim: Claim,
     /// Revision of the key.
     pub revision: id::Revision,
-    /// The former owners.
+    /// The state of the queries to the previous owners.
     pub inquiry: Inquiry,
-    /// Whether operators were told that we go on without the store.
+    /// Whether it was logged that this placer keeps running the cell without the store.
     pub isolated: bool,
-    /// Since when a live placer ranks before us.
+    /// The time since which a live placer has ranked before this one.
     pub outranked_since: Option<Time>,
 }
 
-/// Ours, and being finished in good order.
+/// The cell is still owned and is being quiesced.
 #[derive(Clone, Debug)]
 pub struct Yielding {
-    /// What stands at the key.
+    /// The value at the cell's key.
     pub claim: Claim,
     /// Revision of the key.
     pub revision: id::Revision,
-    /// The former owners.
+    /// The state of the queries to the previous owners.
     pub inquiry: Inquiry,
 }
 
-/// Nothing is done for it any more; the store is being told.
+/// The cell is quiesced, and its release is being written to the store.
 #[derive(Clone, Debug)]
 pub struct Releasing {
-    /// What is written.
+    /// The value being written.
     pub claim: Claim,
-    /// Identity of the write that stands at the key until then.
+    /// Identity of the write whose value is at the key until the release takes effect.
     pub held_operation: id::Operation,
-    /// Revision of the key until then.
+    /// Revision of the key until the release takes effect.
     pub revision: id::Revision,
-    /// The call, if one is on its way.
+    /// The call, if one is in flight.
     pub ticket: Option<Ticket>,
 }
 
-/// Lost; what was on its way is running out.
+/// The ownership is lost, and requests still in flight are being waited for.
 #[derive(Clone, Debug)]
 pub struct Stopping {
-    /// The epoch that was lost.
+    /// The epoch whose ownership was lost.
     pub epoch: id::Epoch,
 }
 
 impl Ownership<Vacant> {
-    /// Starts with a cell that is not ours.
+    /// Opens the ownership of a cell that is not owned by this placer.
     pub fn open(index: CellIndex, cell: id::Cell) -> Ownership<Vacant> {
         let pending_calls = SmallVec::new();
         let common = Common { index, cell, max_epoch: 0, pending_calls, handovers: 0 };
         Ownership { common, state: Vacant { free_since: None } }
     }
 
-    /// Sends the write that makes the cell ours.
+    /// Records that the write that takes the cell was sent.
     pub fn take(
         self,
         ticket: Ticket,
@@ -127,7 +127,7 @@
 }
 
 impl Ownership<Taking> {
-    /// The write stands at the key.
+    /// Records that the write took effect.
     pub fn taken(self, revision: id::Revision, inquiry: Inquiry) -> Ownership<Held> {
         let mut common = self.common;
         let claim = self.state.claim;
@@ -136,27 +136,27 @@
         Ownership { common, state }
     }
 
-    /// The write does not stand at the key.
+    /// Records that the write did not take effect.
     pub fn failed(self) -> Ownership<Vacant> {
         Ownership { common: self.common, state: Vacant { free_since: None } }
     }
 }
 
 impl Ownership<Held> {
-    /// Starts to give the cell up in good order.
+    /// Starts to quiesce the cell.
     pub fn give_up(self) -> Ownership<Yielding> {
         let Held { claim, revision, inquiry, .. } = self.state;
         Ownership { common: self.common, state: Yielding { claim, revision, inquiry } }
     }
 
-    /// Meets a higher epoch.
+    /// Records that a higher epoch was seen.
     pub fn lose(self) -> Ownership<Stopping> {
         Ownership { common: self.common, state: Stopping { epoch: self.state.claim.epoch } }
     }
 }
 
 impl Ownership<Yielding> {
-    /// Nothing is done for the cell any more.
+    /// Records that the cell is quiesced.
     pub fn quiesced(self, operation: id::Operation) -> Ownership<Releasing> {
         let Yielding { claim, revision, inquiry } = self.state;
         let held_operation = claim.operation;
@@ -168,14 +168,14 @@
         }
     }
 
-    /// Meets a higher epoch.
+    /// Records that a higher epoch was seen.
     pub fn lose(self) -> Ownership<Stopping> {
         Ownership { common: self.common, state: Stopping { epoch: self.state.claim.epoch } }
     }
 }
 
 impl Ownership<Releasing> {
-    /// The store knows, or another owner is there already.
+    /// Records that the release is in the store or that another owner has taken the cell.
     pub fn released(self) -> Ownership<Vacant> {
         let mut common = self.common;
         common.handovers = common.handovers.saturating_add(1);
@@ -184,31 +184,31 @@
 }
 
 impl Ownership<Stopping> {
-    /// Nothing of it is on its way any more.
+    /// Records that no request of the cell is in flight any more.
     pub fn stopped(self) -> Ownership<Vacant> {
         Ownership { common: self.common, state: Vacant { free_since: None } }
     }
 }
 
-/// A cell in whichever state.
+/// The ownership of a cell in any state.
 #[derive(Clone, Debug)]
 pub enum Stage {
-    /// Not ours.
+    /// The cell is not owned by this placer.
     Vacant(Ownership<Vacant>),
-    /// Being taken.
+    /// The cell is being taken.
     Taking(Ownership<Taking>),
-    /// Ours.
+    /// The cell is owned by this placer.
     Held(Ownership<Held>),
-    /// Ours, being finished.
+    /// The cell is owned and being quiesced.
     Yielding(Ownership<Yielding>),
-    /// Finished, being given up in the store.
+    /// The cell is quiesced and being released in the store.
     Releasing(Ownership<Releasing>),
-    /// Lost, running out.
+    /// The ownership is lost and the cell is being stopped.
     Stopping(Ownership<Stopping>),
 }
 
 impl Stage {
-    /// Returns what lasts over all states.
+    /// Returns the data kept in all states.
     pub fn common(&mut self) -> &mut Common {
         match self {
             Stage::Vacant(tenure) => &mut tenure.common,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Returns the epoch under which we act for the cell, if we do.
+    /// Returns the epoch under which this placer runs the cell, if it does.
     pub fn active(&self) -> Option<id::Epoch> {
         match self {
             Stage::Held(tenure) => Some(tenure.state.claim.epoch),
@@ -229,12 +229,12 @@
         }
     }
 
-    /// Tells whether the cell is being taken by that write.
+    /// Returns `true` if the cell is being taken by the given write.
     pub fn is_taking(&self, operation: id::Operation) -> bool {
         matches!(self, Stage::Taking(tenure) if tenure.state.claim.operation == operation)
     }
 
-    /// Returns the word used in status output and scenarios.
+    /// Returns the name of the stage in status output and scenarios.
     pub fn as_str(&self) -> &'static str {
         match self {
             Stage::Vacant(_) => "vacant",
--- a/crates/tenure/tests/homes.rs
+++ b/crates/tenure/tests/homes.rs
@@ -1,8 +1,8 @@
-//! Homes of jobs under random interleavings: two placers, each with one cell, follow the
-//! declarations and the homes late, and writes are lost or delayed. After every step a job is
-//! active in at most one cell.
+//! Checks job homes under random interleavings. Two placers, each with one cell, read declarations
+//! and homes late, and writes are lost or delayed. After every step, a job must be active in at
+//! most one cell.
 
-// Leases are not of interest here.
+// The leases of the store are not used here.
 #[allow(dead_code)]
 #[path = "world/store.rs"]
 mod store;
@@ -24,14 +24,14 @@
 const JOBS: [&str; 2] = ["rebuild", "report"];
 const DELAY: Duration = Duration::from_millis(100);
 
-/// What becomes of a write.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug)]
 enum Fate {
     Heard,
-    /// It takes effect; the answer is lost.
+    /// The write takes effect; the answer is lost.
     Applied,
     Dropped,
-    /// The answer is lost now; it takes effect when it lands.
+    /// The answer is lost now; the write may take effect later, on `Land`.
     Late,
 }
 
@@ -39,15 +39,15 @@
 enum Op {
     Declare(usize),
     Withdraw(usize),
-    /// A placer learns what is declared now.
+    /// A placer reads the current declarations.
     Configure(usize),
-    /// A placer learns what homes there are now.
+    /// A placer reads the current homes.
     Follow(usize),
-    /// A placer claims what is due.
+    /// A placer claims the jobs that are due.
     Claim(usize, Fate),
-    /// A cell has finished with a job that is gone, and has its removal written.
+    /// A cell has finished a removed job and writes its removal.
     Remove(usize, usize, Fate),
-    /// A cell lets a job look for another home.
+    /// A cell releases a job to another home.
     Depart(usize, usize),
     Land,
 }
@@ -59,15 +59,15 @@
     jobs: BTreeMap<id::Job, Stay>,
 }
 
-/// How a cell stands to a job.
+/// The state of a job in a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stay {
     Active,
-    /// Told that it is gone; something of it may still run.
+    /// The cell was notified of the removal; parts of the job may still run.
     Finishing {
         depart: bool,
     },
-    /// Nothing of it is left; its removal is being written.
+    /// Nothing of the job is left in the cell; its removal is being written.
     Removing {
         depart: bool,
     },
@@ -175,7 +175,7 @@
         at.jobs.insert(job.clone(), Stay::Removing { depart });
         let txn = at.board.begin_removal(&job, &at.cell, depart).unwrap_or_default();
         let outcome = self.write(&txn, fate);
-        // A lost answer is settled by reading, which is the same as asking again.
+        // A lost answer is resolved by a read, which is modelled by repeating the write.
         if outcome.is_ok_and(|verdict| verdict.applied) {
             let at = &mut self.nodes[node];
             at.jobs.remove(&job);
@@ -230,7 +230,7 @@
         }
     }
 
-    /// Ends everything that fails and lets all come to rest.
+    /// Ends all faults and runs until the state is stable.
     fn calm(&mut self) {
         for _ in 0..6 {
             while !self.flying.is_empty() {
@@ -288,7 +288,7 @@
             let homes = world.store.read(&format!("{HOME}{name}")).entries;
             let tried = String::from_utf8_lossy(&homes.first().map_or(vec![], |e| e.value.clone()))
                 .matches("d/").count();
-            // A job that has tried every cell stays in the last one.
+            // A job that has tried all cells stays in the last one.
             prop_assert!(
                 count == usize::from(declared),
                 "{} declared {} active {} tried {}", name, declared, count, tried
--- a/crates/tenure/tests/interleavings.rs
+++ b/crates/tenure/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! Three keepers under random interleavings of everything that may fail. The world checks after
-//! every step what must always hold; when all is well again, each cell has one owner.
+//! Runs three ownership managers under random interleavings of faults. The world checks its
+//! invariants after every step; after all faults have ended, each cell must have one owner.
 
 mod world;
 
@@ -14,37 +14,38 @@
 
 const NAMES: [&str; 3] = ["p1", "p2", "p3"];
 
-/// How finely time passes while things fail, and after.
+/// The step of virtual time during the faults, and after them.
 const GRAIN: Duration = Duration::from_millis(100);
 const CALM: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Debug)]
 enum Op {
-    /// Time passes for everybody.
+    /// Time passes for all placers.
     Pass(u64),
     /// Time passes and only one placer gets a step.
     Tick(usize, u64),
-    /// One placer takes one event out of its turn.
+    /// One placer handles one event of its inbox out of turn.
     Deliver(usize),
     Freeze(usize),
     Thaw(usize),
-    /// What comes in for it waits, though it is awake.
+    /// Incoming events of a placer wait while it still gets ticks.
     Lag(usize),
     Cut(usize),
     Deafen(usize),
     Heal(usize),
     Down,
     Up,
-    /// The store is back and every lease is renewed.
+    /// The store is available again and every lease is extended.
     Back,
     Lose(usize, Loss),
     Land,
-    /// The process ends, and a new life starts; the list shows it only at the next `Relist`.
+    /// The process ends and a new incarnation starts; the list shows it only after the next
+    /// `Relist`.
     Restart(usize),
     Relist,
-    /// The platform's list changes, and only one placer reads it for now.
+    /// The platform's list changes, and only one placer reads it.
     RelistFor(usize),
-    /// A process is asked to stop, and ends when it has.
+    /// A process is drained.
     Drain(usize),
 }
 
@@ -83,7 +84,7 @@
     let version = world.view.version + 1;
     let lives = world.nodes.iter().map(|(name, node)| member(name, node.incarnation, ""));
     let mut members: Vec<list::Member> = lives.collect();
-    // Now and then a rack is new, and the plan has to grow.
+    // Adds a new rack in some versions, so that the plan has to grow.
     let rack = format!("r{}", 4 + version.min(16) / 4);
     members.push(member("w7", 1, &rack));
     members.extend([member("w1", 1, "r1"), member("w2", 1, "r2"), member("w3", 1, "r3")]);
@@ -140,7 +141,7 @@
     world.store.extend_all(now);
 }
 
-/// Ends everything that fails, replaces who was asked to stop, and lets time pass.
+/// Ends all faults, replaces drained processes, and lets time pass.
 fn calm(world: &mut World) {
     world.down = false;
     while !world.flying.is_empty() {
--- a/crates/tenure/tests/plan.rs
+++ b/crates/tenure/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Racks get a cell once, and cells stay within their limit.
+//! Checks that a rack never changes its cell and that cells stay within their limit.
 
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Lists the workers of racks by their sizes.
+/// Returns the workers of racks with the given sizes.
 fn workers(racks: &BTreeMap<u8, usize>) -> Vec<Member> {
     let worker = |(rack, n): (&u8, usize)| {
         member(Role::Worker, &format!("w{rack}-{n}"), 1, &format!("r{rack}"))
--- a/crates/tenure/tests/scenarios.rs
+++ b/crates/tenure/tests/scenarios.rs
@@ -1,11 +1,12 @@
 //! Runs the scenario files of `filetests`. Each file is one world.
 //!
-//! Directives: `open` (lists and starts p1, p2 and p3 with three workers in two racks, lets them
-//! settle, and prints who owns what), `list version=N` (one instance a line: `name [incarnation=N] [rack=R] [leaving]`),
-//! `start`, `freeze`, `thaw`, `kill`, `drain` (each `name=p`), `cut name=p from=store|peers`,
-//! `heal name=p`, `store state=down|up|back` (`back` also renews every lease), `lose name=p
-//! answer=applied|dropped|late`, `land`, `worker name=p slice=N epoch=N` (a report shows that epoch),
-//! `run ms=N` (prints what happened) and `cells`.
+//! Directives: `open` (lists and starts p1, p2 and p3 with three workers in two racks, runs until
+//! they own the cells, and prints the owners), `list version=N` (one instance per line:
+//! `name [incarnation=N] [rack=R] [leaving]`), `start`, `freeze`, `thaw`, `kill`, `drain` (each
+//! `name=p`), `cut name=p from=store|peers`, `heal name=p`, `store state=down|up|back` (`back` also
+//! extends every lease), `lose name=p answer=applied|dropped|late`, `land`,
+//! `worker name=p slice=N epoch=N` (a worker's report shows that epoch), `run ms=N` (prints the
+//! trace) and `cells`.
 
 mod world;
 
--- a/crates/tenure/tests/seat.rs
+++ b/crates/tenure/tests/seat.rs
@@ -1,4 +1,4 @@
-//! Who owns a cell by its key, in virtual time: processes, a store with leases, and their faults.
+//! Leader election in virtual time, with processes, a store with leases, and faults.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 const TTL: Duration = Duration::from_millis(2500);
 const STEP: Duration = Duration::from_millis(10);
 
-/// How one process and the store hear each other.
+/// The connection between a process and the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Line {
     #[default]
     Open,
-    /// Nothing passes.
+    /// Neither calls nor answers are delivered.
     Cut,
-    /// Calls pass, answers don't.
+    /// Calls are delivered, answers are not.
     Mute,
 }
 
@@ -49,7 +49,7 @@
     line: Line,
     frozen: bool,
     told: Revision,
-    /// Answers on their way.
+    /// Answers in flight.
     answers: VecDeque<Event>,
     owns: Option<Revision>,
     until: Time,
@@ -196,7 +196,7 @@
         self.processes[index].answers.push_back(answer);
     }
 
-    /// At most one process believes at any time that it owns the cell and may act.
+    /// Checks that at most one process runs the cell under a valid lease, and that epochs rise.
     fn check(&self) {
         let acting = self.processes.iter().filter(|process| {
             process.owns.is_some() && process.until > self.now && !process.frozen
@@ -264,7 +264,7 @@
         process.line = Line::Cut;
     }
     for _ in 0..400 {
-        // Leases pause while the store is down.
+        // Leases don't expire while the store is down.
         for lease in &mut world.store.leases {
             lease.1 += STEP;
         }
--- a/crates/tenure/tests/world/mod.rs
+++ b/crates/tenure/tests/world/mod.rs
@@ -1,8 +1,8 @@
-//! Several keepers of one failure domain around a store in memory, under virtual time.
+//! Several ownership managers of one failure domain with an in-memory store, in virtual time.
 //!
-//! After every step the world checks what must always hold: no two placers act for a cell under the
-//! same epoch; epochs in the store rise; and no placer that counts its cell's former owners as
-//! stopped acts beside another.
+//! After every step the world checks the invariants: no two placers run a cell under the same
+//! epoch; epochs in the store only rise; and while a placer considers all previous owners of its
+//! cell stopped, no other placer runs the cell.
 
 #![allow(dead_code)]
 
@@ -33,14 +33,14 @@
 pub const DOMAIN: &str = "d";
 pub const LEASE: Duration = Duration::from_millis(5000);
 
-/// What becomes of a placer's next commit.
+/// The fault of a placer's next commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// It takes effect; the answer is lost.
+    /// The commit takes effect; the answer is lost.
     Applied,
-    /// It takes no effect; the answer is lost.
+    /// The commit takes no effect; the answer is lost.
     Dropped,
-    /// The answer is lost now; it takes effect when it lands.
+    /// The answer is lost now; the commit may take effect later, on `land`.
     Late,
 }
 
@@ -53,10 +53,10 @@
     pub frozen: bool,
     pub cut: bool,
     pub deaf: bool,
-    /// What comes in waits, though time goes on.
+    /// Whether incoming events wait while the process still gets ticks.
     pub lagging: bool,
     pub loss: Option<Loss>,
-    /// Cells it acts for, with epoch and what it knows of former owners.
+    /// The cells that it runs, with the epoch and what it knows of previous owners.
     pub acting: BTreeMap<id::Cell, Term>,
     pub drained: bool,
 }
@@ -78,9 +78,9 @@
 
 #[derive(Debug)]
 pub struct World {
-    /// How long each rank waits for the one before it.
+    /// Delay per rank before a free cell is taken.
     pub rank_delay: Duration,
-    /// How finely time passes.
+    /// The length of one step of virtual time.
     pub grain: Duration,
     pub now: Time,
     pub store: Memory,
@@ -88,7 +88,7 @@
     pub view: list::View,
     pub nodes: BTreeMap<String, Node>,
     pub trace: Vec<String>,
-    /// Commits whose answer was lost and which have not taken effect yet.
+    /// Commits whose answer was lost and that have not taken effect yet.
     pub flying: Vec<kv::Txn>,
     calls: BTreeMap<u64, Call>,
     last_call: u64,
@@ -159,7 +159,7 @@
         self.nodes.get_mut(name).expect("the placer was started")
     }
 
-    /// Lets time pass for everyone.
+    /// Advances virtual time and steps all placers.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Lets one placer take what came in and do what is due.
+    /// Sends one placer a tick and delivers the events in its inbox.
     pub fn turn(&mut self, name: &str) {
         self.tell(name, Event::Tick);
         if self.nodes[name].lagging {
@@ -191,14 +191,14 @@
         }
     }
 
-    /// Lets one placer take the oldest event that came in.
+    /// Delivers the oldest event in a placer's inbox.
     pub fn deliver(&mut self, name: &str) {
         if self.nodes[name].frozen {
             return;
         }
         let Some(event) = self.node(name).inbox.pop_front() else { return };
         if let Event::Quiesced { cell, .. } = &event {
-            // Until then the process may still be sending for the cell.
+            // Until this event, requests of the process for the cell may be in flight.
             self.node(name).acting.remove(cell);
         }
         self.tell(name, event);
@@ -216,7 +216,7 @@
             self.perform(name, action);
         }
         let node = &self.nodes[name];
-        // A keeper that is due at once again would keep its process busy for nothing.
+        // A manager that is due again immediately would keep its process in a busy loop.
         assert!(node.drained || node.keeper.next_due(now) > now, "{name} is due for ever");
         self.check();
     }
@@ -304,7 +304,7 @@
         self.announce(before);
     }
 
-    /// Checks that whoever takes a cell knows every rack that the former owner may have used.
+    /// Checks that a placer that takes a cell knows all racks that a previous owner may have used.
     fn check_taken(&self, name: &str, txn: &kv::Txn) {
         let puts = txn.changes.iter().filter_map(|change| match change {
             kv::Change::Put { key, value, .. } if key::parse_cell(key).is_some() => Some(value),
@@ -317,7 +317,7 @@
         assert!(!takes || *known == stored, "{name} takes a cell by an older plan: {known:?}");
     }
 
-    /// Lets everybody's watch tell of a change.
+    /// Delivers a change of the store to the watches of all placers.
     fn announce(&mut self, before: id::Revision) {
         if self.store.revision == before || self.down {
             return;
@@ -327,7 +327,7 @@
         }
     }
 
-    /// Lets the oldest late commit take effect.
+    /// Applies the oldest late commit.
     pub fn land(&mut self) {
         if !self.flying.is_empty() {
             let txn = self.flying.remove(0);
@@ -357,7 +357,7 @@
         }
     }
 
-    /// Checks what must always hold.
+    /// Checks the invariants.
     fn check(&mut self) {
         let mut terms: Vec<(&str, &id::Cell, Term)> = Vec::new();
         for (name, node) in &self.nodes {
@@ -383,7 +383,7 @@
         }
     }
 
-    /// Tells who acts for each cell, and what the store says.
+    /// Describes which placers run each cell, and the contents of the store.
     pub fn describe(&self) -> String {
         let mut lines = Vec::new();
         for (name, node) in &self.nodes {
@@ -412,7 +412,7 @@
     }
 }
 
-/// Builds a listed instance: a placer, or a worker if it has a rack.
+/// Returns a listed instance: a placer, or a worker if it has a rack.
 pub fn member(name: &str, incarnation: id::Incarnation, rack: &str) -> list::Member {
     let role = if rack.is_empty() { list::Role::Placer } else { list::Role::Worker };
     list::Member {
--- a/crates/tenure/tests/world/store.rs
+++ b/crates/tenure/tests/world/store.rs
@@ -1,4 +1,4 @@
-//! A key-value service in memory: revisions, guards and leases, and nothing else.
+//! An in-memory key-value store with revisions, guards and leases.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 }
 
 impl Memory {
-    /// Ends the leases that have lapsed and removes their keys.
+    /// Revokes expired leases and deletes their keys.
     pub fn lapse(&mut self, now: Time) {
         let lapsed: Vec<kv::LeaseId> =
             self.leases.iter().filter(|(_, l)| l.until <= now).map(|(&id, _)| id).collect();
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Gives every lease its whole time again, as such a service does after an outage.
+    /// Extends every lease to its full duration, as a key-value store does after an outage.
     pub fn extend_all(&mut self, now: Time) {
         for lease in self.leases.values_mut() {
             lease.until = now + lease.ttl;
