--- a/crates/claim/src/calls.rs
+++ b/crates/claim/src/calls.rs
@@ -8,33 +8,33 @@
 pub(crate) struct Calls {
     reading: Option<ReadId>,
     last_read: ReadId,
-    wants_read: bool,
+    is_read_requested: bool,
     is_proposing: bool,
     /// The earliest time of the next call after a failed one.
-    not_before: Time,
+    retry_at: Time,
 }
 
 impl Calls {
     /// Requests a read of the roster.
-    pub(crate) fn want_read(&mut self) {
-        self.wants_read = true;
+    pub(crate) fn request_read(&mut self) {
+        self.is_read_requested = true;
     }
 
     /// Requests a read that begins now or later, even if one is in flight, and returns its
     /// identifier.
-    pub(crate) fn want_fresh_read(&mut self, now: Time) -> ReadId {
+    pub(crate) fn request_fresh_read(&mut self, now: Time) -> ReadId {
         self.reading = None;
-        self.wants_read = true;
-        self.not_before = now;
+        self.is_read_requested = true;
+        self.retry_at = now;
         self.last_read + 1
     }
 
     /// Begins a read if one is requested and may be made.
     pub(crate) fn begin_read(&mut self, now: Time) -> Option<ReadId> {
-        if !self.wants_read || self.reading.is_some() || now < self.not_before {
+        if !self.is_read_requested || self.reading.is_some() || now < self.retry_at {
             return None;
         }
-        self.wants_read = false;
+        self.is_read_requested = false;
         self.last_read += 1;
         self.reading = Some(self.last_read);
         self.reading
@@ -54,20 +54,20 @@
     /// Ends a proposal and requests a read, since only a read shows the outcome for certain.
     pub(crate) fn end_proposal(&mut self) {
         self.is_proposing = false;
-        self.wants_read = true;
+        self.is_read_requested = true;
     }
 
     pub(crate) fn fail(&mut self, not_before: Time) {
         self.reading = None;
         self.is_proposing = false;
-        self.wants_read = true;
-        self.not_before = not_before;
+        self.is_read_requested = true;
+        self.retry_at = not_before;
     }
 
     /// Returns `true` if a proposal may be made: no call in flight is about to change what is
     /// known, and the last call has not just failed.
     pub(crate) fn may_propose(&self, now: Time) -> bool {
-        let is_idle = self.reading.is_none() && !self.wants_read && !self.is_proposing;
-        is_idle && now >= self.not_before
+        let is_idle = self.reading.is_none() && !self.is_read_requested && !self.is_proposing;
+        is_idle && now >= self.retry_at
     }
 }
--- a/crates/claim/src/change.rs
+++ b/crates/claim/src/change.rs
@@ -14,52 +14,52 @@
 /// Delay before slots are offered again to a member that did not accept them, as a multiple of
 /// `handover_timeout`. No key of an offered slot can be granted, so this bounds how often that
 /// happens.
-const OFFER_PAUSE: u32 = 10;
+const TRANSFER_RETRY_FACTOR: u32 = 10;
 
 impl Owner {
     /// Performs the next step of a change, or begins one that is due.
     pub(crate) fn advance_change(&mut self, now: Time, actions: &mut Vec<Action>) {
-        if self.is_ended || self.unproven.is_some() || !self.calls.may_propose(now) {
+        if self.is_ended || self.required_read.is_some() || !self.calls.may_propose(now) {
             return;
         }
-        if let Some(offer) = self.offer.take() {
-            self.offer = self.advance_offer(now, offer, actions);
+        if let Some(offer) = self.transfer.take() {
+            self.transfer = self.advance_transfer(now, offer, actions);
             return;
         }
-        match self.vacancy() {
-            Some(next) => self.fill_vacancy(now, next, actions),
+        match self.membership_change() {
+            Some(next) => self.propose_membership(now, next, actions),
             None => {
-                self.vacancy_since = None;
-                self.begin_offer(now, actions);
+                self.change_since = None;
+                self.begin_transfer(now, actions);
             }
         }
     }
 
     /// Returns the roster to propose if this process is not a member yet or other members have
     /// ended.
-    fn vacancy(&self) -> Option<Roster> {
-        if self.is_draining || !self.listing.shows(&self.me) {
+    fn membership_change(&self) -> Option<Roster> {
+        if self.is_draining || !self.listing.shows(&self.member) {
             return None;
         }
-        let joining = Member { list_version: self.listing.version, ..self.me.clone() };
+        let joining = Member { list_version: self.listing.version, ..self.member.clone() };
         match &self.roster {
             Some(roster) => roster.revised(&joining, |member| {
-                !member.is_same(&self.me) && self.listing.has_ended(member)
+                !member.is_same(&self.member) && self.listing.has_ended(member)
             }),
-            None => self.is_missing.then(|| Roster::initial(joining)),
+            None => self.is_roster_missing.then(|| Roster::initial(joining)),
         }
     }
 
     /// Proposes a roster that adds this process or removes ended members: at once to join,
     /// otherwise with a delay by the order of the members, so that usually only one of them
     /// proposes it. The delay has no other effect.
-    fn fill_vacancy(&mut self, now: Time, next: Roster, actions: &mut Vec<Action>) {
-        let since = *self.vacancy_since.get_or_insert(now);
+    fn propose_membership(&mut self, now: Time, next: Roster, actions: &mut Vec<Action>) {
+        let since = *self.change_since.get_or_insert(now);
         if let Some(roster) = &self.roster
-            && roster.contains(&self.me)
+            && roster.contains(&self.member)
         {
             let stays = roster.members.iter().filter(|member| next.contains(member));
-            let rank = stays.take_while(|member| !member.is_same(&self.me)).count() as u32;
+            let rank = stays.take_while(|member| !member.is_same(&self.member)).count() as u32;
             if now < since + self.settings.takeover_delay * rank {
                 return;
             }
@@ -68,40 +68,40 @@
     }
 
     /// Stops granting keys of the slots that another member should own, and sends their state.
-    fn begin_offer(&mut self, now: Time, actions: &mut Vec<Action>) {
+    fn begin_transfer(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(roster) = &self.roster else { return };
-        if now < self.offer_after && !self.is_draining {
+        if now < self.transfer_after && !self.is_draining {
             return;
         }
         let until = now + self.settings.handover_timeout;
-        let is_held = |slot| self.holding.hold(slot).is_some();
-        let number = self.offers + 1;
-        let offer = Transfer::open(roster, is_held, &self.me, self.is_draining, number, until);
+        let is_held = |slot| self.slots.ownership(slot).is_some();
+        let number = self.last_transfer + 1;
+        let offer = Transfer::open(roster, is_held, &self.member, self.is_draining, number, until);
         let Some(mut offer) = offer else { return };
-        self.offers = number;
-        for Outgoing { to, handover } in self.holding.handovers(now, &mut offer) {
+        self.last_transfer = number;
+        for Outgoing { to, handover } in self.slots.handovers(now, &mut offer) {
             actions.push(Action::HandOver { to, handover });
         }
-        self.offer = self.advance_offer(now, offer, actions);
+        self.transfer = self.advance_transfer(now, offer, actions);
     }
 
-    fn advance_offer(
+    fn advance_transfer(
         &mut self,
         now: Time,
         mut offer: Transfer,
         actions: &mut Vec<Action>,
     ) -> Option<Transfer> {
-        if offer.stage == Stage::Sending && !offer.is_sent(now) {
+        if offer.stage == Stage::Sending && !offer.is_complete(now) {
             return Some(offer);
         }
-        if offer.moves.is_empty() && !offer.is_last {
-            self.offer_after = now + self.settings.handover_timeout * OFFER_PAUSE;
+        if offer.moves.is_empty() && !offer.is_leaving {
+            self.transfer_after = now + self.settings.handover_timeout * TRANSFER_RETRY_FACTOR;
             return None;
         }
         offer.stage = Stage::Proposing;
         let roster = self.roster.as_ref().expect("an offer is made from a roster");
-        debug_assert_eq!(roster.version, offer.stamp.base_version, "a newer roster ends the offer");
-        let leaver = offer.is_last.then_some(&self.me);
+        debug_assert_eq!(roster.version, offer.id.base_version, "a newer roster ends the offer");
+        let leaver = offer.is_leaving.then_some(&self.member);
         let next = roster.released(&offer.moves, leaver);
         self.propose(next, actions);
         Some(offer)
--- a/crates/claim/src/owner.rs
+++ b/crates/claim/src/owner.rs
@@ -27,7 +27,7 @@
 use crate::verdict::Verdict;
 
 /// Number of steps that an owner requests per lease, so that a stall of half a lease is detected.
-const STEPS_A_LEASE: u32 = 8;
+const STEPS_PER_LEASE: u32 = 8;
 
 /// Settings of an owner, fixed while it runs.
 #[derive(Clone, Debug)]
@@ -57,21 +57,21 @@
 #[derive(Debug)]
 pub struct Owner {
     pub(crate) settings: Settings,
-    pub(crate) me: Member,
+    pub(crate) member: Member,
     pub(crate) roster: Option<Arc<Roster>>,
     /// The store's revision of the roster's key.
     pub(crate) revision: Revision,
     /// Whether a read found no roster, so that the initial one may be proposed.
-    pub(crate) is_missing: bool,
-    pub(crate) holding: Slots,
-    pub(crate) offer: Option<Transfer>,
-    pub(crate) offers: u64,
-    pub(crate) offer_after: Time,
+    pub(crate) is_roster_missing: bool,
+    pub(crate) slots: Slots,
+    pub(crate) transfer: Option<Transfer>,
+    pub(crate) last_transfer: u64,
+    pub(crate) transfer_after: Time,
     pub(crate) listing: Listing,
-    pub(crate) vacancy_since: Option<Time>,
+    pub(crate) change_since: Option<Time>,
     pub(crate) calls: Calls,
     /// The read needed after a stall: only this read or a later one proves what is owned.
-    pub(crate) unproven: Option<ReadId>,
+    pub(crate) required_read: Option<ReadId>,
     pub(crate) is_ended: bool,
     pub(crate) is_draining: bool,
     last_step: Option<Time>,
@@ -82,26 +82,26 @@
     pub fn open(settings: Settings) -> Owner {
         let limits = Limits {
             retention: settings.retention,
-            claims: settings.max_claims,
-            answer_bytes: settings.max_answer_bytes,
-            answers_bytes: settings.max_total_answer_bytes,
+            max_claims: settings.max_claims,
+            max_answer_bytes: settings.max_answer_bytes,
+            max_total_answer_bytes: settings.max_total_answer_bytes,
         };
         let mut calls = Calls::default();
-        calls.want_read();
+        calls.request_read();
         Owner {
-            me: settings.member.clone(),
+            member: settings.member.clone(),
             settings,
             roster: None,
             revision: 0,
-            is_missing: false,
-            holding: Slots::open(limits),
-            offer: None,
-            offers: 0,
-            offer_after: Time::ZERO,
+            is_roster_missing: false,
+            slots: Slots::open(limits),
+            transfer: None,
+            last_transfer: 0,
+            transfer_after: Time::ZERO,
             listing: Listing::default(),
-            vacancy_since: None,
+            change_since: None,
             calls,
-            unproven: None,
+            required_read: None,
             is_ended: false,
             is_draining: false,
             last_step: None,
@@ -112,34 +112,36 @@
     ///
     /// `now` must not decrease from one call to the next, and must be read right before the call.
     pub fn step(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        self.notice_pause(now);
-        self.holding.table.expire(now);
+        self.check_stall(now);
+        self.slots.table.expire(now);
         match event {
             Event::RosterRead { read, revision, roster } => {
                 self.roster_read(now, read, revision, roster, actions);
             }
-            Event::RosterReceived { revision, roster } => self.take(now, revision, roster, actions),
+            Event::RosterReceived { revision, roster } => {
+                self.apply_roster(now, revision, roster, actions)
+            }
             Event::Proposed => self.calls.end_proposal(),
             Event::StoreFailed => self.calls.fail(now + self.settings.handover_timeout),
-            Event::Listed { view } => self.listed(&view),
+            Event::Listed { view } => self.apply_list(&view),
             Event::Claim { ask, claimant, key, roster } => {
                 let verdict = self.claim(now, claimant, key, roster);
-                actions.push(verdict.answer(ask));
+                actions.push(verdict.into_action(ask));
             }
             Event::Settle { ask, claimant, key, settlement } => {
-                let accepted = self.is_settled_here(key.slot());
+                let accepted = self.accepts_settlement(key.slot());
                 if accepted {
-                    self.holding.table.settle(now, key, claimant, settlement);
+                    self.slots.table.settle(now, key, claimant, settlement);
                 }
                 actions.push(Action::Acknowledge { ask, accepted });
             }
             Event::HandoverReceived { ask, handover } => {
-                let accepted = self.adopt(handover);
+                let accepted = self.receive_handover(handover);
                 actions.push(Action::Acknowledge { ask, accepted });
             }
             Event::HandedOver { transfer, message_number, accepted } => {
-                if let Some(offer) = &mut self.offer {
-                    offer.handed_over(transfer, message_number, accepted);
+                if let Some(offer) = &mut self.transfer {
+                    offer.acknowledged(transfer, message_number, accepted);
                 }
             }
             Event::Tick => {}
@@ -154,8 +156,8 @@
     /// Returns the time at which the next [`Event::Tick`] is due. Much later steps count as a
     /// stall.
     pub fn next_due(&self) -> Option<Time> {
-        let beat = self.last_step? + self.settings.lease / STEPS_A_LEASE;
-        let offer = self.offer.as_ref().map_or(Time::MAX, Transfer::due);
+        let beat = self.last_step? + self.settings.lease / STEPS_PER_LEASE;
+        let offer = self.transfer.as_ref().map_or(Time::MAX, Transfer::next_due);
         Some(beat.min(offer))
     }
 
@@ -166,19 +168,19 @@
 
     /// Returns the number of keys kept.
     pub fn claims(&self) -> usize {
-        self.holding.table.len()
+        self.slots.table.len()
     }
 
     /// Returns the number of slots owned by this process.
     pub fn slots(&self) -> usize {
-        self.holding.slots()
+        self.slots.count()
     }
 
     /// Returns `true` if this process is draining and has left the roster or is its only member.
     pub fn is_drained(&self) -> bool {
         let Some(roster) = &self.roster else { return self.is_draining };
-        let has_others = roster.members.iter().any(|member| !member.is_same(&self.me));
-        self.is_draining && !(roster.contains(&self.me) && has_others)
+        let has_others = roster.members.iter().any(|member| !member.is_same(&self.member));
+        self.is_draining && !(roster.contains(&self.member) && has_others)
     }
 
     /// Returns `true` if other members consider this process ended. It grants nothing from then on.
@@ -189,11 +191,11 @@
 
     /// Detects a stall. During a stall the roster may have changed and this process may have been
     /// considered ended, so nothing is granted until a read begun afterwards proves what it owns.
-    fn notice_pause(&mut self, now: Time) {
+    fn check_stall(&mut self, now: Time) {
         let last = self.last_step.replace(now).unwrap_or(now);
         debug_assert!(now >= last, "time never goes back");
         if now - last > self.settings.lease / 2 {
-            self.unproven = Some(self.calls.want_fresh_read(now));
+            self.required_read = Some(self.calls.request_fresh_read(now));
         }
     }
 
@@ -201,59 +203,59 @@
         let Some(roster) = &self.roster else { return Verdict::not_owner(MIN_RETRY_AFTER) };
         if asked > roster.version {
             // The claimant knows a newer roster, which may have moved this slot.
-            self.calls.want_read();
+            self.calls.request_read();
             return Verdict::not_owner(MIN_RETRY_AFTER);
         }
         let slot = key.slot();
-        let Some(hold) = self.holding.hold(slot) else {
+        let Some(hold) = self.slots.ownership(slot) else {
             return Verdict::not_owner(MIN_RETRY_AFTER);
         };
-        if let Some(record) = self.holding.table.find(&key) {
+        if let Some(record) = self.slots.table.find(&key) {
             return Verdict::of_state(&record.state);
         }
         if !self.may_grant(slot) {
             return Verdict::not_owner(MIN_RETRY_AFTER);
         }
-        if now < hold.doubt {
-            return Verdict::not_owner(hold.doubt - now);
+        if now < hold.in_doubt_until {
+            return Verdict::not_owner(hold.in_doubt_until - now);
         }
-        if !self.holding.table.has_room() {
+        if !self.slots.table.has_capacity() {
             // Evicting a key early could run its request twice, so the new one has to wait.
-            let room = self.holding.table.next_room().unwrap_or(now);
+            let room = self.slots.table.next_expiry().unwrap_or(now);
             return Verdict::not_owner(room.saturating_sub(now));
         }
-        self.holding.table.grant(now, key, claimant);
+        self.slots.table.grant(now, key, claimant);
         Verdict::granted()
     }
 
     fn may_grant(&self, slot: Slot) -> bool {
-        self.unproven.is_none() && !self.is_ended && !self.is_offered(slot)
+        self.required_read.is_none() && !self.is_ended && !self.is_in_transfer(slot)
     }
 
-    fn is_offered(&self, slot: Slot) -> bool {
-        self.offer.as_ref().is_some_and(|offer| offer.contains(slot))
+    fn is_in_transfer(&self, slot: Slot) -> bool {
+        self.transfer.as_ref().is_some_and(|offer| offer.contains(slot))
     }
 
     /// Returns `true` if a settlement is accepted here: state already sent to the next owner must
     /// not change.
-    fn is_settled_here(&self, slot: Slot) -> bool {
-        self.holding.hold(slot).is_some() && !self.is_offered(slot)
+    fn accepts_settlement(&self, slot: Slot) -> bool {
+        self.slots.ownership(slot).is_some() && !self.is_in_transfer(slot)
     }
 
-    fn adopt(&mut self, handover: Handover) -> bool {
+    fn receive_handover(&mut self, handover: Handover) -> bool {
         let is_old = self
             .roster
             .as_ref()
             .is_some_and(|roster| roster.version > handover.transfer.base_version);
-        !is_old && !self.is_draining && self.holding.adopt(handover)
+        !is_old && !self.is_draining && self.slots.receive(handover)
     }
 
-    fn listed(&mut self, view: &list::View) {
-        if !self.listing.take(view) {
+    fn apply_list(&mut self, view: &list::View) {
+        if !self.listing.apply(view) {
             return;
         }
         let mut members = self.roster.iter().flat_map(|roster| &roster.members);
-        let me = members.find(|member| member.is_same(&self.me));
+        let me = members.find(|member| member.is_same(&self.member));
         self.is_ended |= me.is_some_and(|me| self.listing.has_ended(me));
     }
 
@@ -267,16 +269,16 @@
     ) {
         self.calls.end_read(read);
         match roster {
-            Some(roster) => self.take(now, revision, roster, actions),
-            None => self.is_missing = self.roster.is_none(),
+            Some(roster) => self.apply_roster(now, revision, roster, actions),
+            None => self.is_roster_missing = self.roster.is_none(),
         }
-        if self.unproven.is_some_and(|needed| read >= needed) {
-            self.unproven = None;
+        if self.required_read.is_some_and(|needed| read >= needed) {
+            self.required_read = None;
         }
     }
 
     /// Applies a roster if it is newer than the one in force.
-    fn take(
+    fn apply_roster(
         &mut self,
         now: Time,
         revision: Revision,
@@ -287,15 +289,15 @@
         if !is_newer || roster.check().is_err() {
             return;
         }
-        self.is_missing = false;
+        self.is_roster_missing = false;
         self.revision = revision;
         // A proposal based on an older version can't be applied any more.
-        self.offer = None;
-        self.is_ended |= roster.members.iter().any(|member| is_later(member, &self.me));
-        let changed = self.holding.take(now, &roster, &self.me);
+        self.transfer = None;
+        self.is_ended |= roster.members.iter().any(|member| is_successor(member, &self.member));
+        let changed = self.slots.apply_roster(now, &roster, &self.member);
         if changed > 0 {
             let reason = format!("roster {}: {changed} slots changed here", roster.version);
-            let subject = self.me.instance.clone();
+            let subject = self.member.instance.clone();
             actions.push(Action::Note { event: LogEvent::KeyOwnerChanged, subject, reason });
         }
         self.roster = Some(roster);
@@ -303,7 +305,7 @@
 }
 
 /// Returns `true` if `other` is a later incarnation or start of this process's instance.
-fn is_later(other: &Member, me: &Member) -> bool {
+fn is_successor(other: &Member, me: &Member) -> bool {
     other.instance == me.instance
         && (other.incarnation, other.started_at) > (me.incarnation, me.started_at)
 }
--- a/crates/claim/src/roster.rs
+++ b/crates/claim/src/roster.rs
@@ -198,7 +198,7 @@
         let mut next = self.clone();
         next.version += 1;
         for moved in moves {
-            let owner = next.place(&moved.to).expect("slots are moved to members");
+            let owner = next.index_of(&moved.to).expect("slots are moved to members");
             let share =
                 Assignment { owner, since: next.version, origin: Origin::Handed(moved.number) };
             next.assignments[usize::from(moved.slot)] = share;
@@ -221,18 +221,18 @@
         let version = self.version + 1;
         let mut next = Roster { version, members, assignments: Vec::with_capacity(slot::COUNT) };
         for slot in slot::all() {
-            let share = match next.place(self.owner_at(slot)) {
+            let share = match next.index_of(self.owner_at(slot)) {
                 Some(owner) => Assignment { owner, ..self.assignment(slot) },
-                None => next.taken(slot),
+                None => next.reassigned(slot),
             };
             next.assignments.push(share);
         }
         next
     }
 
-    fn taken(&self, slot: Slot) -> Assignment {
+    fn reassigned(&self, slot: Slot) -> Assignment {
         let target = self.target(slot, None).expect("a roster has at least one member");
-        let owner = self.place(target).expect("a target is a member");
+        let owner = self.index_of(target).expect("a target is a member");
         Assignment { owner, since: self.version, origin: Origin::Ended }
     }
 
@@ -240,7 +240,7 @@
         slot::all().any(|slot| self.owner_at(slot).is_same(process))
     }
 
-    fn place(&self, process: &Member) -> Option<u16> {
+    fn index_of(&self, process: &Member) -> Option<u16> {
         self.members.iter().position(|member| member.is_same(process)).map(|place| place as u16)
     }
 
@@ -255,11 +255,11 @@
 struct Weight {
     hash: u64,
     incarnation: Incarnation,
-    life: StartTime,
+    started_at: StartTime,
 }
 
 fn weight(slot: Slot, member: &Member) -> Weight {
     // Only the name is hashed, so that a replaced instance gets the slots of its predecessor.
     let hash = xxh3_64_with_seed(member.instance.as_bytes(), u64::from(slot));
-    Weight { hash, incarnation: member.incarnation, life: member.started_at }
+    Weight { hash, incarnation: member.incarnation, started_at: member.started_at }
 }
--- a/crates/claim/src/table.rs
+++ b/crates/claim/src/table.rs
@@ -21,11 +21,11 @@
     /// How long a key is kept after it was granted or settled.
     pub retention: Duration,
     /// Maximum number of keys.
-    pub claims: usize,
+    pub max_claims: usize,
     /// Maximum bytes of one answer; a larger one is not kept.
-    pub answer_bytes: usize,
+    pub max_answer_bytes: usize,
     /// Maximum bytes of all answers; the oldest are evicted.
-    pub answers_bytes: usize,
+    pub max_total_answer_bytes: usize,
 }
 
 /// One key that was granted.
@@ -35,12 +35,12 @@
     pub state: State,
     /// The time at which the key expires. A claimant that was stalled with a grant until then finds
     /// its request's deadline passed.
-    until: Time,
+    expires_at: Time,
 }
 
 /// A key with its expiry, ordered by expiry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Due {
+struct Expiry {
     at: Time,
     key: Key,
 }
@@ -51,10 +51,10 @@
     slots: Vec<BTreeMap<Key, Record>>,
     len: usize,
     /// All keys by expiry.
-    due: BTreeSet<Due>,
+    expiries: BTreeSet<Expiry>,
     /// The keys whose answer is kept, by expiry.
-    answered: BTreeSet<Due>,
-    answers_bytes: usize,
+    answer_expiries: BTreeSet<Expiry>,
+    total_answer_bytes: usize,
 }
 
 impl Table {
@@ -63,9 +63,9 @@
             limits,
             slots: vec![BTreeMap::new(); slot::COUNT],
             len: 0,
-            due: BTreeSet::new(),
-            answered: BTreeSet::new(),
-            answers_bytes: 0,
+            expiries: BTreeSet::new(),
+            answer_expiries: BTreeSet::new(),
+            total_answer_bytes: 0,
         }
     }
 
@@ -78,19 +78,19 @@
     }
 
     /// Returns `true` if another key can be kept.
-    pub(crate) fn has_room(&self) -> bool {
-        self.len < self.limits.claims
+    pub(crate) fn has_capacity(&self) -> bool {
+        self.len < self.limits.max_claims
     }
 
     /// Returns the time at which the next key expires.
-    pub(crate) fn next_room(&self) -> Option<Time> {
-        self.due.first().map(|due| due.at)
+    pub(crate) fn next_expiry(&self) -> Option<Time> {
+        self.expiries.first().map(|due| due.at)
     }
 
     /// Records a grant. The table must have capacity.
     pub(crate) fn grant(&mut self, now: Time, key: Key, claimant: Claimant) {
-        debug_assert!(self.has_room() && self.find(&key).is_none(), "a key is granted once");
-        self.put(now, key, claimant, State::Running);
+        debug_assert!(self.has_capacity() && self.find(&key).is_none(), "a key is granted once");
+        self.record(now, key, claimant, State::Running);
     }
 
     /// Records the outcome of a request as reported by its claimant.
@@ -120,15 +120,15 @@
             Some(false) => {}
             // A request that is known to have run must not become unknown again.
             Some(true) if has_run => {}
-            Some(true) => self.put(now, key, claimant, state),
-            None if self.has_room() => self.put(now, key, claimant, state),
+            Some(true) => self.record(now, key, claimant, state),
+            None if self.has_capacity() => self.record(now, key, claimant, state),
             None => {}
         }
     }
 
     /// Removes expired keys.
     pub(crate) fn expire(&mut self, now: Time) {
-        while let Some(due) = self.due.first()
+        while let Some(due) = self.expiries.first()
             && due.at <= now
         {
             let key = due.key.clone();
@@ -148,7 +148,7 @@
     pub(crate) fn export(&self, now: Time, slot: Slot, mut bytes: usize) -> Vec<Grant> {
         let mut kept = Vec::new();
         for (key, record) in &self.slots[usize::from(slot)] {
-            let size = answer_bytes(&record.state);
+            let size = kept_answer_size(&record.state);
             let state = match &record.state {
                 State::Ran(Some(_)) if size > bytes => State::Ran(None),
                 state => {
@@ -156,7 +156,7 @@
                     state.clone()
                 }
             };
-            let expires_in = record.until.saturating_sub(now);
+            let expires_in = record.expires_at.saturating_sub(now);
             kept.push(Grant {
                 key: key.clone(),
                 claimant: record.claimant.clone(),
@@ -171,31 +171,31 @@
     pub(crate) fn import(&mut self, now: Time, kept: Vec<Grant>) {
         for Grant { key, claimant, state, expires_in } in kept {
             self.remove(&key);
-            self.insert(key, Record { claimant, state, until: now + expires_in });
+            self.insert(key, Record { claimant, state, expires_at: now + expires_in });
         }
         self.trim_answers();
     }
 
-    fn put(&mut self, now: Time, key: Key, claimant: Claimant, state: State) {
+    fn record(&mut self, now: Time, key: Key, claimant: Claimant, state: State) {
         let state = match state {
-            State::Ran(Some(answer)) if size(&answer) > self.limits.answer_bytes => {
+            State::Ran(Some(answer)) if answer_size(&answer) > self.limits.max_answer_bytes => {
                 State::Ran(None)
             }
             state => state,
         };
         self.remove(&key);
         let until = now + self.limits.retention;
-        self.insert(key, Record { claimant, state, until });
+        self.insert(key, Record { claimant, state, expires_at: until });
         self.trim_answers();
     }
 
     fn insert(&mut self, key: Key, record: Record) {
-        let due = Due { at: record.until, key: key.clone() };
+        let due = Expiry { at: record.expires_at, key: key.clone() };
         if let State::Ran(Some(answer)) = &record.state {
-            self.answers_bytes += size(answer);
-            self.answered.insert(due.clone());
+            self.total_answer_bytes += answer_size(answer);
+            self.answer_expiries.insert(due.clone());
         }
-        self.due.insert(due);
+        self.expiries.insert(due);
         let former = self.slots[usize::from(key.slot())].insert(key, record);
         debug_assert!(former.is_none(), "a key is removed before it is put again");
         self.len += 1;
@@ -204,33 +204,33 @@
     fn remove(&mut self, key: &Key) {
         let Some(record) = self.slots[usize::from(key.slot())].remove(key) else { return };
         self.len -= 1;
-        let due = Due { at: record.until, key: key.clone() };
-        self.due.remove(&due);
-        if self.answered.remove(&due) {
-            self.answers_bytes -= answer_bytes(&record.state);
+        let due = Expiry { at: record.expires_at, key: key.clone() };
+        self.expiries.remove(&due);
+        if self.answer_expiries.remove(&due) {
+            self.total_answer_bytes -= kept_answer_size(&record.state);
         }
     }
 
     /// Evicts the answers that expire first; that their requests ran stays recorded.
     fn trim_answers(&mut self) {
-        while self.answers_bytes > self.limits.answers_bytes
-            && let Some(due) = self.answered.pop_first()
+        while self.total_answer_bytes > self.limits.max_total_answer_bytes
+            && let Some(due) = self.answer_expiries.pop_first()
         {
             let record = self.slots[usize::from(due.key.slot())].get_mut(&due.key);
             let record = record.expect("an answer is kept only with its key");
-            self.answers_bytes -= answer_bytes(&record.state);
+            self.total_answer_bytes -= kept_answer_size(&record.state);
             record.state = State::Ran(None);
         }
     }
 }
 
-fn answer_bytes(state: &State) -> usize {
+fn kept_answer_size(state: &State) -> usize {
     match state {
-        State::Ran(Some(answer)) => size(answer),
+        State::Ran(Some(answer)) => answer_size(answer),
         _ => 0,
     }
 }
 
-fn size(answer: &Answer) -> usize {
+fn answer_size(answer: &Answer) -> usize {
     size_of::<Answer>() + answer.content_type.as_ref().map_or(0, String::len) + answer.body.len()
 }
--- a/crates/claim/src/transfer.rs
+++ b/crates/claim/src/transfer.rs
@@ -28,15 +28,15 @@
 #[derive(Debug)]
 pub(crate) struct Transfer {
     /// The identifier, with the version of the roster that the transfer changes.
-    pub stamp: TransferId,
+    pub id: TransferId,
     /// The slots and their next owners.
     pub moves: Vec<Move>,
     /// Whether the process is leaving, so that slots are transferred even to a member that did not
     /// receive their state.
-    pub is_last: bool,
+    pub is_leaving: bool,
     pub stage: Stage,
     /// The slots of each message that is not acknowledged yet, by message number.
-    waiting: BTreeMap<u32, Vec<Slot>>,
+    pending: BTreeMap<u32, Vec<Slot>>,
     until: Time,
 }
 
@@ -67,7 +67,7 @@
             return None;
         }
         let (waiting, stage) = (BTreeMap::new(), Stage::Sending);
-        Some(Transfer { stamp, moves, is_last, stage, waiting, until })
+        Some(Transfer { id: stamp, moves, is_leaving: is_last, stage, pending: waiting, until })
     }
 
     pub(crate) fn contains(&self, slot: Slot) -> bool {
@@ -75,36 +75,36 @@
     }
 
     /// Registers a message to be acknowledged and returns its number.
-    pub(crate) fn await_part(&mut self, slots: Vec<Slot>) -> u32 {
-        let part = self.waiting.len() as u32;
-        self.waiting.insert(part, slots);
+    pub(crate) fn add_message(&mut self, slots: Vec<Slot>) -> u32 {
+        let part = self.pending.len() as u32;
+        self.pending.insert(part, slots);
         part
     }
 
     /// Records that a message was acknowledged or failed.
-    pub(crate) fn handed_over(&mut self, stamp: TransferId, part: u32, held: bool) {
-        if self.stage == Stage::Proposing || stamp != self.stamp {
+    pub(crate) fn acknowledged(&mut self, stamp: TransferId, part: u32, held: bool) {
+        if self.stage == Stage::Proposing || stamp != self.id {
             return;
         }
-        let slots = self.waiting.remove(&part).unwrap_or_default();
+        let slots = self.pending.remove(&part).unwrap_or_default();
         if !held {
-            self.keep(&slots);
+            self.withdraw(&slots);
         }
     }
 
     /// Returns `true` if no acknowledgement is pending. After the timeout, pending ones count as
     /// failed.
-    pub(crate) fn is_sent(&mut self, now: Time) -> bool {
+    pub(crate) fn is_complete(&mut self, now: Time) -> bool {
         if now >= self.until {
-            for slots in std::mem::take(&mut self.waiting).into_values() {
-                self.keep(&slots);
+            for slots in std::mem::take(&mut self.pending).into_values() {
+                self.withdraw(&slots);
             }
         }
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
     /// Returns the time at which waiting for acknowledgements ends.
-    pub(crate) fn due(&self) -> Time {
+    pub(crate) fn next_due(&self) -> Time {
         match self.stage {
             Stage::Sending => self.until,
             Stage::Proposing => Time::MAX,
@@ -113,8 +113,8 @@
 
     /// Keeps slots whose state did not arrive, unless the process is leaving. In that case the keys
     /// are in doubt for their next owner, as if this process had crashed.
-    fn keep(&mut self, slots: &[Slot]) {
-        if !self.is_last {
+    fn withdraw(&mut self, slots: &[Slot]) {
+        if !self.is_leaving {
             self.moves.retain(|moved| !slots.contains(&moved.slot));
         }
     }
--- a/crates/claim/src/verdict.rs
+++ b/crates/claim/src/verdict.rs
@@ -37,7 +37,7 @@
         Verdict { claimed, retry_after }
     }
 
-    pub(crate) fn answer(self, ask: RequestId) -> Action {
+    pub(crate) fn into_action(self, ask: RequestId) -> Action {
         Action::Verdict { ask, verdict: self.claimed, retry_after: self.retry_after }
     }
 }
--- a/crates/tenure/src/directory.rs
+++ b/crates/tenure/src/directory.rs
@@ -27,7 +27,7 @@
     home: Home,
     revision: id::Revision,
     /// The removal of the job from its cell, while it is being written.
-    leaving: Option<Removal>,
+    removal: Option<Removal>,
 }
 
 /// The removal of a job from its cell. Until the written home is read back, the cell receives
@@ -35,15 +35,15 @@
 #[derive(Clone, Copy, Debug)]
 struct Removal {
     /// Revision of the home before the removal.
-    from: id::Revision,
+    base_revision: id::Revision,
     /// Whether the removal is in the store.
     written: bool,
 }
 
 impl Entry {
     /// Returns `true` if the removal is written and its result has been read back.
-    fn has_left(&self) -> bool {
-        self.leaving.is_some_and(|leaving| leaving.written && self.revision > leaving.from)
+    fn is_removal_complete(&self) -> bool {
+        self.removal.is_some_and(|leaving| leaving.written && self.revision > leaving.base_revision)
     }
 }
 
@@ -85,8 +85,8 @@
     /// All cells in the store.
     cells: BTreeSet<id::Cell>,
     /// The cells that this placer owns.
-    own: BTreeSet<id::Cell>,
-    claim: Vec<id::Job>,
+    owned_cells: BTreeSet<id::Cell>,
+    claiming: Vec<id::Job>,
     retry_at: Time,
     /// The earliest time at which a waiting job may be due; no scan is needed before.
     scan_at: Time,
@@ -110,13 +110,13 @@
 
     /// Records that this placer owns a cell, and assigns to the cell the jobs whose home it is.
     pub fn add_owned_cell(&mut self, cell: &id::Cell, actions: &mut Vec<Action>) {
-        self.own.insert(cell.clone());
+        self.owned_cells.insert(cell.clone());
         self.scan_at = Time::ZERO;
         for (name, kept) in &self.homes {
             if kept.home.cell.as_ref() != Some(cell) {
                 continue;
             }
-            self.tell_kept(name, kept, actions);
+            self.notify_cell(name, kept, actions);
         }
     }
 
@@ -129,17 +129,17 @@
         let before = std::mem::replace(&mut self.declared_revision, revision);
         for (name, kept) in &self.homes {
             if kept.revision > before && !self.jobs.contains_key(name) {
-                self.tell_kept(name, kept, actions);
+                self.notify_cell(name, kept, actions);
             }
         }
     }
 
     /// Records that this placer no longer owns a cell.
     pub fn remove_owned_cell(&mut self, cell: &id::Cell) {
-        self.own.remove(cell);
+        self.owned_cells.remove(cell);
         let here = |kept: &&mut Entry| kept.home.cell.as_ref() == Some(cell);
         for kept in self.homes.values_mut().filter(here) {
-            kept.leaving = None;
+            kept.removal = None;
         }
     }
 
@@ -152,16 +152,17 @@
         actions: &mut Vec<Action>,
     ) {
         self.jobs.insert(name.clone(), spec.clone());
-        self.tell(name, actions);
-        self.wait_if_homeless(now, name);
+        self.notify_home_cell(name, actions);
+        self.update_waiting(now, name);
     }
 
     /// Records that a job is no longer declared.
     pub fn undeclared(&mut self, name: &id::Job, actions: &mut Vec<Action>) {
         self.jobs.remove(name);
         self.waiting.remove(name);
-        let Some(kept) = self.homes.get(name).filter(|kept| kept.leaving.is_none()) else { return };
-        let Some(cell) = kept.home.cell.clone().filter(|cell| self.own.contains(cell)) else {
+        let Some(kept) = self.homes.get(name).filter(|kept| kept.removal.is_none()) else { return };
+        let Some(cell) = kept.home.cell.clone().filter(|cell| self.owned_cells.contains(cell))
+        else {
             return;
         };
         actions.push(Action::Removed { cell, name: name.clone() });
@@ -178,7 +179,7 @@
         }
         let names: Vec<id::Job> = self.jobs.keys().cloned().collect();
         for name in &names {
-            self.wait_if_homeless(now, name);
+            self.update_waiting(now, name);
         }
     }
 
@@ -193,20 +194,20 @@
         }
         let before = known.and_then(|kept| kept.home.cell.clone());
         let moved = before != home.cell;
-        let leaving = known.and_then(|kept| kept.leaving).filter(|_| !moved);
-        let mut kept = Entry { home, revision: entry.revision, leaving };
-        let left = kept.has_left();
+        let leaving = known.and_then(|kept| kept.removal).filter(|_| !moved);
+        let mut kept = Entry { home, revision: entry.revision, removal: leaving };
+        let left = kept.is_removal_complete();
         if left {
-            kept.leaving = None;
+            kept.removal = None;
         }
         self.homes.insert(name.clone(), kept);
         if moved {
-            self.leave(before, &name, actions);
+            self.notify_removed(before, &name, actions);
         }
         if moved || left {
-            self.tell(&name, actions);
+            self.notify_home_cell(&name, actions);
         }
-        self.wait_if_homeless(now, &name);
+        self.update_waiting(now, &name);
     }
 
     /// Records that the home key of a job was deleted at a revision.
@@ -217,7 +218,7 @@
         }
         let name = name.clone();
         self.homes.remove(&name);
-        self.wait_if_homeless(now, &name);
+        self.update_waiting(now, &name);
     }
 
     /// Returns `true` if a job is declared.
@@ -225,7 +226,7 @@
         self.jobs.contains_key(name)
     }
 
-    fn wait_if_homeless(&mut self, now: Time, name: &id::Job) {
+    fn update_waiting(&mut self, now: Time, name: &id::Job) {
         let homed = self.homes.get(name).is_some_and(|kept| kept.home.cell.is_some());
         if self.homes_loaded && !homed && self.jobs.contains_key(name) {
             self.waiting.entry(name.clone()).or_insert(now);
@@ -238,15 +239,15 @@
     }
 
     /// Notifies a job's home cell of the job, if this placer owns the cell.
-    fn tell(&self, name: &id::Job, actions: &mut Vec<Action>) {
+    fn notify_home_cell(&self, name: &id::Job, actions: &mut Vec<Action>) {
         if let Some((name, kept)) = self.homes.get_key_value(name) {
-            self.tell_kept(name, kept, actions);
+            self.notify_cell(name, kept, actions);
         }
     }
 
-    fn tell_kept(&self, name: &id::Job, kept: &Entry, actions: &mut Vec<Action>) {
+    fn notify_cell(&self, name: &id::Job, kept: &Entry, actions: &mut Vec<Action>) {
         let Some(cell) = &kept.home.cell else { return };
-        if kept.leaving.is_some() || !self.own.contains(cell) {
+        if kept.removal.is_some() || !self.owned_cells.contains(cell) {
             return;
         }
         let (cell, name) = (cell.clone(), name.clone());
@@ -259,8 +260,8 @@
         }
     }
 
-    fn leave(&self, cell: Option<id::Cell>, name: &id::Job, actions: &mut Vec<Action>) {
-        if let Some(cell) = cell.filter(|cell| self.own.contains(cell)) {
+    fn notify_removed(&self, cell: Option<id::Cell>, name: &id::Job, actions: &mut Vec<Action>) {
+        if let Some(cell) = cell.filter(|cell| self.owned_cells.contains(cell)) {
             actions.push(Action::Removed { cell, name: name.clone() });
         }
     }
--- a/crates/tenure/src/directory/claim.rs
+++ b/crates/tenure/src/directory/claim.rs
@@ -15,7 +15,7 @@
 use super::Directory;
 
 /// Maximum number of jobs claimed in one transaction; the store accepts 128 operations.
-const BATCH: usize = 100;
+const MAX_CLAIM_JOBS: usize = 100;
 
 impl Directory {
     /// Claims the waiting jobs that are due.
@@ -28,15 +28,15 @@
         for (name, &since) in &self.waiting {
             let Some((cell, rank)) = self.best_claim(name) else { continue };
             let due = since + self.rank_delay * rank as u32;
-            if due > now || self.claim.len() == BATCH {
+            if due > now || self.claiming.len() == MAX_CLAIM_JOBS {
                 next = next.min(due);
                 continue;
             }
-            self.claim.push(name.clone());
+            self.claiming.push(name.clone());
             self.add_claim(&mut txn, name, cell);
         }
         self.scan_at = next;
-        if !self.claim.is_empty() {
+        if !self.claiming.is_empty() {
             actions.push(Action::Claim { txn });
         }
     }
@@ -50,7 +50,7 @@
         retry: Duration,
         actions: &mut Vec<Action>,
     ) {
-        self.claim.clear();
+        self.claiming.clear();
         self.scan_at = Time::ZERO;
         match outcome {
             Ok(verdict) if verdict.applied => {
@@ -75,7 +75,8 @@
 
     /// Returns the time at which [`Directory::tick`] next has something to do.
     pub fn next_due(&self) -> Option<Time> {
-        let idle = !self.claim.is_empty() || self.own.is_empty() || self.waiting.is_empty();
+        let idle =
+            !self.claiming.is_empty() || self.owned_cells.is_empty() || self.waiting.is_empty();
         let due = self.scan_at.max(self.retry_at);
         (!idle && due < Time::MAX).then_some(due)
     }
@@ -97,7 +98,7 @@
         let spec = self.jobs.get(name)?;
         let tried = self.homes.get(name).map_or(&[][..], |kept| &kept.home.tried);
         let open = |cell: &&id::Cell| may_run(spec, cell) && !tried.contains(cell);
-        let ranked = self.own.iter().filter(open).map(|cell| {
+        let ranked = self.owned_cells.iter().filter(open).map(|cell| {
             let others = self.cells.iter().filter(open).map(|cell| &**cell);
             (rank::rank(name, cell, others), cell)
         });
--- a/crates/tenure/src/directory/removal.rs
+++ b/crates/tenure/src/directory/removal.rs
@@ -44,18 +44,18 @@
             _ => put(&kept.home),
         };
         let guards = vec![kv::Guard::Unchanged(key, from)];
-        self.homes.get_mut(name)?.leaving = Some(Removal { from, written: false });
+        self.homes.get_mut(name)?.removal = Some(Removal { base_revision: from, written: false });
         Some(kv::Txn { guards, changes: vec![change] })
     }
 
     /// Records that the removal of a job from its cell is in the store.
     pub fn removal_written(&mut self, name: &id::Job, actions: &mut Vec<Action>) {
         let Some(kept) = self.homes.get_mut(name) else { return };
-        let Some(leaving) = &mut kept.leaving else { return };
+        let Some(leaving) = &mut kept.removal else { return };
         leaving.written = true;
-        if kept.has_left() {
-            kept.leaving = None;
-            self.tell(name, actions);
+        if kept.is_removal_complete() {
+            kept.removal = None;
+            self.notify_home_cell(name, actions);
         }
     }
 
--- a/crates/tenure/src/inquiry.rs
+++ b/crates/tenure/src/inquiry.rs
@@ -25,34 +25,34 @@
 pub struct Inquiry {
     queries: SmallVec<[Query; 2]>,
     /// Whether any previous owner was ended by the platform rather than stopping by itself.
-    ended: bool,
+    any_ended: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Query {
     owner: Owner,
-    ask_at: Time,
+    query_at: Time,
 }
 
 impl Inquiry {
     /// Opens an inquiry into all previous owners. `own` is this incarnation, which has stopped
     /// running the cell.
     pub fn open(formers: &[Owner], own: &Owner, view: &list::View, now: Time) -> Inquiry {
-        let mut inquiry = Inquiry { queries: SmallVec::new(), ended: false };
+        let mut inquiry = Inquiry { queries: SmallVec::new(), any_ended: false };
         for owner in formers {
             // Requests of this process under a previous epoch may still be in flight.
             if owner.is_same(own) || has_ended(owner, view) {
-                inquiry.ended = true;
+                inquiry.any_ended = true;
             } else {
-                inquiry.queries.push(Query { owner: owner.clone(), ask_at: now });
+                inquiry.queries.push(Query { owner: owner.clone(), query_at: now });
             }
         }
         inquiry
     }
 
     /// Returns what is known of all previous owners together.
-    pub fn former(&self) -> Former {
-        match (self.queries.is_empty(), self.ended) {
+    pub fn outcome(&self) -> Former {
+        match (self.queries.is_empty(), self.any_ended) {
             (false, _) => Former::Unheard,
             (true, true) => Former::Ended,
             (true, false) => Former::Released,
@@ -70,7 +70,7 @@
         let before = self.queries.len();
         self.queries.retain(|question| !has_ended(&question.owner, view));
         let settled = self.queries.len() < before;
-        self.ended |= settled;
+        self.any_ended |= settled;
         settled && self.queries.is_empty()
     }
 
@@ -85,8 +85,8 @@
     /// Returns the owners to query now; each is queried again after `interval`.
     pub fn due(&mut self, now: Time, every: Time) -> SmallVec<[Owner; 2]> {
         let mut due = SmallVec::new();
-        for question in self.queries.iter_mut().filter(|question| question.ask_at <= now) {
-            question.ask_at = now + every;
+        for question in self.queries.iter_mut().filter(|question| question.query_at <= now) {
+            question.query_at = now + every;
             due.push(question.owner.clone());
         }
         due
@@ -94,6 +94,6 @@
 
     /// Returns the time of the next query.
     pub fn next_due(&self) -> Option<id::Time> {
-        self.queries.iter().map(|question| question.ask_at).min()
+        self.queries.iter().map(|question| question.query_at).min()
     }
 }
--- a/crates/tenure/src/lease.rs
+++ b/crates/tenure/src/lease.rs
@@ -9,9 +9,9 @@
 use crate::event::Ticket;
 
 /// A lease is renewed after this fraction of its duration.
-const RENEW_PART: u32 = 3;
+const RENEW_FRACTION: u32 = 3;
 /// A failed call is retried after this fraction of the lease's duration.
-const RETRY_PART: u32 = 10;
+const RETRY_FRACTION: u32 = 10;
 
 /// A generator of store call identifiers.
 #[derive(Clone, Debug, Default)]
@@ -122,7 +122,7 @@
                 State::Publishing { lease, until: sent.at + self.ttl, sent: None, retry_at: now }
             }
             // A lease whose grant was lost is attached to no key and expires.
-            Err(_) => State::Absent { retry_at: now + self.retry() },
+            Err(_) => State::Absent { retry_at: now + self.retry_delay() },
         };
     }
 
@@ -142,7 +142,9 @@
             Ok(_) => State::Valid { lease, until, renew_at: self.renew_at(until), sent: None },
             Err(kv::Error::LeaseGone) => State::Absent { retry_at: now },
             // The write is idempotent, so it can be repeated whether or not it took effect.
-            Err(_) => State::Publishing { lease, until, sent: None, retry_at: now + self.retry() },
+            Err(_) => {
+                State::Publishing { lease, until, sent: None, retry_at: now + self.retry_delay() }
+            }
         };
         true
     }
@@ -159,7 +161,7 @@
                 State::Valid { lease, until, renew_at: self.renew_at(until), sent: None }
             }
             Err(kv::Error::LeaseGone) => State::Absent { retry_at: now },
-            Err(_) => State::Valid { lease, until, renew_at: now + self.retry(), sent: None },
+            Err(_) => State::Valid { lease, until, renew_at: now + self.retry_delay(), sent: None },
         };
     }
 
@@ -174,11 +176,11 @@
     }
 
     fn renew_at(&self, until: Time) -> Time {
-        until.saturating_sub(self.ttl - self.ttl / RENEW_PART)
+        until.saturating_sub(self.ttl - self.ttl / RENEW_FRACTION)
     }
 
-    fn retry(&self) -> Duration {
-        self.ttl / RETRY_PART
+    fn retry_delay(&self) -> Duration {
+        self.ttl / RETRY_FRACTION
     }
 }
 
--- a/crates/tenure/src/ownership.rs
+++ b/crates/tenure/src/ownership.rs
@@ -41,9 +41,9 @@
 use read::Reader;
 
 /// A gap between steps of more than this fraction of the lease counts as a stall.
-const PAUSE_PART: u32 = 2;
+const STALL_FRACTION: u32 = 2;
 /// The longest interval between steps that the manager requests, as a fraction of the lease.
-const STEP_PART: u32 = 8;
+const STEP_FRACTION: u32 = 8;
 
 /// Settings of an ownership manager.
 #[derive(Clone, Debug)]
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Drain {
     No,
-    Asked,
+    Requested,
     Done,
 }
 
@@ -88,12 +88,12 @@
 #[derive(Clone, Debug)]
 pub struct Manager {
     settings: Settings,
-    alive: Liveness,
+    liveness: Liveness,
     view: Option<list::View>,
     /// The placers of this domain in `view`. Most members are workers, and every step needs only
     /// the placers.
     placers: Vec<list::Member>,
-    scene: Option<Snapshot>,
+    snapshot: Option<Snapshot>,
     plan: Plan,
     lease: Lease,
     reader: Reader,
@@ -101,7 +101,7 @@
     commits: BTreeMap<Ticket, Purpose>,
     stages: BTreeMap<CellIndex, Stage>,
     operations: u64,
-    last: Option<Time>,
+    last_step: Option<Time>,
     drain: Drain,
 }
 
@@ -111,10 +111,10 @@
         let key = key::alive(&settings.domain, &settings.instance, settings.incarnation);
         let alive = Liveness { key, value: settings.address.to_string().into_bytes() };
         Manager {
-            alive,
+            liveness: alive,
             view: None,
             placers: Vec::new(),
-            scene: None,
+            snapshot: None,
             plan: Plan::default(),
             lease: Lease::open(settings.lease),
             reader: Reader::open(),
@@ -122,7 +122,7 @@
             commits: BTreeMap::new(),
             stages: BTreeMap::new(),
             operations: 0,
-            last: None,
+            last_step: None,
             drain: Drain::No,
             settings,
         }
@@ -135,7 +135,7 @@
         self.check_stall(now);
         match event {
             Event::Tick => {}
-            Event::Listed { view } => self.listed(view, actions),
+            Event::Listed { view } => self.apply_list(view, actions),
             Event::Changed => self.reader.request(now),
             Event::DomainRead { ticket, outcome } => {
                 self.domain_read(now, ticket, outcome, actions)
@@ -149,16 +149,18 @@
                 self.store_call_ended(now, outcome.as_ref().err(), actions);
                 self.lease.renewed(now, ticket, outcome);
             }
-            Event::StoppedQueried { call, cell, epoch } => self.asked(call, &cell, epoch, actions),
+            Event::StoppedQueried { call, cell, epoch } => {
+                self.stopped_queried(call, &cell, epoch, actions)
+            }
             Event::StopConfirmed { cell, epoch, owner } => {
-                self.confirmed(&cell, epoch, &owner, actions);
+                self.stop_confirmed(&cell, epoch, &owner, actions);
             }
-            Event::HigherEpoch { cell, epoch } => self.outranked(now, &cell, epoch, actions),
+            Event::HigherEpoch { cell, epoch } => self.higher_epoch(now, &cell, epoch, actions),
             Event::Quiesced { cell, epoch } => self.quiesced(&cell, epoch, actions),
-            Event::Drain => self.drain = self.drain.asked(),
+            Event::Drain => self.drain = self.drain.requested(),
         }
         self.advance(now, actions);
-        self.last = Some(now);
+        self.last_step = Some(now);
     }
 
     /// Performs everything that is due now.
@@ -169,13 +171,13 @@
         self.lease.renew(now, &mut self.tickets, actions);
         self.begin_read(now, actions);
         if self.reader.is_fresh() {
-            self.lease.obtain(now, &self.alive, &mut self.tickets, actions);
+            self.lease.obtain(now, &self.liveness, &mut self.tickets, actions);
             self.extend_plan(actions);
-            self.give_up_cells(now, actions);
+            self.start_releases(now, actions);
             self.write_releases(actions);
             self.take_cells(now, actions);
         }
-        self.ask_formers(now, actions);
+        self.query_previous_owners(now, actions);
         self.log_isolation(now, actions);
         self.finish_drain(actions);
     }
@@ -194,7 +196,7 @@
 
     /// Returns the time at which the next [`Event::Tick`] is due.
     pub fn next_due(&self, now: Time) -> Time {
-        let idle = self.last.unwrap_or(now) + self.settings.lease / STEP_PART;
+        let idle = self.last_step.unwrap_or(now) + self.settings.lease / STEP_FRACTION;
         let mut due = idle.min(self.reader.next_due().unwrap_or(idle));
         due = due.min(self.lease.next_due().filter(|_| self.reader.is_fresh()).unwrap_or(idle));
         for stage in self.stages.values() {
@@ -228,7 +230,7 @@
     }
 
     /// Returns this incarnation as it is written into claims.
-    fn own(&self) -> Owner {
+    fn this_owner(&self) -> Owner {
         Owner {
             instance: self.settings.instance.clone(),
             incarnation: self.settings.incarnation,
@@ -245,8 +247,8 @@
     }
 
     fn is_stall(&self, now: Time) -> bool {
-        let gap = now.saturating_sub(self.last.unwrap_or(now));
-        gap > self.settings.lease / PAUSE_PART
+        let gap = now.saturating_sub(self.last_step.unwrap_or(now));
+        gap > self.settings.lease / STALL_FRACTION
     }
 
     /// Invalidates everything known about the store after a stall, until the store is read again.
@@ -255,7 +257,7 @@
             return;
         }
         self.invalidate(now);
-        self.forget_ranks();
+        self.reset_outranked();
         if self.stages.values().any(|stage| stage.active().is_some()) {
             self.reader.suspend();
         }
@@ -284,9 +286,9 @@
 }
 
 impl Drain {
-    fn asked(self) -> Drain {
+    fn requested(self) -> Drain {
         match self {
-            Drain::No | Drain::Asked => Drain::Asked,
+            Drain::No | Drain::Requested => Drain::Requested,
             Drain::Done => Drain::Done,
         }
     }
--- a/crates/tenure/src/ownership/cells.rs
+++ b/crates/tenure/src/ownership/cells.rs
@@ -22,7 +22,7 @@
 use super::Purpose;
 
 /// Maximum number of doublings: each handover of a cell doubles the delay before the next one.
-const HANDOVERS_MAX: u32 = 6;
+const MAX_HANDOVER_DOUBLINGS: u32 = 6;
 
 impl Manager {
     pub(super) fn committed(
@@ -69,7 +69,7 @@
         mut stage: Stage,
         actions: &mut Vec<Action>,
     ) -> Stage {
-        let scene = self.scene.as_ref().expect("a scene was just read");
+        let scene = self.snapshot.as_ref().expect("a scene was just read");
         let seen = scene.revision;
         let title = scene.entry(slice).cloned();
         let claim = title.as_ref().and_then(|title| title.claim.as_ref());
@@ -84,13 +84,13 @@
                     tenure.state.isolated = false;
                     return Stage::Held(tenure);
                 }
-                self.lost(tenure.lose(), actions)
+                self.ownership_lost(tenure.lose(), actions)
             }
             Stage::Yielding(tenure) => {
                 if seen < tenure.state.revision || standing == Some(tenure.state.claim.operation) {
                     return Stage::Yielding(tenure);
                 }
-                self.lost(tenure.lose(), actions)
+                self.ownership_lost(tenure.lose(), actions)
             }
             Stage::Taking(tenure) if tenure.state.ticket.is_none() => {
                 if standing != Some(tenure.state.claim.operation) {
@@ -109,7 +109,7 @@
         }
     }
 
-    fn lost(&self, tenure: Ownership<Stopping>, actions: &mut Vec<Action>) -> Stage {
+    fn ownership_lost(&self, tenure: Ownership<Stopping>, actions: &mut Vec<Action>) -> Stage {
         let cell = tenure.common.cell.clone();
         let epoch = tenure.state.epoch;
         let reason = format!("epoch {epoch} is over; {} was met", tenure.common.max_epoch);
@@ -119,7 +119,7 @@
     }
 
     /// Stops a cell at once if it runs here under an epoch below `epoch`. Returns `true` if it did.
-    pub(super) fn lose_below(
+    pub(super) fn stop_below_epoch(
         &mut self,
         slice: CellIndex,
         epoch: id::Epoch,
@@ -129,8 +129,8 @@
         stage.common().max_epoch = stage.common().max_epoch.max(epoch);
         let below = stage.active().is_some_and(|own| own < epoch);
         let stage = match stage {
-            Stage::Held(tenure) if below => self.lost(tenure.lose(), actions),
-            Stage::Yielding(tenure) if below => self.lost(tenure.lose(), actions),
+            Stage::Held(tenure) if below => self.ownership_lost(tenure.lose(), actions),
+            Stage::Yielding(tenure) if below => self.ownership_lost(tenure.lose(), actions),
             other => other,
         };
         self.stages.insert(slice, stage);
@@ -138,22 +138,22 @@
     }
 
     /// Starts to release the cells that another placer should own, and all cells during a drain.
-    pub(super) fn give_up_cells(&mut self, now: Time, actions: &mut Vec<Action>) {
+    pub(super) fn start_releases(&mut self, now: Time, actions: &mut Vec<Action>) {
         let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
         for slice in slices {
-            if self.is_to_be_given_up(now, slice) {
-                self.give_up(slice, actions);
+            if self.should_release(now, slice) {
+                self.start_release(slice, actions);
             }
         }
     }
 
-    fn is_to_be_given_up(&mut self, now: Time, slice: CellIndex) -> bool {
+    fn should_release(&mut self, now: Time, slice: CellIndex) -> bool {
         let leaving = self.own_member().is_some_and(|own| own.state == list::State::Leaving);
         let leaving = leaving && self.candidates().next().is_some();
         let outranked = self.rank(slice) > 0;
         let wait = self.settings.handover_delay;
         let Some(Stage::Held(tenure)) = self.stages.get_mut(&slice) else { return false };
-        if self.drain == Drain::Asked || leaving {
+        if self.drain == Drain::Requested || leaving {
             return true;
         }
         if !outranked {
@@ -161,12 +161,12 @@
             return false;
         }
         let since = *tenure.state.outranked_since.get_or_insert(now);
-        now >= since + handover_wait(wait, tenure)
+        now >= since + handover_delay(wait, tenure)
     }
 
     /// Resets the time since which others have ranked before this placer: while the store can't be
     /// read, no placer is known to be alive.
-    pub(super) fn forget_ranks(&mut self) {
+    pub(super) fn reset_outranked(&mut self) {
         for stage in self.stages.values_mut() {
             if let Stage::Held(tenure) = stage {
                 tenure.state.outranked_since = None;
@@ -174,12 +174,12 @@
         }
     }
 
-    fn give_up(&mut self, slice: CellIndex, actions: &mut Vec<Action>) {
+    fn start_release(&mut self, slice: CellIndex, actions: &mut Vec<Action>) {
         let Some(Stage::Held(tenure)) = self.stages.remove(&slice) else { return };
         let cell = tenure.common.cell.clone();
         let epoch = tenure.state.claim.epoch;
         actions.push(Action::Quiesce { cell, epoch });
-        self.stages.insert(slice, Stage::Yielding(tenure.give_up()));
+        self.stages.insert(slice, Stage::Yielding(tenure.start_yielding()));
     }
 
     /// Logs once per cell that it is kept running without the store.
@@ -214,12 +214,12 @@
     }
 
     /// Returns the index of a cell if the cell is of this domain.
-    pub(super) fn slice_of(&self, cell: &str) -> Option<CellIndex> {
+    pub(super) fn cell_index(&self, cell: &str) -> Option<CellIndex> {
         let rest = cell.strip_prefix(&*self.settings.domain)?.strip_prefix('/')?;
         rest.parse().ok()
     }
 }
 
-fn handover_wait(settle: Duration, tenure: &Ownership<Held>) -> Duration {
-    settle * 2u32.pow(tenure.common.handovers.min(HANDOVERS_MAX))
+fn handover_delay(settle: Duration, tenure: &Ownership<Held>) -> Duration {
+    settle * 2u32.pow(tenure.common.handovers.min(MAX_HANDOVER_DOUBLINGS))
 }
--- a/crates/tenure/src/ownership/peers.rs
+++ b/crates/tenure/src/ownership/peers.rs
@@ -14,14 +14,14 @@
 
 impl Manager {
     /// Applies a newer list, which may show that a previous owner has ended.
-    pub(super) fn listed(&mut self, view: list::View, actions: &mut Vec<Action>) {
+    pub(super) fn apply_list(&mut self, view: list::View, actions: &mut Vec<Action>) {
         if self.view.as_ref().is_some_and(|last| last.version >= view.version) {
             return;
         }
         for stage in self.stages.values_mut() {
             let Stage::Held(tenure) = stage else { continue };
             if tenure.state.inquiry.apply_list(&view) {
-                let former = tenure.state.inquiry.former();
+                let former = tenure.state.inquiry.outcome();
                 actions.push(Action::PreviousOwners { cell: tenure.common.cell.clone(), former });
             }
         }
@@ -33,18 +33,18 @@
     }
 
     /// Answers the query of a later owner, once this placer has stopped the cell.
-    pub(super) fn asked(
+    pub(super) fn stopped_queried(
         &mut self,
         call: CallId,
         cell: &str,
         epoch: id::Epoch,
         actions: &mut Vec<Action>,
     ) {
-        let Some(slice) = self.slice_of(cell) else {
+        let Some(slice) = self.cell_index(cell) else {
             actions.push(Action::Answer { call, reply: peer::Reply::Misdirected });
             return;
         };
-        self.lose_below(slice, epoch, actions);
+        self.stop_below_epoch(slice, epoch, actions);
         let reply = match self.stages.get_mut(&slice) {
             Some(stage) if stage.active().is_some() => peer::Reply::Misdirected,
             Some(Stage::Stopping(tenure)) => {
@@ -56,7 +56,7 @@
         actions.push(Action::Answer { call, reply });
     }
 
-    pub(super) fn ask_formers(&mut self, now: Time, actions: &mut Vec<Action>) {
+    pub(super) fn query_previous_owners(&mut self, now: Time, actions: &mut Vec<Action>) {
         let every = self.settings.query_interval;
         for stage in self.stages.values_mut() {
             let Stage::Held(tenure) = stage else { continue };
@@ -67,32 +67,32 @@
         }
     }
 
-    pub(super) fn confirmed(
+    pub(super) fn stop_confirmed(
         &mut self,
         cell: &str,
         epoch: id::Epoch,
         owner: &Owner,
         actions: &mut Vec<Action>,
     ) {
-        let Some(slice) = self.slice_of(cell) else { return };
+        let Some(slice) = self.cell_index(cell) else { return };
         let Some(Stage::Held(tenure)) = self.stages.get_mut(&slice) else { return };
         if tenure.state.claim.epoch == epoch && tenure.state.inquiry.confirm_stopped(owner) {
-            let former = tenure.state.inquiry.former();
+            let former = tenure.state.inquiry.outcome();
             actions.push(Action::PreviousOwners { cell: tenure.common.cell.clone(), former });
         }
     }
 
     /// Handles a higher epoch reported by a worker: this placer's epoch has ended, whatever the
     /// store last showed.
-    pub(super) fn outranked(
+    pub(super) fn higher_epoch(
         &mut self,
         now: Time,
         cell: &str,
         epoch: id::Epoch,
         actions: &mut Vec<Action>,
     ) {
-        let Some(slice) = self.slice_of(cell) else { return };
-        if self.lose_below(slice, epoch, actions) {
+        let Some(slice) = self.cell_index(cell) else { return };
+        if self.stop_below_epoch(slice, epoch, actions) {
             self.invalidate(now);
         }
     }
--- a/crates/tenure/src/ownership/read.rs
+++ b/crates/tenure/src/ownership/read.rs
@@ -11,12 +11,12 @@
 use super::Manager;
 
 /// The interval between reads, as a fraction of the lease, in case the watch missed a change.
-const LOOK_PART: u32 = 2;
+const READ_FRACTION: u32 = 2;
 /// The delay before a failed read is retried, as a fraction of the lease.
-const RETRY_PART: u32 = 10;
+const RETRY_FRACTION: u32 = 10;
 /// After an outage longer than this fraction of the lease, other owners get the duration of a lease
 /// to renew their liveness before their cells are taken.
-const OUTAGE_PART: u32 = 2;
+const OUTAGE_FRACTION: u32 = 2;
 
 /// The state of the reads of the store.
 #[derive(Clone, Debug)]
@@ -25,7 +25,7 @@
     ticket: Option<Ticket>,
     due: Time,
     /// Whether a change was announced while a read was in flight.
-    again: bool,
+    reread: bool,
     /// Whether a read begun after the last failure or stall has returned.
     fresh: bool,
     suspended: bool,
@@ -38,7 +38,7 @@
         Reader {
             ticket: None,
             due: Time::ZERO,
-            again: false,
+            reread: false,
             fresh: false,
             suspended: false,
             down_since: None,
@@ -48,7 +48,7 @@
 
     /// Requests a read, after the one in flight if there is one.
     pub(super) fn request(&mut self, now: Time) {
-        self.again = self.ticket.is_some();
+        self.reread = self.ticket.is_some();
         self.due = self.due.min(now);
     }
 
@@ -99,8 +99,8 @@
         }
         let ticket = self.tickets.issue();
         self.reader.ticket = Some(ticket);
-        self.reader.again = false;
-        self.reader.due = now + self.settings.lease / LOOK_PART;
+        self.reader.reread = false;
+        self.reader.due = now + self.settings.lease / READ_FRACTION;
         actions.push(Action::ReadDomain { ticket });
     }
 
@@ -126,18 +126,18 @@
     fn apply_snapshot(&mut self, now: Time, snapshot: &kv::Snapshot, actions: &mut Vec<Action>) {
         self.store_answered(now, actions);
         self.reader.fresh = true;
-        if self.reader.again {
+        if self.reader.reread {
             self.reader.due = now;
         }
         let scene = Snapshot::parse(&self.settings.domain, snapshot, &self.plan);
         self.plan = scene.plan.clone();
-        self.scene = Some(scene);
+        self.snapshot = Some(scene);
         self.reconcile(now, actions);
     }
 
     pub(super) fn store_answered(&mut self, now: Time, actions: &mut Vec<Action>) {
         let Some(since) = self.reader.down_since.take() else { return };
-        if now.saturating_sub(since) > self.settings.lease / OUTAGE_PART {
+        if now.saturating_sub(since) > self.settings.lease / OUTAGE_FRACTION {
             self.reader.grace_until = now + self.settings.lease;
         }
         let instance = self.settings.instance.clone();
@@ -150,9 +150,9 @@
             let instance = self.settings.instance.clone();
             self.log(LogEvent::StoreLost, &instance, error.to_string(), actions);
         }
-        self.forget_ranks();
+        self.reset_outranked();
         // Nothing is written until the store has been read again. A read in flight counts.
         self.reader.fresh = false;
-        self.reader.due = self.reader.due.min(now + self.settings.lease / RETRY_PART);
+        self.reader.due = self.reader.due.min(now + self.settings.lease / RETRY_FRACTION);
     }
 }
--- a/crates/tenure/src/ownership/release.rs
+++ b/crates/tenure/src/ownership/release.rs
@@ -20,7 +20,7 @@
 impl Manager {
     /// Handles the report that the process has stopped a cell.
     pub(super) fn quiesced(&mut self, cell: &str, epoch: id::Epoch, actions: &mut Vec<Action>) {
-        let Some(slice) = self.slice_of(cell) else { return };
+        let Some(slice) = self.cell_index(cell) else { return };
         let Some(stage) = self.stages.remove(&slice) else { return };
         let mut stage = match stage {
             Stage::Yielding(tenure) if tenure.state.claim.epoch == epoch => {
@@ -93,7 +93,7 @@
 
     pub(super) fn finish_drain(&mut self, actions: &mut Vec<Action>) {
         let idle = |stage: &Stage| matches!(stage, Stage::Vacant(_));
-        if self.drain != Drain::Asked || !self.stages.values().all(idle) {
+        if self.drain != Drain::Requested || !self.stages.values().all(idle) {
             return;
         }
         self.drain = Drain::Done;
--- a/crates/tenure/src/ownership/status.rs
+++ b/crates/tenure/src/ownership/status.rs
@@ -23,7 +23,7 @@
     /// Returns the status of every cell of the domain.
     pub fn cell_statuses(&self) -> impl Iterator<Item = Status> {
         self.stages.iter().map(|(&slice, stage)| {
-            let title = self.scene.as_ref().and_then(|scene| scene.entry(slice));
+            let title = self.snapshot.as_ref().and_then(|scene| scene.entry(slice));
             let claim = title.and_then(|title| title.claim.as_ref());
             Status {
                 cell: key::name(&self.settings.domain, slice),
--- a/crates/tenure/src/ownership/take.rs
+++ b/crates/tenure/src/ownership/take.rs
@@ -27,7 +27,7 @@
 struct Vacancy {
     guards: Vec<kv::Guard>,
     epoch: id::Epoch,
-    formers: Vec<Owner>,
+    previous_owners: Vec<Owner>,
 }
 
 impl Manager {
@@ -36,7 +36,7 @@
         if self.commits.values().any(|purpose| *purpose == Purpose::Plan) || !self.may_take() {
             return;
         }
-        let (Some(view), Some(scene)) = (&self.view, &self.scene) else { return };
+        let (Some(view), Some(scene)) = (&self.view, &self.snapshot) else { return };
         let limit = self.settings.max_cell_workers;
         let Some(plan) = scene.plan.extended(&view.members, limit) else { return };
         let guard = self.plan_guard(scene);
@@ -106,11 +106,11 @@
 
     /// Returns the vacancy of a cell, if the cell is free.
     fn vacancy(&self, now: Time, slice: CellIndex) -> Option<Vacancy> {
-        let scene = self.scene.as_ref()?;
+        let scene = self.snapshot.as_ref()?;
         let key = key::cell(&self.settings.domain, slice);
         let Some(title) = scene.entry(slice) else {
             let guards = vec![kv::Guard::Missing(key)];
-            return Some(Vacancy { guards, epoch: 0, formers: Vec::new() });
+            return Some(Vacancy { guards, epoch: 0, previous_owners: Vec::new() });
         };
         // A value that can't be decoded was written by another version; its cell is never taken.
         let claim = title.claim.as_ref()?;
@@ -118,17 +118,17 @@
         let mut formers = claim.previous_owners.to_vec();
         if !claim.released {
             formers.push(claim.owner.clone());
-            if !claim.owner.is_same(&self.own()) {
+            if !claim.owner.is_same(&self.this_owner()) {
                 if scene.is_alive(&claim.owner) || self.reader.in_grace_period(now) {
                     return None;
                 }
-                guards.push(kv::Guard::Missing(self.alive_key(&claim.owner)));
+                guards.push(kv::Guard::Missing(self.liveness_key(&claim.owner)));
             }
         }
-        Some(Vacancy { guards, epoch: claim.epoch, formers })
+        Some(Vacancy { guards, epoch: claim.epoch, previous_owners: formers })
     }
 
-    fn alive_key(&self, owner: &Owner) -> String {
+    fn liveness_key(&self, owner: &Owner) -> String {
         key::alive(&self.settings.domain, &owner.instance, owner.incarnation)
     }
 
@@ -144,7 +144,7 @@
             member.state == list::State::Live && member.instance != self.settings.instance
         });
         let alive = others.filter(|member| {
-            let scene = self.scene.as_ref();
+            let scene = self.snapshot.as_ref();
             scene.is_some_and(|scene| {
                 scene.is_incarnation_alive(&member.instance, member.incarnation)
             })
@@ -154,22 +154,22 @@
 
     fn take(&mut self, now: Time, slice: CellIndex, opening: Vacancy, actions: &mut Vec<Action>) {
         let Some(Stage::Vacant(tenure)) = self.stages.remove(&slice) else { return };
-        let own = self.own();
+        let own = self.this_owner();
         let view = self.view.as_ref().expect("a placer that takes is listed");
-        let inquiry = Inquiry::open(&opening.formers, &own, view, now);
+        let inquiry = Inquiry::open(&opening.previous_owners, &own, view, now);
         let epoch = opening.epoch.max(tenure.common.max_epoch) + 1;
         let previous_owners = inquiry.unconfirmed();
         let operation = self.next_operation();
         let claim = Claim { owner: own, epoch, operation, released: false, previous_owners };
         let mut guards = opening.guards;
         // The previous owner may have used a rack that an older plan doesn't assign to the cell.
-        guards.extend(self.scene.as_ref().map(|scene| self.plan_guard(scene)));
-        guards.push(kv::Guard::Present(self.alive.key.clone()));
+        guards.extend(self.snapshot.as_ref().map(|scene| self.plan_guard(scene)));
+        guards.push(kv::Guard::Present(self.liveness.key.clone()));
         let key = key::cell(&self.settings.domain, slice);
         let put = kv::Change::Put { key, value: claim.to_bytes(), lease: 0 };
         let txn = kv::Txn { guards, changes: vec![put] };
         let ticket = self.commit(Purpose::Take(slice), txn, actions);
-        let taking = tenure.take(ticket, claim, opening.formers);
+        let taking = tenure.take(ticket, claim, opening.previous_owners);
         self.stages.insert(slice, Stage::Taking(taking));
     }
 
@@ -184,7 +184,7 @@
         let Some(Stage::Taking(mut tenure)) = self.stages.remove(&slice) else { return };
         let stage = match outcome {
             // An answer received after a stall or while cut off from the store may be outdated.
-            Ok(verdict) if verdict.applied && self.is_certain(now) => {
+            Ok(verdict) if verdict.applied && self.is_answer_current(now) => {
                 self.own_cell(now, tenure, verdict.revision, actions)
             }
             Ok(verdict) if !verdict.applied => Stage::Vacant(tenure.failed()),
@@ -204,7 +204,7 @@
     }
 
     /// Returns `true` if an answer just received can be acted on without another read.
-    fn is_certain(&self, now: Time) -> bool {
+    fn is_answer_current(&self, now: Time) -> bool {
         self.reader.is_fresh() && self.lease.is_valid(now)
     }
 
@@ -220,8 +220,8 @@
             return Stage::Vacant(tenure.failed());
         }
         let view = self.view.as_ref().expect("a placer that takes is listed");
-        let inquiry = Inquiry::open(&tenure.state.previous_owners, &self.own(), view, now);
-        let former = inquiry.former();
+        let inquiry = Inquiry::open(&tenure.state.previous_owners, &self.this_owner(), view, now);
+        let former = inquiry.outcome();
         let held = tenure.taken(revision, inquiry);
         let cell = held.common.cell.clone();
         let epoch = held.state.claim.epoch;
--- a/crates/tenure/src/seat.rs
+++ b/crates/tenure/src/seat.rs
@@ -18,9 +18,9 @@
 use crate::lease::Tickets;
 
 /// A lease is renewed after this fraction of its duration.
-const RENEW_PART: u32 = 5;
+const RENEW_FRACTION: u32 = 5;
 /// A failed call is retried after this fraction of the lease's duration.
-const RETRY_PART: u32 = 12;
+const RETRY_FRACTION: u32 = 12;
 
 /// An event handled by an election.
 #[derive(Clone, Debug)]
@@ -156,7 +156,7 @@
     settings: Settings,
     state: State,
     /// Revision of the newest read of the key.
-    seen: Revision,
+    seen_revision: Revision,
     vacant: bool,
     draining: bool,
     tickets: Tickets,
@@ -168,7 +168,7 @@
         Seat {
             settings,
             state: State::Watching,
-            seen: 0,
+            seen_revision: 0,
             vacant: false,
             draining: false,
             tickets: Tickets::default(),
@@ -192,14 +192,14 @@
     pub fn step(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Tick => {}
-            Event::Seen { at, entry } => self.see(now, at, entry, actions),
+            Event::Seen { at, entry } => self.key_read(now, at, entry, actions),
             Event::Granted { ticket, outcome } => self.granted(now, ticket, outcome, actions),
             Event::Claimed { ticket, outcome } => self.claimed(now, ticket, outcome, actions),
             Event::Renewed { ticket, outcome } => self.renewed(now, ticket, outcome, actions),
             Event::Refused => self.lose(now, actions),
             Event::Drain => self.drain(actions),
         }
-        self.run(now, actions);
+        self.advance(now, actions);
     }
 
     /// Returns the time at which the next [`Event::Tick`] is due.
@@ -212,17 +212,17 @@
         }
     }
 
-    fn see(
+    fn key_read(
         &mut self,
         now: Time,
         at: Revision,
         entry: Option<kv::Entry>,
         actions: &mut Vec<Action>,
     ) {
-        if at < self.seen {
+        if at < self.seen_revision {
             return;
         }
-        self.seen = at;
+        self.seen_revision = at;
         self.vacant = entry.is_none();
         let ours = entry.as_ref().filter(|entry| entry.value == self.settings.mark);
         match (self.state, ours) {
@@ -235,7 +235,7 @@
             | (State::Claiming { lease, until, .. }, Some(entry))
                 if entry.lease == lease =>
             {
-                self.take(now, lease, entry.revision, until, actions);
+                self.claim_succeeded(now, lease, entry.revision, until, actions);
             }
             (State::Watching, None) if self.vacant => self.state = self.vacancy(now),
             (State::Vacant { .. }, _) if !self.vacant => self.state = State::Watching,
@@ -250,15 +250,17 @@
         }
     }
 
-    fn run(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let retry = self.retry();
+    fn advance(&mut self, now: Time, actions: &mut Vec<Action>) {
+        let retry = self.retry_delay();
         match &mut self.state {
             State::Vacant { claim_at } if *claim_at <= now => {
                 let ticket = self.tickets.issue();
                 self.state = State::Granting { sent: Sent { ticket, at: now } };
                 actions.push(Action::Grant { ticket, ttl: self.settings.ttl });
             }
-            State::Unsettled { until, .. } if *until <= now => self.state = self.again(now),
+            State::Unsettled { until, .. } if *until <= now => {
+                self.state = self.after_failed_claim(now)
+            }
             State::Owning { lease, until, renew_at, sent: sent @ None, .. } if *renew_at <= now => {
                 if *until <= now {
                     *renew_at = now + retry;
@@ -287,9 +289,9 @@
     }
 
     /// Returns the state after a claim that failed.
-    fn again(&self, now: Time) -> State {
+    fn after_failed_claim(&self, now: Time) -> State {
         match self.vacant && !self.draining {
-            true => State::Vacant { claim_at: now + self.retry() },
+            true => State::Vacant { claim_at: now + self.retry_delay() },
             false => State::Watching,
         }
     }
@@ -313,7 +315,7 @@
                 actions.push(Action::Claim { ticket, lease });
             }
             // A lease that is attached to no key expires.
-            _ => self.state = self.again(now),
+            _ => self.state = self.after_failed_claim(now),
         }
     }
 
@@ -330,23 +332,24 @@
         }
         match outcome {
             Ok(verdict) if verdict.applied => {
-                self.take(now, lease, verdict.revision, until, actions);
+                self.claim_succeeded(now, lease, verdict.revision, until, actions);
             }
             Err(kv::Error::Unknown(_)) => self.state = State::Unsettled { lease, until },
             outcome => {
                 // Another process claimed the key first. The watch shows that, and may already
                 // have shown that the key is absent again.
                 if let Ok(verdict) = &outcome {
-                    let newer = verdict.current.iter().any(|entry| entry.revision > self.seen);
+                    let newer =
+                        verdict.current.iter().any(|entry| entry.revision > self.seen_revision);
                     self.vacant &= !newer;
                 }
                 actions.push(Action::Revoke { lease });
-                self.state = self.again(now);
+                self.state = self.after_failed_claim(now);
             }
         }
     }
 
-    fn take(
+    fn claim_succeeded(
         &mut self,
         now: Time,
         lease: kv::LeaseId,
@@ -354,7 +357,7 @@
         until: Time,
         actions: &mut Vec<Action>,
     ) {
-        self.seen = self.seen.max(epoch);
+        self.seen_revision = self.seen_revision.max(epoch);
         self.vacant = false;
         if self.draining {
             self.state = State::Watching;
@@ -372,8 +375,8 @@
         outcome: Result<Duration, kv::Error>,
         actions: &mut Vec<Action>,
     ) {
-        let retry = self.retry();
-        let renew_gap = self.settings.ttl / RENEW_PART;
+        let retry = self.retry_delay();
+        let renew_gap = self.settings.ttl / RENEW_FRACTION;
         let State::Owning { until, renew_at, sent, .. } = &mut self.state else { return };
         let Some(call) = sent.filter(|sent| sent.ticket == ticket) else { return };
         *sent = None;
@@ -395,7 +398,7 @@
             // too early fails its guard.
             self.state = match self.draining {
                 true => State::Watching,
-                false => State::Vacant { claim_at: now + self.settings.delay + self.retry() },
+                false => State::Vacant { claim_at: now + self.settings.delay + self.retry_delay() },
             };
         }
     }
@@ -418,7 +421,7 @@
         }
     }
 
-    fn retry(&self) -> Duration {
-        self.settings.ttl / RETRY_PART
+    fn retry_delay(&self) -> Duration {
+        self.settings.ttl / RETRY_FRACTION
     }
 }
--- a/crates/tenure/src/snapshot.rs
+++ b/crates/tenure/src/snapshot.rs
@@ -39,7 +39,7 @@
     /// Revision of the plan's key, or zero if the key doesn't exist.
     pub plan_revision: id::Revision,
     entries: BTreeMap<CellIndex, Entry>,
-    alive: BTreeSet<Identity>,
+    live: BTreeSet<Identity>,
 }
 
 impl Snapshot {
@@ -50,9 +50,9 @@
             Snapshot { revision: snapshot.revision, plan: last.clone(), ..Snapshot::default() };
         for entry in &snapshot.entries {
             match key::parse(domain, &entry.key) {
-                Some(Kind::Cell(slice)) => scene.put_title(slice, entry),
+                Some(Kind::Cell(slice)) => scene.put_entry(slice, entry),
                 Some(Kind::Alive { instance, incarnation }) => {
-                    scene.alive.insert(Identity { instance: instance.into(), incarnation });
+                    scene.live.insert(Identity { instance: instance.into(), incarnation });
                 }
                 Some(Kind::Plan) => scene.put_plan(entry),
                 None => {}
@@ -61,7 +61,7 @@
         scene
     }
 
-    fn put_title(&mut self, slice: CellIndex, entry: &kv::Entry) {
+    fn put_entry(&mut self, slice: CellIndex, entry: &kv::Entry) {
         let claim = Claim::from_bytes(&entry.value);
         self.entries.insert(slice, Entry { claim, revision: entry.revision });
     }
@@ -81,7 +81,7 @@
     /// Returns `true` if the liveness key of the owner's incarnation existed.
     pub fn is_alive(&self, owner: &Owner) -> bool {
         let life = Identity { instance: owner.instance.clone(), incarnation: owner.incarnation };
-        self.alive.contains(&life)
+        self.live.contains(&life)
     }
 
     /// Returns `true` if the liveness key of an incarnation existed.
@@ -90,6 +90,6 @@
         instance: &id::Instance,
         incarnation: id::Incarnation,
     ) -> bool {
-        self.alive.contains(&Identity { instance: instance.clone(), incarnation })
+        self.live.contains(&Identity { instance: instance.clone(), incarnation })
     }
 }
--- a/crates/tenure/src/stage.rs
+++ b/crates/tenure/src/stage.rs
@@ -144,7 +144,7 @@
 
 impl Ownership<Held> {
     /// Starts to quiesce the cell.
-    pub fn give_up(self) -> Ownership<Yielding> {
+    pub fn start_yielding(self) -> Ownership<Yielding> {
         let Held { claim, revision, inquiry, .. } = self.state;
         Ownership { common: self.common, state: Yielding { claim, revision, inquiry } }
     }
--- a/crates/tenure/tests/homes.rs
+++ b/crates/tenure/tests/homes.rs
@@ -26,8 +26,8 @@
 
 /// The outcome of a write.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    Heard,
+enum WriteOutcome {
+    Delivered,
     /// The write takes effect; the answer is lost.
     Applied,
     Dropped,
@@ -44,9 +44,9 @@
     /// A placer reads the current homes.
     Follow(usize),
     /// A placer claims the jobs that are due.
-    Claim(usize, Fate),
+    Claim(usize, WriteOutcome),
     /// A cell has finished a removed job and writes its removal.
-    Remove(usize, usize, Fate),
+    Remove(usize, usize, WriteOutcome),
     /// A cell releases a job to another home.
     Depart(usize, usize),
     Land,
@@ -54,14 +54,14 @@
 
 /// One placer and its cell.
 struct Node {
-    board: Directory,
+    directory: Directory,
     cell: id::Cell,
-    jobs: BTreeMap<id::Job, Stay>,
+    jobs: BTreeMap<id::Job, JobState>,
 }
 
 /// The state of a job in a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stay {
+enum JobState {
     Active,
     /// The cell was notified of the removal; parts of the job may still run.
     Finishing {
@@ -78,7 +78,7 @@
     store: Memory,
     declared: BTreeMap<id::Job, id::Revision>,
     nodes: Vec<Node>,
-    flying: Vec<kv::Txn>,
+    late_writes: Vec<kv::Txn>,
 }
 
 impl World {
@@ -88,14 +88,14 @@
             let mut board = Directory::open(DELAY);
             board.set_cells(cells.clone());
             board.add_owned_cell(cell, &mut Vec::new());
-            Node { board, cell: cell.clone(), jobs: BTreeMap::new() }
+            Node { directory: board, cell: cell.clone(), jobs: BTreeMap::new() }
         };
         World {
             now: Time::ZERO,
             store: Memory::default(),
             declared: BTreeMap::new(),
             nodes: cells.iter().map(node).collect(),
-            flying: Vec::new(),
+            late_writes: Vec::new(),
         }
     }
 
@@ -116,8 +116,8 @@
             Op::Remove(node, job, fate) => self.remove(node, JOBS[job].into(), fate),
             Op::Depart(node, job) => self.depart(node, JOBS[job].into()),
             Op::Land => {
-                if !self.flying.is_empty() {
-                    let txn = self.flying.remove(0);
+                if !self.late_writes.is_empty() {
+                    let txn = self.late_writes.remove(0);
                     let _ = self.store.commit(&txn);
                 }
             }
@@ -127,7 +127,7 @@
 
     fn configure(&mut self, node: usize) {
         let mut actions = Vec::new();
-        let board = &mut self.nodes[node].board;
+        let board = &mut self.nodes[node].directory;
         for name in JOBS {
             let name: id::Job = name.into();
             if self.declared.contains_key(&name) {
@@ -137,80 +137,80 @@
             }
         }
         board.set_declared_revision(self.store.revision, &mut actions);
-        self.tell(node, actions);
+        self.apply(node, actions);
     }
 
     fn follow(&mut self, node: usize) {
         let entries = self.store.read(HOME).entries;
         let mut actions = Vec::new();
-        self.nodes[node].board.load_homes(self.now, &entries, &mut actions);
-        self.tell(node, actions);
+        self.nodes[node].directory.load_homes(self.now, &entries, &mut actions);
+        self.apply(node, actions);
     }
 
-    fn claim(&mut self, node: usize, fate: Fate) {
+    fn claim(&mut self, node: usize, fate: WriteOutcome) {
         let mut actions = Vec::new();
-        self.nodes[node].board.tick(self.now, &mut actions);
+        self.nodes[node].directory.tick(self.now, &mut actions);
         for action in std::mem::take(&mut actions) {
             let Action::Claim { txn } = action else { panic!("a tick only claims") };
             let outcome = self.write(&txn, fate);
-            let board = &mut self.nodes[node].board;
+            let board = &mut self.nodes[node].directory;
             board.claim_ended(self.now, outcome, &txn, DELAY, &mut actions);
         }
-        self.tell(node, actions);
+        self.apply(node, actions);
     }
 
     fn depart(&mut self, node: usize, job: id::Job) {
         let node = &mut self.nodes[node];
-        if node.jobs.get(&job) == Some(&Stay::Active) && node.board.can_move(&job) {
-            node.jobs.insert(job, Stay::Finishing { depart: true });
+        if node.jobs.get(&job) == Some(&JobState::Active) && node.directory.can_move(&job) {
+            node.jobs.insert(job, JobState::Finishing { depart: true });
         }
     }
 
-    fn remove(&mut self, node: usize, job: id::Job, fate: Fate) {
+    fn remove(&mut self, node: usize, job: id::Job, fate: WriteOutcome) {
         let at = &mut self.nodes[node];
         let depart = match at.jobs.get(&job) {
-            Some(Stay::Finishing { depart } | Stay::Removing { depart }) => *depart,
+            Some(JobState::Finishing { depart } | JobState::Removing { depart }) => *depart,
             _ => return,
         };
-        at.jobs.insert(job.clone(), Stay::Removing { depart });
-        let txn = at.board.begin_removal(&job, &at.cell, depart).unwrap_or_default();
+        at.jobs.insert(job.clone(), JobState::Removing { depart });
+        let txn = at.directory.begin_removal(&job, &at.cell, depart).unwrap_or_default();
         let outcome = self.write(&txn, fate);
         // A lost answer is resolved by a read, which is modelled by repeating the write.
         if outcome.is_ok_and(|verdict| verdict.applied) {
             let at = &mut self.nodes[node];
             at.jobs.remove(&job);
             let mut actions = Vec::new();
-            at.board.removal_written(&job, &mut actions);
-            self.tell(node, actions);
+            at.directory.removal_written(&job, &mut actions);
+            self.apply(node, actions);
         }
     }
 
-    fn write(&mut self, txn: &kv::Txn, fate: Fate) -> Result<kv::Verdict, kv::Error> {
+    fn write(&mut self, txn: &kv::Txn, fate: WriteOutcome) -> Result<kv::Verdict, kv::Error> {
         let lost = Err(kv::Error::Unknown(String::from("lost")));
         match fate {
-            Fate::Heard => self.store.commit(txn),
-            Fate::Applied => self.store.commit(txn).and(lost),
-            Fate::Dropped => lost,
-            Fate::Late => {
-                self.flying.push(txn.clone());
+            WriteOutcome::Delivered => self.store.commit(txn),
+            WriteOutcome::Applied => self.store.commit(txn).and(lost),
+            WriteOutcome::Dropped => lost,
+            WriteOutcome::Late => {
+                self.late_writes.push(txn.clone());
                 lost
             }
         }
     }
 
-    fn tell(&mut self, node: usize, actions: Vec<Action>) {
+    fn apply(&mut self, node: usize, actions: Vec<Action>) {
         let node = &mut self.nodes[node];
         for action in actions {
             match action {
                 Action::Claim { .. } => panic!("only a tick claims"),
                 Action::Assigned { cell, name, .. } => {
                     assert_eq!(cell, node.cell);
-                    node.jobs.insert(name, Stay::Active);
+                    node.jobs.insert(name, JobState::Active);
                 }
                 Action::Removed { cell, name } => {
                     assert_eq!(cell, node.cell);
-                    if node.jobs.get(&name) == Some(&Stay::Active) {
-                        node.jobs.insert(name, Stay::Finishing { depart: false });
+                    if node.jobs.get(&name) == Some(&JobState::Active) {
+                        node.jobs.insert(name, JobState::Finishing { depart: false });
                     }
                 }
             }
@@ -222,7 +222,7 @@
         for name in JOBS {
             let busy = |node: &&Node| {
                 let stay = node.jobs.get(name);
-                stay.is_some_and(|stay| !matches!(stay, Stay::Removing { .. }))
+                stay.is_some_and(|stay| !matches!(stay, JobState::Removing { .. }))
             };
             let cells: Vec<&id::Cell> =
                 self.nodes.iter().filter(busy).map(|node| &node.cell).collect();
@@ -231,19 +231,19 @@
     }
 
     /// Ends all faults and runs until the state is stable.
-    fn calm(&mut self) {
+    fn end_faults(&mut self) {
         for _ in 0..6 {
-            while !self.flying.is_empty() {
+            while !self.late_writes.is_empty() {
                 self.perform(Op::Land);
             }
             for node in 0..self.nodes.len() {
                 self.perform(Op::Configure(node));
                 self.perform(Op::Follow(node));
                 for job in 0..JOBS.len() {
-                    self.perform(Op::Remove(node, job, Fate::Heard));
+                    self.perform(Op::Remove(node, job, WriteOutcome::Delivered));
                 }
                 self.now += DELAY * 10;
-                self.perform(Op::Claim(node, Fate::Heard));
+                self.perform(Op::Claim(node, WriteOutcome::Delivered));
                 self.perform(Op::Follow(node));
             }
         }
@@ -253,10 +253,10 @@
 fn op() -> impl Strategy<Value = Op> {
     let fate = || {
         prop_oneof![
-            3 => Just(Fate::Heard),
-            1 => Just(Fate::Applied),
-            1 => Just(Fate::Dropped),
-            1 => Just(Fate::Late),
+            3 => Just(WriteOutcome::Delivered),
+            1 => Just(WriteOutcome::Applied),
+            1 => Just(WriteOutcome::Dropped),
+            1 => Just(WriteOutcome::Late),
         ]
     };
     prop_oneof![
@@ -280,9 +280,9 @@
         for op in ops {
             world.perform(op);
         }
-        world.calm();
+        world.end_faults();
         for name in JOBS {
-            let active = |node: &&Node| node.jobs.get(name) == Some(&Stay::Active);
+            let active = |node: &&Node| node.jobs.get(name) == Some(&JobState::Active);
             let count = world.nodes.iter().filter(active).count();
             let declared = world.declared.contains_key(name);
             let homes = world.store.read(&format!("{HOME}{name}")).entries;
--- a/crates/tenure/tests/interleavings.rs
+++ b/crates/tenure/tests/interleavings.rs
@@ -8,15 +8,15 @@
 use cowslipchute_ports::list;
 use cowslipchute_tenure::event::Event;
 use proptest::prelude::*;
-use world::Loss;
+use world::Fault;
 use world::World;
 use world::member;
 
 const NAMES: [&str; 3] = ["p1", "p2", "p3"];
 
 /// The step of virtual time during the faults, and after them.
-const GRAIN: Duration = Duration::from_millis(100);
-const CALM: Duration = Duration::from_millis(250);
+const FAULT_STEP: Duration = Duration::from_millis(100);
+const RECOVERY_STEP: Duration = Duration::from_millis(250);
 
 #[derive(Clone, Debug)]
 enum Op {
@@ -37,7 +37,7 @@
     Up,
     /// The store is available again and every lease is extended.
     Back,
-    Lose(usize, Loss),
+    Lose(usize, Fault),
     Land,
     /// The process ends and a new incarnation starts; the list shows it only after the next
     /// `Relist`.
@@ -51,7 +51,7 @@
 
 fn op() -> impl Strategy<Value = Op> {
     let node = 0..NAMES.len();
-    let loss = prop_oneof![Just(Loss::Applied), Just(Loss::Dropped), Just(Loss::Late)];
+    let loss = prop_oneof![Just(Fault::Applied), Just(Fault::Dropped), Just(Fault::Late)];
     prop_oneof![
         6 => (50..600u64).prop_map(Op::Pass),
         2 => Just(Op::Pass(6000)),
@@ -103,56 +103,56 @@
         Op::Pass(ms) => world.run(Duration::from_millis(ms)),
         Op::Tick(n, ms) => {
             world.now += Duration::from_millis(ms);
-            world.lapse();
-            world.tell(NAMES[n], Event::Tick);
+            world.expire_leases();
+            world.step(NAMES[n], Event::Tick);
         }
         Op::Deliver(n) => world.deliver(NAMES[n]),
         Op::Freeze(n) => world.node(NAMES[n]).frozen = true,
         Op::Thaw(n) => world.node(NAMES[n]).frozen = false,
         Op::Lag(n) => world.node(NAMES[n]).lagging = true,
-        Op::Cut(n) => world.node(NAMES[n]).cut = true,
-        Op::Deafen(n) => world.node(NAMES[n]).deaf = true,
+        Op::Cut(n) => world.node(NAMES[n]).store_cut = true,
+        Op::Deafen(n) => world.node(NAMES[n]).peers_cut = true,
         Op::Heal(n) => heal(world, NAMES[n]),
         Op::Down => world.down = true,
         Op::Up => world.down = false,
-        Op::Back => back(world),
-        Op::Lose(n, loss) => world.node(NAMES[n]).loss = Some(loss),
-        Op::Land => world.land(),
+        Op::Back => restore_store(world),
+        Op::Lose(n, loss) => world.node(NAMES[n]).fault = Some(loss),
+        Op::Land => world.apply_late_commit(),
         Op::Restart(n) => restart(world, NAMES[n]),
         Op::Relist => relist(world),
         Op::RelistFor(n) => {
             world.view = listed(world);
             world.deliver_list(NAMES[n]);
         }
-        Op::Drain(n) => world.tell(NAMES[n], Event::Drain),
+        Op::Drain(n) => world.step(NAMES[n], Event::Drain),
     }
 }
 
 fn heal(world: &mut World, name: &str) {
     let node = world.node(name);
-    node.cut = false;
-    node.deaf = false;
+    node.store_cut = false;
+    node.peers_cut = false;
     node.lagging = false;
 }
 
-fn back(world: &mut World) {
+fn restore_store(world: &mut World) {
     world.down = false;
     let now = world.now;
     world.store.extend_all(now);
 }
 
 /// Ends all faults, replaces drained processes, and lets time pass.
-fn calm(world: &mut World) {
+fn end_faults(world: &mut World) {
     world.down = false;
-    while !world.flying.is_empty() {
-        world.land();
+    while !world.late_commits.is_empty() {
+        world.apply_late_commit();
     }
     for name in NAMES {
         heal(world, name);
         world.node(name).frozen = false;
-        world.node(name).loss = None;
+        world.node(name).fault = None;
     }
-    world.grain = CALM;
+    world.tick = RECOVERY_STEP;
     world.run(Duration::from_secs(30));
     for name in NAMES.iter().filter(|name| world.nodes[**name].drained).collect::<Vec<_>>() {
         restart(world, name);
@@ -169,7 +169,7 @@
         rank_delay in prop_oneof![Just(0u64), Just(600u64)],
         ops in prop::collection::vec(op(), 40..160),
     ) {
-        let mut world = World::open(Duration::from_millis(rank_delay), GRAIN);
+        let mut world = World::open(Duration::from_millis(rank_delay), FAULT_STEP);
         for name in NAMES {
             world.start(name, 1);
         }
@@ -177,14 +177,14 @@
         for op in ops {
             perform(&mut world, op);
         }
-        calm(&mut world);
+        end_faults(&mut world);
         for cell in ["d/0", "d/1"] {
-            let owners = world.nodes.values().filter(|node| node.acting.contains_key(cell));
+            let owners = world.nodes.values().filter(|node| node.running.contains_key(cell));
             let owners = owners.count();
             prop_assert_eq!(owners, 1, "{} has {} owners\n{}", cell, owners, world.describe());
         }
         for node in world.nodes.values() {
-            for term in node.acting.values() {
+            for term in node.running.values() {
                 let former = term.former;
                 prop_assert_ne!(former, cowslipchute_cell::event::Former::Unheard);
             }
--- a/crates/tenure/tests/scenarios.rs
+++ b/crates/tenure/tests/scenarios.rs
@@ -16,7 +16,7 @@
 use cowslipchute_tenure::event::Event;
 use cowslipchute_tenure::key;
 use datadriven::TestCase;
-use world::Loss;
+use world::Fault;
 use world::World;
 use world::member;
 
@@ -67,19 +67,19 @@
         "kill" => {
             world.nodes.remove(name);
         }
-        "drain" => world.tell(name, Event::Drain),
+        "drain" => world.step(name, Event::Drain),
         "cut" => cut(world, name, arg(case, "from").unwrap_or("store")),
         "heal" => {
-            world.node(name).cut = false;
-            world.node(name).deaf = false;
+            world.node(name).store_cut = false;
+            world.node(name).peers_cut = false;
         }
         "store" => store(world, arg(case, "state").unwrap_or("up")),
-        "lose" => world.node(name).loss = Some(loss(arg(case, "answer").unwrap_or("applied"))),
-        "land" => world.land(),
+        "lose" => world.node(name).fault = Some(loss(arg(case, "answer").unwrap_or("applied"))),
+        "land" => world.apply_late_commit(),
         "worker" => {
             let cell = key::name(world::DOMAIN, number(case, "slice", 0) as u32);
             let epoch = number(case, "epoch", 0);
-            world.tell(name, Event::HigherEpoch { cell, epoch });
+            world.step(name, Event::HigherEpoch { cell, epoch });
         }
         "run" => {
             world.run(Duration::from_millis(number(case, "ms", 1000)));
@@ -109,8 +109,8 @@
 
 fn cut(world: &mut World, name: &str, from: &str) {
     match from {
-        "store" => world.node(name).cut = true,
-        "peers" => world.node(name).deaf = true,
+        "store" => world.node(name).store_cut = true,
+        "peers" => world.node(name).peers_cut = true,
         other => panic!("cut from {other}"),
     }
 }
@@ -123,11 +123,11 @@
     }
 }
 
-fn loss(answer: &str) -> Loss {
+fn loss(answer: &str) -> Fault {
     match answer {
-        "applied" => Loss::Applied,
-        "dropped" => Loss::Dropped,
-        "late" => Loss::Late,
+        "applied" => Fault::Applied,
+        "dropped" => Fault::Dropped,
+        "late" => Fault::Late,
         other => panic!("a lost answer is applied, dropped or late, not {other}"),
     }
 }
--- a/crates/tenure/tests/seat.rs
+++ b/crates/tenure/tests/seat.rs
@@ -16,7 +16,7 @@
 
 /// The connection between a process and the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Line {
+enum Connection {
     #[default]
     Open,
     /// Neither calls nor answers are delivered.
@@ -46,9 +46,9 @@
 struct Process {
     seat: Seat,
     mark: Vec<u8>,
-    line: Line,
+    connection: Connection,
     frozen: bool,
-    told: Revision,
+    seen_revision: Revision,
     /// Answers in flight.
     answers: VecDeque<Event>,
     owns: Option<Revision>,
@@ -70,9 +70,9 @@
             Process {
                 seat: Seat::open(Settings { ttl: TTL, delay, mark: mark.clone() }),
                 mark,
-                line: Line::Open,
+                connection: Connection::Open,
                 frozen: false,
-                told: Revision::MAX,
+                seen_revision: Revision::MAX,
                 answers: VecDeque::new(),
                 owns: None,
                 until: Time::ZERO,
@@ -104,8 +104,8 @@
             return;
         }
         let mut events: Vec<Event> = process.answers.drain(..).collect();
-        if process.line == Line::Open && process.told != self.store.revision {
-            process.told = self.store.revision;
+        if process.connection == Connection::Open && process.seen_revision != self.store.revision {
+            process.seen_revision = self.store.revision;
             let entry = self.store.key.clone();
             events.push(Event::Seen { at: self.store.revision, entry });
         }
@@ -115,11 +115,11 @@
             process.seat.step(self.now, event, &mut actions);
         }
         for action in actions {
-            self.act(index, action);
+            self.perform(index, action);
         }
     }
 
-    fn act(&mut self, index: usize, action: Action) {
+    fn perform(&mut self, index: usize, action: Action) {
         let now = self.now;
         let process = &mut self.processes[index];
         match action {
@@ -139,8 +139,8 @@
             }
             _ => {}
         }
-        let line = process.line;
-        let reaches = line != Line::Cut;
+        let line = process.connection;
+        let reaches = line != Connection::Cut;
         let lost = || kv::Error::Unknown(String::from("no answer"));
         let mark = process.mark.clone();
         let store = &mut self.store;
@@ -187,7 +187,7 @@
             Action::Own { .. } | Action::Extend { .. } | Action::Disown => return,
         };
         let answer = match (line, event) {
-            (Line::Open, event) => event,
+            (Connection::Open, event) => event,
             (_, Event::Granted { ticket, .. }) => Event::Granted { ticket, outcome: Err(lost()) },
             (_, Event::Claimed { ticket, .. }) => Event::Claimed { ticket, outcome: Err(lost()) },
             (_, Event::Renewed { ticket, .. }) => Event::Renewed { ticket, outcome: Err(lost()) },
@@ -212,7 +212,7 @@
     }
 }
 
-fn settled(processes: usize) -> World {
+fn elected(processes: usize) -> World {
     let mut world = World::open(processes);
     world.run(Duration::from_secs(1));
     assert_eq!(world.acting(), Some(0), "the one with the least delay is first");
@@ -221,7 +221,7 @@
 
 #[test]
 fn an_owner_that_is_gone_is_replaced_when_its_lease_has_lapsed() {
-    let mut world = settled(3);
+    let mut world = elected(3);
     world.processes[0].frozen = true;
     world.run(TTL + Duration::from_millis(500));
     assert_eq!(world.acting(), Some(1));
@@ -229,7 +229,7 @@
 
 #[test]
 fn an_owner_that_was_frozen_past_its_lease_gives_the_cell_up() {
-    let mut world = settled(2);
+    let mut world = elected(2);
     world.processes[0].frozen = true;
     world.run(Duration::from_secs(5));
     world.processes[0].frozen = false;
@@ -240,18 +240,18 @@
 
 #[test]
 fn an_owner_whose_answers_are_lost_lets_its_lease_lapse() {
-    let mut world = settled(2);
-    world.processes[0].line = Line::Mute;
+    let mut world = elected(2);
+    world.processes[0].connection = Connection::Mute;
     world.run(TTL * 2 + Duration::from_secs(1));
     assert_eq!(world.acting(), Some(1));
 }
 
 #[test]
 fn an_owner_that_was_cut_off_for_less_than_its_lease_goes_on() {
-    let mut world = settled(2);
-    world.processes[0].line = Line::Cut;
+    let mut world = elected(2);
+    world.processes[0].connection = Connection::Cut;
     world.run(Duration::from_secs(1));
-    world.processes[0].line = Line::Open;
+    world.processes[0].connection = Connection::Open;
     world.run(Duration::from_secs(3));
     assert_eq!(world.owners.len(), 1);
     assert_eq!(world.acting(), Some(0));
@@ -259,9 +259,9 @@
 
 #[test]
 fn a_store_that_kept_the_leases_through_an_outage_keeps_the_owner() {
-    let mut world = settled(2);
+    let mut world = elected(2);
     for process in &mut world.processes {
-        process.line = Line::Cut;
+        process.connection = Connection::Cut;
     }
     for _ in 0..400 {
         // Leases don't expire while the store is down.
@@ -272,7 +272,7 @@
     }
     assert_eq!(world.acting(), None, "what can't be renewed isn't believed in");
     for process in &mut world.processes {
-        process.line = Line::Open;
+        process.connection = Connection::Open;
     }
     world.run(Duration::from_secs(1));
     assert_eq!(world.acting(), Some(0));
@@ -283,20 +283,20 @@
 fn a_claim_whose_answer_is_lost_is_settled_by_what_is_seen() {
     let mut world = World::open(1);
     world.run(Duration::from_millis(30));
-    world.processes[0].line = Line::Mute;
+    world.processes[0].connection = Connection::Mute;
     world.run(Duration::from_millis(100));
-    world.processes[0].line = Line::Open;
+    world.processes[0].connection = Connection::Open;
     world.run(Duration::from_secs(4));
     assert_eq!(world.acting(), Some(0));
 }
 
 #[test]
 fn a_planned_stop_hands_over_without_waiting_for_the_lease() {
-    let mut world = settled(2);
+    let mut world = elected(2);
     let mut actions = Vec::new();
     world.processes[0].seat.step(world.now, Event::Drain, &mut actions);
     for action in actions {
-        world.act(0, action);
+        world.perform(0, action);
     }
     world.run(Duration::from_millis(300));
     assert_eq!(world.acting(), Some(1));
@@ -318,16 +318,16 @@
         for _ in 0..60 {
             let index = next(3) as usize;
             match next(6) {
-                0 => world.processes[index].line = Line::Cut,
-                1 => world.processes[index].line = Line::Mute,
+                0 => world.processes[index].connection = Connection::Cut,
+                1 => world.processes[index].connection = Connection::Mute,
                 2 => world.processes[index].frozen = true,
                 3 => world.processes[index].frozen = false,
-                _ => world.processes[index].line = Line::Open,
+                _ => world.processes[index].connection = Connection::Open,
             }
             world.run(Duration::from_millis(50 + next(1200)));
         }
         for process in &mut world.processes {
-            process.line = Line::Open;
+            process.connection = Connection::Open;
             process.frozen = false;
         }
         world.run(Duration::from_secs(8));
--- a/crates/tenure/tests/world/mod.rs
+++ b/crates/tenure/tests/world/mod.rs
@@ -35,7 +35,7 @@
 
 /// The fault of a placer's next commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
+pub enum Fault {
     /// The commit takes effect; the answer is lost.
     Applied,
     /// The commit takes no effect; the answer is lost.
@@ -47,22 +47,22 @@
 /// One placer process.
 #[derive(Debug)]
 pub struct Node {
-    pub keeper: Manager,
+    pub manager: Manager,
     pub incarnation: id::Incarnation,
     pub inbox: VecDeque<Event>,
     pub frozen: bool,
-    pub cut: bool,
-    pub deaf: bool,
+    pub store_cut: bool,
+    pub peers_cut: bool,
     /// Whether incoming events wait while the process still gets ticks.
     pub lagging: bool,
-    pub loss: Option<Loss>,
+    pub fault: Option<Fault>,
     /// The cells that it runs, with the epoch and what it knows of previous owners.
-    pub acting: BTreeMap<id::Cell, Term>,
+    pub running: BTreeMap<id::Cell, Running>,
     pub drained: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Term {
+pub struct Running {
     pub epoch: id::Epoch,
     pub former: Former,
 }
@@ -70,7 +70,7 @@
 /// A call between placers that is not answered yet.
 #[derive(Clone, Debug)]
 struct Call {
-    asker: String,
+    caller: String,
     cell: id::Cell,
     epoch: id::Epoch,
     owner: Owner,
@@ -81,7 +81,7 @@
     /// Delay per rank before a free cell is taken.
     pub rank_delay: Duration,
     /// The length of one step of virtual time.
-    pub grain: Duration,
+    pub tick: Duration,
     pub now: Time,
     pub store: Memory,
     pub down: bool,
@@ -89,7 +89,7 @@
     pub nodes: BTreeMap<String, Node>,
     pub trace: Vec<String>,
     /// Commits whose answer was lost and that have not taken effect yet.
-    pub flying: Vec<kv::Txn>,
+    pub late_commits: Vec<kv::Txn>,
     calls: BTreeMap<u64, Call>,
     last_call: u64,
     epochs: BTreeMap<String, id::Epoch>,
@@ -99,14 +99,14 @@
     pub fn open(rank_delay: Duration, grain: Duration) -> World {
         World {
             rank_delay,
-            grain,
+            tick: grain,
             now: Time::ZERO,
             store: Memory::default(),
             down: false,
             view: list::View::default(),
             nodes: BTreeMap::new(),
             trace: Vec::new(),
-            flying: Vec::new(),
+            late_commits: Vec::new(),
             calls: BTreeMap::new(),
             last_call: 0,
             epochs: BTreeMap::new(),
@@ -127,15 +127,15 @@
             query_interval: Duration::from_secs(1),
         });
         let node = Node {
-            keeper,
+            manager: keeper,
             incarnation,
             inbox: VecDeque::new(),
             frozen: false,
-            cut: false,
-            deaf: false,
+            store_cut: false,
+            peers_cut: false,
             lagging: false,
-            loss: None,
-            acting: BTreeMap::new(),
+            fault: None,
+            running: BTreeMap::new(),
             drained: false,
         };
         self.nodes.insert(name.to_owned(), node);
@@ -163,26 +163,26 @@
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.now += self.grain;
-            self.lapse();
+            self.now += self.tick;
+            self.expire_leases();
             let names: Vec<String> = self.nodes.keys().cloned().collect();
             for name in names {
-                self.turn(&name);
+                self.step_node(&name);
             }
         }
     }
 
-    pub fn lapse(&mut self) {
+    pub fn expire_leases(&mut self) {
         if !self.down {
             let before = self.store.revision;
-            self.store.lapse(self.now);
+            self.store.expire(self.now);
             self.announce(before);
         }
     }
 
     /// Sends one placer a tick and delivers the events in its inbox.
-    pub fn turn(&mut self, name: &str) {
-        self.tell(name, Event::Tick);
+    pub fn step_node(&mut self, name: &str) {
+        self.step(name, Event::Tick);
         if self.nodes[name].lagging {
             return;
         }
@@ -199,25 +199,25 @@
         let Some(event) = self.node(name).inbox.pop_front() else { return };
         if let Event::Quiesced { cell, .. } = &event {
             // Until this event, requests of the process for the cell may be in flight.
-            self.node(name).acting.remove(cell);
+            self.node(name).running.remove(cell);
         }
-        self.tell(name, event);
+        self.step(name, event);
     }
 
-    pub fn tell(&mut self, name: &str, event: Event) {
+    pub fn step(&mut self, name: &str, event: Event) {
         let now = self.now;
         let node = self.node(name);
         if node.frozen {
             return;
         }
         let mut actions = Vec::new();
-        node.keeper.step(now, event, &mut actions);
+        node.manager.step(now, event, &mut actions);
         for action in actions {
             self.perform(name, action);
         }
         let node = &self.nodes[name];
         // A manager that is due again immediately would keep its process in a busy loop.
-        assert!(node.drained || node.keeper.next_due(now) > now, "{name} is due for ever");
+        assert!(node.drained || node.manager.next_due(now) > now, "{name} is due for ever");
         self.check();
     }
 
@@ -225,57 +225,58 @@
         match action {
             Action::ReadDomain { ticket } => {
                 let prefix = key::domain(DOMAIN);
-                let outcome = self.reach(name).map(|()| self.store.read(&prefix));
+                let outcome = self.check_store(name).map(|()| self.store.read(&prefix));
                 self.node(name).inbox.push_back(Event::DomainRead { ticket, outcome });
             }
             Action::Commit { ticket, txn } => self.commit(name, ticket, txn),
             Action::Grant { ticket, ttl } => {
                 let now = self.now;
-                let outcome = self.reach(name).map(|()| self.store.grant(now, ttl));
+                let outcome = self.check_store(name).map(|()| self.store.grant(now, ttl));
                 self.node(name).inbox.push_back(Event::Granted { ticket, outcome });
             }
             Action::Renew { ticket, lease } => {
                 let now = self.now;
-                let outcome = self.reach(name).and_then(|()| self.store.keep_alive(now, lease));
+                let outcome =
+                    self.check_store(name).and_then(|()| self.store.keep_alive(now, lease));
                 self.node(name).inbox.push_back(Event::Renewed { ticket, outcome });
             }
             Action::Revoke { lease } => {
-                if self.reach(name).is_ok() {
+                if self.check_store(name).is_ok() {
                     self.store.revoke(lease);
                 }
             }
             Action::Own { cell, epoch, former, .. } => {
-                self.say(name, format!("owns {cell} epoch {epoch} former {former:?}"));
-                self.node(name).acting.insert(cell, Term { epoch, former });
+                self.record(name, format!("owns {cell} epoch {epoch} former {former:?}"));
+                self.node(name).running.insert(cell, Running { epoch, former });
             }
             Action::PreviousOwners { cell, former } => {
-                self.say(name, format!("learns of {cell} former {former:?}"));
-                let term = self.node(name).acting.get_mut(&cell);
+                self.record(name, format!("learns of {cell} former {former:?}"));
+                let term = self.node(name).running.get_mut(&cell);
                 term.expect("only an owner learns of former owners").former = former;
             }
             Action::Quiesce { cell, epoch } | Action::Stop { cell, epoch } => {
-                self.say(name, format!("stops {cell} epoch {epoch}"));
+                self.record(name, format!("stops {cell} epoch {epoch}"));
                 self.node(name).inbox.push_back(Event::Quiesced { cell, epoch });
             }
             Action::QueryStopped { cell, epoch, owner } => self.ask(name, cell, epoch, owner),
             Action::Answer { call, reply } => self.answer(call, &reply),
             Action::Note { event, reason, subject } => {
-                self.say(name, format!("notes {} {subject}: {reason}", event.name()));
+                self.record(name, format!("notes {} {subject}: {reason}", event.name()));
             }
             Action::Drained => {
-                self.say(name, String::from("is drained"));
+                self.record(name, String::from("is drained"));
                 self.node(name).drained = true;
             }
         }
     }
 
-    fn say(&mut self, name: &str, text: String) {
+    fn record(&mut self, name: &str, text: String) {
         let at = self.now.as_millis();
         self.trace.push(format!("{at} {name} {text}"));
     }
 
-    fn reach(&self, name: &str) -> Result<(), kv::Error> {
-        if self.down || self.nodes[name].cut {
+    fn check_store(&self, name: &str) -> Result<(), kv::Error> {
+        if self.down || self.nodes[name].store_cut {
             return Err(kv::Error::Unavailable(String::from("refused")));
         }
         Ok(())
@@ -284,8 +285,8 @@
     fn commit(&mut self, name: &str, ticket: Ticket, txn: kv::Txn) {
         let before = self.store.revision;
         let lost = || Err(kv::Error::Unknown(String::from("lost")));
-        let reached = self.reach(name);
-        let loss = self.node(name).loss.take();
+        let reached = self.check_store(name);
+        let loss = self.node(name).fault.take();
         let outcome = match (reached, loss) {
             (Err(error), _) => Err(error),
             (Ok(()), None) => self.store.commit(&txn).inspect(|verdict| {
@@ -293,10 +294,10 @@
                     self.check_taken(name, &txn);
                 }
             }),
-            (Ok(()), Some(Loss::Applied)) => self.store.commit(&txn).and(lost()),
-            (Ok(()), Some(Loss::Dropped)) => lost(),
-            (Ok(()), Some(Loss::Late)) => {
-                self.flying.push(txn);
+            (Ok(()), Some(Fault::Applied)) => self.store.commit(&txn).and(lost()),
+            (Ok(()), Some(Fault::Dropped)) => lost(),
+            (Ok(()), Some(Fault::Late)) => {
+                self.late_commits.push(txn);
                 lost()
             }
         };
@@ -313,7 +314,7 @@
         let takes = puts.filter_map(|value| Claim::from_bytes(value)).any(|claim| !claim.released);
         let stored = self.store.entries.get(&key::plan(DOMAIN));
         let stored = stored.and_then(|entry| Plan::from_bytes(&entry.value)).unwrap_or_default();
-        let known = self.nodes[name].keeper.plan();
+        let known = self.nodes[name].manager.plan();
         assert!(!takes || *known == stored, "{name} takes a cell by an older plan: {known:?}");
     }
 
@@ -322,28 +323,28 @@
         if self.store.revision == before || self.down {
             return;
         }
-        for node in self.nodes.values_mut().filter(|node| !node.cut && !node.frozen) {
+        for node in self.nodes.values_mut().filter(|node| !node.store_cut && !node.frozen) {
             node.inbox.push_back(Event::Changed);
         }
     }
 
     /// Applies the oldest late commit.
-    pub fn land(&mut self) {
-        if !self.flying.is_empty() {
-            let txn = self.flying.remove(0);
+    pub fn apply_late_commit(&mut self) {
+        if !self.late_commits.is_empty() {
+            let txn = self.late_commits.remove(0);
             let _ = self.store.commit(&txn);
         }
     }
 
     fn ask(&mut self, name: &str, cell: id::Cell, epoch: id::Epoch, owner: Owner) {
         let Some(target) = self.nodes.get_mut(&*owner.instance) else { return };
-        if target.incarnation != owner.incarnation || target.deaf || target.frozen {
+        if target.incarnation != owner.incarnation || target.peers_cut || target.frozen {
             return;
         }
         self.last_call += 1;
         let call = self.last_call;
         target.inbox.push_back(Event::StoppedQueried { call, cell: cell.clone(), epoch });
-        self.calls.insert(call, Call { asker: name.to_owned(), cell, epoch, owner });
+        self.calls.insert(call, Call { caller: name.to_owned(), cell, epoch, owner });
     }
 
     fn answer(&mut self, call: u64, reply: &peer::Reply) {
@@ -351,7 +352,7 @@
         if *reply != peer::Reply::Released {
             return;
         }
-        let Call { asker, cell, epoch, owner } = call;
+        let Call { caller: asker, cell, epoch, owner } = call;
         if let Some(node) = self.nodes.get_mut(&asker) {
             node.inbox.push_back(Event::StopConfirmed { cell, epoch, owner });
         }
@@ -359,9 +360,9 @@
 
     /// Checks the invariants.
     fn check(&mut self) {
-        let mut terms: Vec<(&str, &id::Cell, Term)> = Vec::new();
+        let mut terms: Vec<(&str, &id::Cell, Running)> = Vec::new();
         for (name, node) in &self.nodes {
-            terms.extend(node.acting.iter().map(|(cell, term)| (&**name, cell, *term)));
+            terms.extend(node.running.iter().map(|(cell, term)| (&**name, cell, *term)));
         }
         for (index, (name, cell, term)) in terms.iter().enumerate() {
             for (other, same, beside) in terms[index + 1..].iter().filter(|t| t.1 == *cell) {
@@ -387,7 +388,7 @@
     pub fn describe(&self) -> String {
         let mut lines = Vec::new();
         for (name, node) in &self.nodes {
-            for standing in node.keeper.cell_statuses().filter(|s| s.stage != "vacant") {
+            for standing in node.manager.cell_statuses().filter(|s| s.stage != "vacant") {
                 let epoch = standing.epoch.map_or(String::new(), |e| format!(" epoch {e}"));
                 lines.push(format!("{name} {} {}{epoch}", standing.cell, standing.stage));
             }
--- a/crates/tenure/tests/world/store.rs
+++ b/crates/tenure/tests/world/store.rs
@@ -17,14 +17,14 @@
 #[derive(Debug)]
 struct Lease {
     ttl: Time,
-    until: Time,
+    expires_at: Time,
 }
 
 impl Memory {
     /// Revokes expired leases and deletes their keys.
-    pub fn lapse(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Time) {
         let lapsed: Vec<kv::LeaseId> =
-            self.leases.iter().filter(|(_, l)| l.until <= now).map(|(&id, _)| id).collect();
+            self.leases.iter().filter(|(_, l)| l.expires_at <= now).map(|(&id, _)| id).collect();
         for lease in lapsed {
             self.revoke(lease);
         }
@@ -33,7 +33,7 @@
     /// Extends every lease to its full duration, as a key-value store does after an outage.
     pub fn extend_all(&mut self, now: Time) {
         for lease in self.leases.values_mut() {
-            lease.until = now + lease.ttl;
+            lease.expires_at = now + lease.ttl;
         }
     }
 
@@ -46,13 +46,13 @@
 
     pub fn grant(&mut self, now: Time, ttl: Time) -> kv::LeaseId {
         self.last_lease += 1;
-        self.leases.insert(self.last_lease, Lease { ttl, until: now + ttl });
+        self.leases.insert(self.last_lease, Lease { ttl, expires_at: now + ttl });
         self.last_lease
     }
 
     pub fn keep_alive(&mut self, now: Time, lease: kv::LeaseId) -> Result<Time, kv::Error> {
         let lease = self.leases.get_mut(&lease).ok_or(kv::Error::LeaseGone)?;
-        lease.until = now + lease.ttl;
+        lease.expires_at = now + lease.ttl;
         Ok(lease.ttl)
     }
 
