--- a/crates/claim/src/change.rs
+++ b/crates/claim/src/change.rs
@@ -22,8 +22,8 @@
         if self.is_ended || self.required_read.is_some() || !self.calls.may_propose(now) {
             return;
         }
-        if let Some(offer) = self.transfer.take() {
-            self.transfer = self.advance_transfer(now, offer, actions);
+        if let Some(transfer) = self.transfer.take() {
+            self.transfer = self.advance_transfer(now, transfer, actions);
             return;
         }
         match self.membership_change() {
@@ -74,37 +74,38 @@
             return;
         }
         let until = now + self.settings.handover_timeout;
-        let is_held = |slot| self.slots.ownership(slot).is_some();
+        let is_owned = |slot| self.slots.ownership(slot).is_some();
         let number = self.last_transfer + 1;
-        let offer = Transfer::open(roster, is_held, &self.member, self.is_draining, number, until);
-        let Some(mut offer) = offer else { return };
+        let transfer =
+            Transfer::open(roster, is_owned, &self.member, self.is_draining, number, until);
+        let Some(mut transfer) = transfer else { return };
         self.last_transfer = number;
-        for Outgoing { to, handover } in self.slots.handovers(now, &mut offer) {
+        for Outgoing { to, handover } in self.slots.handovers(now, &mut transfer) {
             actions.push(Action::HandOver { to, handover });
         }
-        self.transfer = self.advance_transfer(now, offer, actions);
+        self.transfer = self.advance_transfer(now, transfer, actions);
     }
 
     fn advance_transfer(
         &mut self,
         now: Time,
-        mut offer: Transfer,
+        mut transfer: Transfer,
         actions: &mut Vec<Action>,
     ) -> Option<Transfer> {
-        if offer.stage == Stage::Sending && !offer.is_complete(now) {
-            return Some(offer);
+        if transfer.stage == Stage::Sending && !transfer.is_complete(now) {
+            return Some(transfer);
         }
-        if offer.moves.is_empty() && !offer.is_leaving {
+        if transfer.moves.is_empty() && !transfer.is_leaving {
             self.transfer_after = now + self.settings.handover_timeout * TRANSFER_RETRY_FACTOR;
             return None;
         }
-        offer.stage = Stage::Proposing;
+        transfer.stage = Stage::Proposing;
         let roster = self.roster.as_ref().expect("an offer is made from a roster");
-        debug_assert_eq!(roster.version, offer.id.base_version, "a newer roster ends the offer");
-        let leaver = offer.is_leaving.then_some(&self.member);
-        let next = roster.released(&offer.moves, leaver);
+        debug_assert_eq!(roster.version, transfer.id.base_version, "a newer roster ends the offer");
+        let leaver = transfer.is_leaving.then_some(&self.member);
+        let next = roster.released(&transfer.moves, leaver);
         self.propose(next, actions);
-        Some(offer)
+        Some(transfer)
     }
 
     fn propose(&mut self, roster: Roster, actions: &mut Vec<Action>) {
--- a/crates/claim/src/listing.rs
+++ b/crates/claim/src/listing.rs
@@ -16,7 +16,7 @@
 
 impl Listing {
     /// Applies a view if it is newer. Returns `true` if it was.
-    pub(crate) fn apply(&mut self, view: &list::View) -> bool {
+    pub(crate) fn take(&mut self, view: &list::View) -> bool {
         if view.version <= self.version {
             return false;
         }
--- a/crates/claim/src/owned.rs
+++ b/crates/claim/src/owned.rs
@@ -71,91 +71,98 @@
         self.ownerships[usize::from(slot)]
     }
 
-    pub(crate) fn count(&self) -> usize {
+    pub(crate) fn slot_count(&self) -> usize {
         self.ownerships.iter().flatten().count()
     }
 
     /// Stores a handover until the roster shows whether its transfer took effect. Returns `false`
     /// if there is no capacity for its keys.
     pub(crate) fn receive(&mut self, handover: Handover) -> bool {
-        let pending: usize = self.received.values().map(|held| held.state.grants.len()).sum();
+        let pending: usize =
+            self.received.values().map(|received| received.state.grants.len()).sum();
         if self.table.len() + pending + handover.keys() > self.limits.max_claims {
             return false;
         }
-        let stamp = handover.transfer;
-        for parcel in handover.slots {
-            self.received.insert(parcel.slot, Received { transfer: stamp, state: parcel });
+        let transfer = handover.transfer;
+        for state in handover.slots {
+            self.received.insert(state.slot, Received { transfer, state });
         }
         true
     }
 
     /// Copies the state of all slots of a transfer into messages of bounded size.
-    pub(crate) fn handovers(&self, now: Time, offer: &mut Transfer) -> Vec<Outgoing> {
-        let mut moves = offer.moves.clone();
+    pub(crate) fn handovers(&self, now: Time, transfer: &mut Transfer) -> Vec<Outgoing> {
+        let mut moves = transfer.moves.clone();
         moves.sort_by(|a, b| a.to.instance.cmp(&b.to.instance).then(a.slot.cmp(&b.slot)));
         let mut messages: Vec<Outgoing> = Vec::new();
         for moved in moves {
-            let parcel = self.slot_state(now, moved.slot);
+            let state = self.slot_state(now, moved.slot);
             match messages.last_mut() {
                 Some(last) if last.to.is_same(&moved.to) && has_capacity(&last.handover) => {
-                    last.handover.slots.push(parcel);
+                    last.handover.slots.push(state);
                 }
                 _ => {
                     let handover =
-                        Handover { transfer: offer.id, message_number: 0, slots: vec![parcel] };
+                        Handover { transfer: transfer.id, message_number: 0, slots: vec![state] };
                     messages.push(Outgoing { to: moved.to, handover });
                 }
             }
         }
         for message in &mut messages {
-            let slots = message.handover.slots.iter().map(|parcel| parcel.slot).collect();
-            message.handover.message_number = offer.add_message(slots);
+            let slots = message.handover.slots.iter().map(|state| state.slot).collect();
+            message.handover.message_number = transfer.add_message(slots);
         }
         messages
     }
 
     fn slot_state(&self, now: Time, slot: Slot) -> SlotState {
-        let hold = self.ownership(slot).expect("only slots that are held are offered");
+        let ownership = self.ownership(slot).expect("only slots that are held are offered");
         let grants = self.table.export(now, slot, MAX_SLOT_ANSWER_BYTES);
-        SlotState { slot, in_doubt_for: hold.in_doubt_until.saturating_sub(now), grants }
+        SlotState { slot, in_doubt_for: ownership.in_doubt_until.saturating_sub(now), grants }
     }
 
     /// Applies a newer roster and returns the number of slots whose ownership changed here.
-    pub(crate) fn apply_roster(&mut self, now: Time, roster: &Roster, me: &Member) -> usize {
+    pub(crate) fn take(&mut self, now: Time, roster: &Roster, member: &Member) -> usize {
         let changed =
-            slot::all().filter(|slot| self.apply_assignment(now, *slot, roster, me)).count();
-        self.received.retain(|_, held| held.transfer.base_version >= roster.version);
+            slot::all().filter(|slot| self.apply_assignment(now, *slot, roster, member)).count();
+        self.received.retain(|_, received| received.transfer.base_version >= roster.version);
         changed
     }
 
-    fn apply_assignment(&mut self, now: Time, slot: Slot, roster: &Roster, me: &Member) -> bool {
-        let share = roster.assignment(slot);
-        let is_mine = roster.owner_at(slot).is_same(me);
-        let former = self.ownership(slot);
-        if is_mine && former.is_some_and(|former| former.since == share.since) {
+    fn apply_assignment(
+        &mut self,
+        now: Time,
+        slot: Slot,
+        roster: &Roster,
+        member: &Member,
+    ) -> bool {
+        let assignment = roster.assignment(slot);
+        let is_mine = roster.owner_at(slot).is_same(member);
+        let previous = self.ownership(slot);
+        if is_mine && previous.is_some_and(|previous| previous.since == assignment.since) {
             return false;
         }
         self.table.clear(slot);
         self.ownerships[usize::from(slot)] = None;
         if is_mine {
-            let doubt = now + self.start_owning(now, slot, share);
+            let in_doubt_until = now + self.start_owning(now, slot, assignment);
             self.ownerships[usize::from(slot)] =
-                Some(Ownership { since: share.since, in_doubt_until: doubt });
+                Some(Ownership { since: assignment.since, in_doubt_until });
         }
-        is_mine || former.is_some()
+        is_mine || previous.is_some()
     }
 
     /// Starts owning a slot and returns how long its unknown keys are in doubt. The previous owner,
     /// if any, has stopped granting its keys.
-    fn start_owning(&mut self, now: Time, slot: Slot, share: Assignment) -> Duration {
-        let adopted = self.received.remove(&slot);
-        match (share.origin, adopted) {
+    fn start_owning(&mut self, now: Time, slot: Slot, assignment: Assignment) -> Duration {
+        let received = self.received.remove(&slot);
+        match (assignment.origin, received) {
             (Origin::First, _) => Duration::ZERO,
-            (Origin::Handed(number), Some(Received { transfer: stamp, state: parcel }))
-                if stamp.number == number && stamp.base_version + 1 == share.since =>
+            (Origin::Handed(number), Some(Received { transfer, state }))
+                if transfer.number == number && transfer.base_version + 1 == assignment.since =>
             {
-                self.table.import(now, parcel.grants);
-                parcel.in_doubt_for
+                self.table.import(now, state.grants);
+                state.in_doubt_for
             }
             _ => self.limits.retention,
         }
--- a/crates/claim/src/owner.rs
+++ b/crates/claim/src/owner.rs
@@ -118,9 +118,7 @@
             Event::RosterRead { read, revision, roster } => {
                 self.roster_read(now, read, revision, roster, actions);
             }
-            Event::RosterReceived { revision, roster } => {
-                self.apply_roster(now, revision, roster, actions)
-            }
+            Event::RosterReceived { revision, roster } => self.take(now, revision, roster, actions),
             Event::Proposed => self.calls.end_proposal(),
             Event::StoreFailed => self.calls.fail(now + self.settings.handover_timeout),
             Event::Listed { view } => self.apply_list(&view),
@@ -140,8 +138,8 @@
                 actions.push(Action::Acknowledge { ask, accepted });
             }
             Event::HandedOver { transfer, message_number, accepted } => {
-                if let Some(offer) = &mut self.transfer {
-                    offer.acknowledged(transfer, message_number, accepted);
+                if let Some(current) = &mut self.transfer {
+                    current.acknowledged(transfer, message_number, accepted);
                 }
             }
             Event::Tick => {}
@@ -156,9 +154,9 @@
     /// Returns the time at which the next [`Event::Tick`] is due. Much later steps count as a
     /// stall.
     pub fn next_due(&self) -> Option<Time> {
-        let beat = self.last_step? + self.settings.lease / STEPS_PER_LEASE;
-        let offer = self.transfer.as_ref().map_or(Time::MAX, Transfer::next_due);
-        Some(beat.min(offer))
+        let step = self.last_step? + self.settings.lease / STEPS_PER_LEASE;
+        let current = self.transfer.as_ref().map_or(Time::MAX, Transfer::next_due);
+        Some(step.min(current))
     }
 
     /// Returns the roster in force here, by which the owner of a key is found.
@@ -173,7 +171,7 @@
 
     /// Returns the number of slots owned by this process.
     pub fn slots(&self) -> usize {
-        self.slots.count()
+        self.slots.slot_count()
     }
 
     /// Returns `true` if this process is draining and has left the roster or is its only member.
@@ -199,15 +197,21 @@
         }
     }
 
-    fn claim(&mut self, now: Time, claimant: Claimant, key: Key, asked: Version) -> Verdict {
+    fn claim(
+        &mut self,
+        now: Time,
+        claimant: Claimant,
+        key: Key,
+        claimant_version: Version,
+    ) -> Verdict {
         let Some(roster) = &self.roster else { return Verdict::not_owner(MIN_RETRY_AFTER) };
-        if asked > roster.version {
+        if claimant_version > roster.version {
             // The claimant knows a newer roster, which may have moved this slot.
             self.calls.request_read();
             return Verdict::not_owner(MIN_RETRY_AFTER);
         }
         let slot = key.slot();
-        let Some(hold) = self.slots.ownership(slot) else {
+        let Some(ownership) = self.slots.ownership(slot) else {
             return Verdict::not_owner(MIN_RETRY_AFTER);
         };
         if let Some(record) = self.slots.table.find(&key) {
@@ -216,13 +220,13 @@
         if !self.may_grant(slot) {
             return Verdict::not_owner(MIN_RETRY_AFTER);
         }
-        if now < hold.in_doubt_until {
-            return Verdict::not_owner(hold.in_doubt_until - now);
+        if now < ownership.in_doubt_until {
+            return Verdict::not_owner(ownership.in_doubt_until - now);
         }
         if !self.slots.table.has_capacity() {
             // Evicting a key early could run its request twice, so the new one has to wait.
-            let room = self.slots.table.next_expiry().unwrap_or(now);
-            return Verdict::not_owner(room.saturating_sub(now));
+            let expiry = self.slots.table.next_expiry().unwrap_or(now);
+            return Verdict::not_owner(expiry.saturating_sub(now));
         }
         self.slots.table.grant(now, key, claimant);
         Verdict::granted()
@@ -233,7 +237,7 @@
     }
 
     fn is_in_transfer(&self, slot: Slot) -> bool {
-        self.transfer.as_ref().is_some_and(|offer| offer.contains(slot))
+        self.transfer.as_ref().is_some_and(|current| current.contains(slot))
     }
 
     /// Returns `true` if a settlement is accepted here: state already sent to the next owner must
@@ -251,12 +255,12 @@
     }
 
     fn apply_list(&mut self, view: &list::View) {
-        if !self.listing.apply(view) {
+        if !self.listing.take(view) {
             return;
         }
         let mut members = self.roster.iter().flat_map(|roster| &roster.members);
-        let me = members.find(|member| member.is_same(&self.member));
-        self.is_ended |= me.is_some_and(|me| self.listing.has_ended(me));
+        let member = members.find(|member| member.is_same(&self.member));
+        self.is_ended |= member.is_some_and(|member| self.listing.has_ended(member));
     }
 
     fn roster_read(
@@ -269,7 +273,7 @@
     ) {
         self.calls.end_read(read);
         match roster {
-            Some(roster) => self.apply_roster(now, revision, roster, actions),
+            Some(roster) => self.take(now, revision, roster, actions),
             None => self.is_roster_missing = self.roster.is_none(),
         }
         if self.required_read.is_some_and(|needed| read >= needed) {
@@ -278,7 +282,7 @@
     }
 
     /// Applies a roster if it is newer than the one in force.
-    fn apply_roster(
+    fn take(
         &mut self,
         now: Time,
         revision: Revision,
@@ -294,7 +298,7 @@
         // A proposal based on an older version can't be applied any more.
         self.transfer = None;
         self.is_ended |= roster.members.iter().any(|member| is_successor(member, &self.member));
-        let changed = self.slots.apply_roster(now, &roster, &self.member);
+        let changed = self.slots.take(now, &roster, &self.member);
         if changed > 0 {
             let reason = format!("roster {}: {changed} slots changed here", roster.version);
             let subject = self.member.instance.clone();
@@ -305,7 +309,7 @@
 }
 
 /// Returns `true` if `other` is a later incarnation or start of this process's instance.
-fn is_successor(other: &Member, me: &Member) -> bool {
-    other.instance == me.instance
-        && (other.incarnation, other.started_at) > (me.incarnation, me.started_at)
+fn is_successor(other: &Member, member: &Member) -> bool {
+    other.instance == member.instance
+        && (other.incarnation, other.started_at) > (member.incarnation, member.started_at)
 }
--- a/crates/claim/src/roster.rs
+++ b/crates/claim/src/roster.rs
@@ -127,8 +127,8 @@
 impl Roster {
     /// Returns the initial roster of a deployment, in which one member owns every slot.
     pub fn initial(member: Member) -> Roster {
-        let share = Assignment { owner: 0, since: 1, origin: Origin::First };
-        Roster { version: 1, members: vec![member], assignments: vec![share; slot::COUNT] }
+        let assignment = Assignment { owner: 0, since: 1, origin: Origin::First };
+        Roster { version: 1, members: vec![member], assignments: vec![assignment; slot::COUNT] }
     }
 
     /// Checks the invariants of a roster.
@@ -140,8 +140,9 @@
         if self.assignments.len() != slot::COUNT {
             return Err(Error::Slots(self.assignments.len()));
         }
-        let orphan = slot::all().find(|slot| self.member(self.assignment(*slot).owner).is_none());
-        orphan.map_or(Ok(()), |slot| Err(Error::NoOwner(slot)))
+        let unassigned =
+            slot::all().find(|slot| self.member(self.assignment(*slot).owner).is_none());
+        unassigned.map_or(Ok(()), |slot| Err(Error::NoOwner(slot)))
     }
 
     /// Returns the owner of a key.
@@ -199,9 +200,9 @@
         next.version += 1;
         for moved in moves {
             let owner = next.index_of(&moved.to).expect("slots are moved to members");
-            let share =
+            let assignment =
                 Assignment { owner, since: next.version, origin: Origin::Handed(moved.number) };
-            next.assignments[usize::from(moved.slot)] = share;
+            next.assignments[usize::from(moved.slot)] = assignment;
         }
         match leaver {
             Some(leaver) if !next.owns_any(leaver) => next.without(leaver),
@@ -221,11 +222,11 @@
         let version = self.version + 1;
         let mut next = Roster { version, members, assignments: Vec::with_capacity(slot::COUNT) };
         for slot in slot::all() {
-            let share = match next.index_of(self.owner_at(slot)) {
+            let assignment = match next.index_of(self.owner_at(slot)) {
                 Some(owner) => Assignment { owner, ..self.assignment(slot) },
                 None => next.reassigned(slot),
             };
-            next.assignments.push(share);
+            next.assignments.push(assignment);
         }
         next
     }
@@ -241,11 +242,11 @@
     }
 
     fn index_of(&self, process: &Member) -> Option<u16> {
-        self.members.iter().position(|member| member.is_same(process)).map(|place| place as u16)
+        self.members.iter().position(|member| member.is_same(process)).map(|index| index as u16)
     }
 
-    fn member(&self, place: u16) -> Option<&Member> {
-        self.members.get(usize::from(place))
+    fn member(&self, index: u16) -> Option<&Member> {
+        self.members.get(usize::from(index))
     }
 }
 
--- a/crates/claim/src/table.rs
+++ b/crates/claim/src/table.rs
@@ -84,7 +84,7 @@
 
     /// Returns the time at which the next key expires.
     pub(crate) fn next_expiry(&self) -> Option<Time> {
-        self.expiries.first().map(|due| due.at)
+        self.expiries.first().map(|expiry| expiry.at)
     }
 
     /// Records a grant. The table must have capacity.
@@ -128,10 +128,10 @@
 
     /// Removes expired keys.
     pub(crate) fn expire(&mut self, now: Time) {
-        while let Some(due) = self.expiries.first()
-            && due.at <= now
+        while let Some(expiry) = self.expiries.first()
+            && expiry.at <= now
         {
-            let key = due.key.clone();
+            let key = expiry.key.clone();
             self.remove(&key);
         }
     }
@@ -146,7 +146,7 @@
 
     /// Copies the grants of a slot for its next owner, with at most `bytes` of answers in total.
     pub(crate) fn export(&self, now: Time, slot: Slot, mut bytes: usize) -> Vec<Grant> {
-        let mut kept = Vec::new();
+        let mut grants = Vec::new();
         for (key, record) in &self.slots[usize::from(slot)] {
             let size = kept_answer_size(&record.state);
             let state = match &record.state {
@@ -157,19 +157,19 @@
                 }
             };
             let expires_in = record.expires_at.saturating_sub(now);
-            kept.push(Grant {
+            grants.push(Grant {
                 key: key.clone(),
                 claimant: record.claimant.clone(),
                 state,
                 expires_in,
             });
         }
-        kept
+        grants
     }
 
     /// Inserts the grants received from the previous owner of a slot.
-    pub(crate) fn import(&mut self, now: Time, kept: Vec<Grant>) {
-        for Grant { key, claimant, state, expires_in } in kept {
+    pub(crate) fn import(&mut self, now: Time, grants: Vec<Grant>) {
+        for Grant { key, claimant, state, expires_in } in grants {
             self.remove(&key);
             self.insert(key, Record { claimant, state, expires_at: now + expires_in });
         }
@@ -184,29 +184,29 @@
             state => state,
         };
         self.remove(&key);
-        let until = now + self.limits.retention;
-        self.insert(key, Record { claimant, state, expires_at: until });
+        let expires_at = now + self.limits.retention;
+        self.insert(key, Record { claimant, state, expires_at });
         self.trim_answers();
     }
 
     fn insert(&mut self, key: Key, record: Record) {
-        let due = Expiry { at: record.expires_at, key: key.clone() };
+        let expiry = Expiry { at: record.expires_at, key: key.clone() };
         if let State::Ran(Some(answer)) = &record.state {
             self.total_answer_bytes += answer_size(answer);
-            self.answer_expiries.insert(due.clone());
+            self.answer_expiries.insert(expiry.clone());
         }
-        self.expiries.insert(due);
-        let former = self.slots[usize::from(key.slot())].insert(key, record);
-        debug_assert!(former.is_none(), "a key is removed before it is put again");
+        self.expiries.insert(expiry);
+        let previous = self.slots[usize::from(key.slot())].insert(key, record);
+        debug_assert!(previous.is_none(), "a key is removed before it is put again");
         self.len += 1;
     }
 
     fn remove(&mut self, key: &Key) {
         let Some(record) = self.slots[usize::from(key.slot())].remove(key) else { return };
         self.len -= 1;
-        let due = Expiry { at: record.expires_at, key: key.clone() };
-        self.expiries.remove(&due);
-        if self.answer_expiries.remove(&due) {
+        let expiry = Expiry { at: record.expires_at, key: key.clone() };
+        self.expiries.remove(&expiry);
+        if self.answer_expiries.remove(&expiry) {
             self.total_answer_bytes -= kept_answer_size(&record.state);
         }
     }
@@ -214,9 +214,9 @@
     /// Evicts the answers that expire first; that their requests ran stays recorded.
     fn trim_answers(&mut self) {
         while self.total_answer_bytes > self.limits.max_total_answer_bytes
-            && let Some(due) = self.answer_expiries.pop_first()
+            && let Some(expiry) = self.answer_expiries.pop_first()
         {
-            let record = self.slots[usize::from(due.key.slot())].get_mut(&due.key);
+            let record = self.slots[usize::from(expiry.key.slot())].get_mut(&expiry.key);
             let record = record.expect("an answer is kept only with its key");
             self.total_answer_bytes -= kept_answer_size(&record.state);
             record.state = State::Ran(None);
--- a/crates/claim/src/transfer.rs
+++ b/crates/claim/src/transfer.rs
@@ -47,27 +47,27 @@
     /// removed from the roster.
     pub(crate) fn open(
         roster: &Roster,
-        is_held: impl Fn(Slot) -> bool,
-        me: &Member,
-        is_last: bool,
+        is_owned: impl Fn(Slot) -> bool,
+        member: &Member,
+        is_leaving: bool,
         number: u64,
         until: Time,
     ) -> Option<Transfer> {
-        let stamp = TransferId { base_version: roster.version, number };
-        let leaver = is_last.then_some(me);
+        let id = TransferId { base_version: roster.version, number };
+        let leaver = is_leaving.then_some(member);
         let mut moves = Vec::new();
-        for slot in slot::all().filter(|slot| is_held(*slot)) {
+        for slot in slot::all().filter(|slot| is_owned(*slot)) {
             let Some(to) = roster.target(slot, leaver) else { continue };
-            if !to.is_same(me) {
+            if !to.is_same(member) {
                 moves.push(Move { slot, to: to.clone(), number });
             }
         }
-        let leaves = is_last && roster.contains(me) && roster.members.len() > 1;
-        if moves.is_empty() && !leaves {
+        let removes_member = is_leaving && roster.contains(member) && roster.members.len() > 1;
+        if moves.is_empty() && !removes_member {
             return None;
         }
-        let (waiting, stage) = (BTreeMap::new(), Stage::Sending);
-        Some(Transfer { id: stamp, moves, is_leaving: is_last, stage, pending: waiting, until })
+        let (pending, stage) = (BTreeMap::new(), Stage::Sending);
+        Some(Transfer { id, moves, is_leaving, stage, pending, until })
     }
 
     pub(crate) fn contains(&self, slot: Slot) -> bool {
@@ -76,18 +76,18 @@
 
     /// Registers a message to be acknowledged and returns its number.
     pub(crate) fn add_message(&mut self, slots: Vec<Slot>) -> u32 {
-        let part = self.pending.len() as u32;
-        self.pending.insert(part, slots);
-        part
+        let message = self.pending.len() as u32;
+        self.pending.insert(message, slots);
+        message
     }
 
     /// Records that a message was acknowledged or failed.
-    pub(crate) fn acknowledged(&mut self, stamp: TransferId, part: u32, held: bool) {
-        if self.stage == Stage::Proposing || stamp != self.id {
+    pub(crate) fn acknowledged(&mut self, id: TransferId, message: u32, accepted: bool) {
+        if self.stage == Stage::Proposing || id != self.id {
             return;
         }
-        let slots = self.pending.remove(&part).unwrap_or_default();
-        if !held {
+        let slots = self.pending.remove(&message).unwrap_or_default();
+        if !accepted {
             self.withdraw(&slots);
         }
     }
--- a/crates/tenure/src/directory.rs
+++ b/crates/tenure/src/directory.rs
@@ -43,7 +43,7 @@
 impl Entry {
     /// Returns `true` if the removal is written and its result has been read back.
     fn is_removal_complete(&self) -> bool {
-        self.removal.is_some_and(|leaving| leaving.written && self.revision > leaving.base_revision)
+        self.removal.is_some_and(|removal| removal.written && self.revision > removal.base_revision)
     }
 }
 
@@ -112,11 +112,11 @@
     pub fn add_owned_cell(&mut self, cell: &id::Cell, actions: &mut Vec<Action>) {
         self.owned_cells.insert(cell.clone());
         self.scan_at = Time::ZERO;
-        for (name, kept) in &self.homes {
-            if kept.home.cell.as_ref() != Some(cell) {
+        for (name, stored) in &self.homes {
+            if stored.home.cell.as_ref() != Some(cell) {
                 continue;
             }
-            self.notify_cell(name, kept, actions);
+            self.notify_cell(name, stored, actions);
         }
     }
 
@@ -127,9 +127,9 @@
     /// may just not have arrived yet.
     pub fn set_declared_revision(&mut self, revision: id::Revision, actions: &mut Vec<Action>) {
         let before = std::mem::replace(&mut self.declared_revision, revision);
-        for (name, kept) in &self.homes {
-            if kept.revision > before && !self.jobs.contains_key(name) {
-                self.notify_cell(name, kept, actions);
+        for (name, stored) in &self.homes {
+            if stored.revision > before && !self.jobs.contains_key(name) {
+                self.notify_cell(name, stored, actions);
             }
         }
     }
@@ -137,9 +137,9 @@
     /// Records that this placer no longer owns a cell.
     pub fn remove_owned_cell(&mut self, cell: &id::Cell) {
         self.owned_cells.remove(cell);
-        let here = |kept: &&mut Entry| kept.home.cell.as_ref() == Some(cell);
-        for kept in self.homes.values_mut().filter(here) {
-            kept.removal = None;
+        let here = |stored: &&mut Entry| stored.home.cell.as_ref() == Some(cell);
+        for stored in self.homes.values_mut().filter(here) {
+            stored.removal = None;
         }
     }
 
@@ -160,8 +160,8 @@
     pub fn undeclared(&mut self, name: &id::Job, actions: &mut Vec<Action>) {
         self.jobs.remove(name);
         self.waiting.remove(name);
-        let Some(kept) = self.homes.get(name).filter(|kept| kept.removal.is_none()) else { return };
-        let Some(cell) = kept.home.cell.clone().filter(|cell| self.owned_cells.contains(cell))
+        let Some(stored) = self.homes.get(name).filter(|s| s.removal.is_none()) else { return };
+        let Some(cell) = stored.home.cell.clone().filter(|cell| self.owned_cells.contains(cell))
         else {
             return;
         };
@@ -189,22 +189,22 @@
         let Some(home) = Home::from_bytes(&entry.value) else { return };
         let name: id::Job = name.into();
         let known = self.homes.get(&name);
-        if known.is_some_and(|kept| kept.revision >= entry.revision) {
+        if known.is_some_and(|stored| stored.revision >= entry.revision) {
             return;
         }
-        let before = known.and_then(|kept| kept.home.cell.clone());
+        let before = known.and_then(|stored| stored.home.cell.clone());
         let moved = before != home.cell;
-        let leaving = known.and_then(|kept| kept.removal).filter(|_| !moved);
-        let mut kept = Entry { home, revision: entry.revision, removal: leaving };
-        let left = kept.is_removal_complete();
-        if left {
-            kept.removal = None;
+        let removal = known.and_then(|stored| stored.removal).filter(|_| !moved);
+        let mut stored = Entry { home, revision: entry.revision, removal };
+        let removed = stored.is_removal_complete();
+        if removed {
+            stored.removal = None;
         }
-        self.homes.insert(name.clone(), kept);
+        self.homes.insert(name.clone(), stored);
         if moved {
             self.notify_removed(before, &name, actions);
         }
-        if moved || left {
+        if moved || removed {
             self.notify_home_cell(&name, actions);
         }
         self.update_waiting(now, &name);
@@ -212,8 +212,8 @@
 
     /// Records that the home key of a job was deleted at a revision.
     pub fn remove_home(&mut self, now: Time, name: &str, revision: id::Revision) {
-        let Some((name, kept)) = self.homes.get_key_value(name) else { return };
-        if kept.revision > revision {
+        let Some((name, stored)) = self.homes.get_key_value(name) else { return };
+        if stored.revision > revision {
             return;
         }
         let name = name.clone();
@@ -227,7 +227,7 @@
     }
 
     fn update_waiting(&mut self, now: Time, name: &id::Job) {
-        let homed = self.homes.get(name).is_some_and(|kept| kept.home.cell.is_some());
+        let homed = self.homes.get(name).is_some_and(|stored| stored.home.cell.is_some());
         if self.homes_loaded && !homed && self.jobs.contains_key(name) {
             self.waiting.entry(name.clone()).or_insert(now);
             let rank = self.best_claim(name).map(|(_, rank)| rank as u32);
@@ -240,20 +240,20 @@
 
     /// Notifies a job's home cell of the job, if this placer owns the cell.
     fn notify_home_cell(&self, name: &id::Job, actions: &mut Vec<Action>) {
-        if let Some((name, kept)) = self.homes.get_key_value(name) {
-            self.notify_cell(name, kept, actions);
+        if let Some((name, stored)) = self.homes.get_key_value(name) {
+            self.notify_cell(name, stored, actions);
         }
     }
 
-    fn notify_cell(&self, name: &id::Job, kept: &Entry, actions: &mut Vec<Action>) {
-        let Some(cell) = &kept.home.cell else { return };
-        if kept.removal.is_some() || !self.owned_cells.contains(cell) {
+    fn notify_cell(&self, name: &id::Job, stored: &Entry, actions: &mut Vec<Action>) {
+        let Some(cell) = &stored.home.cell else { return };
+        if stored.removal.is_some() || !self.owned_cells.contains(cell) {
             return;
         }
         let (cell, name) = (cell.clone(), name.clone());
         match self.jobs.get(&name) {
             Some(spec) => actions.push(Action::Assigned { cell, name, spec: spec.clone() }),
-            None if kept.revision <= self.declared_revision => {
+            None if stored.revision <= self.declared_revision => {
                 actions.push(Action::Removed { cell, name })
             }
             None => {}
--- a/crates/tenure/src/directory/claim.rs
+++ b/crates/tenure/src/directory/claim.rs
@@ -83,12 +83,12 @@
 
     fn add_claim(&self, txn: &mut kv::Txn, name: &id::Job, cell: id::Cell) {
         let key = key::home(name);
-        let kept = self.homes.get(name);
-        txn.guards.push(match kept {
-            Some(kept) => kv::Guard::Unchanged(key.clone(), kept.revision),
+        let stored = self.homes.get(name);
+        txn.guards.push(match stored {
+            Some(stored) => kv::Guard::Unchanged(key.clone(), stored.revision),
             None => kv::Guard::Missing(key.clone()),
         });
-        let tried = kept.map(|kept| kept.home.tried.clone()).unwrap_or_default();
+        let tried = stored.map(|stored| stored.home.tried.clone()).unwrap_or_default();
         let value = Home { cell: Some(cell), tried }.to_bytes();
         txn.changes.push(kv::Change::Put { key, value, lease: 0 });
     }
@@ -96,10 +96,10 @@
     /// Returns the best-ranked owned cell for a job and its rank among all cells that may run it.
     pub(super) fn best_claim(&self, name: &id::Job) -> Option<(id::Cell, usize)> {
         let spec = self.jobs.get(name)?;
-        let tried = self.homes.get(name).map_or(&[][..], |kept| &kept.home.tried);
-        let open = |cell: &&id::Cell| may_run(spec, cell) && !tried.contains(cell);
-        let ranked = self.owned_cells.iter().filter(open).map(|cell| {
-            let others = self.cells.iter().filter(open).map(|cell| &**cell);
+        let tried = self.homes.get(name).map_or(&[][..], |stored| &stored.home.tried);
+        let eligible = |cell: &&id::Cell| may_run(spec, cell) && !tried.contains(cell);
+        let ranked = self.owned_cells.iter().filter(eligible).map(|cell| {
+            let others = self.cells.iter().filter(eligible).map(|cell| &**cell);
             (rank::rank(name, cell, others), cell)
         });
         ranked.min().map(|(rank, cell)| (cell.clone(), rank))
--- a/crates/tenure/src/directory/removal.rs
+++ b/crates/tenure/src/directory/removal.rs
@@ -31,9 +31,10 @@
         cell: &id::Cell,
         depart: bool,
     ) -> Option<kv::Txn> {
-        let kept = self.homes.get(name).filter(|kept| kept.home.cell.as_ref() == Some(cell))?;
+        let stored =
+            self.homes.get(name).filter(|stored| stored.home.cell.as_ref() == Some(cell))?;
         let key = key::home(name);
-        let from = kept.revision;
+        let base_revision = stored.revision;
         let put = |home: &Home| {
             let value = home.to_bytes();
             kv::Change::Put { key: key.clone(), value, lease: 0 }
@@ -41,32 +42,32 @@
         let change = match self.next_home(name) {
             _ if !self.jobs.contains_key(name) => kv::Change::Delete { key: key.clone() },
             Some(home) if depart => put(&home),
-            _ => put(&kept.home),
+            _ => put(&stored.home),
         };
-        let guards = vec![kv::Guard::Unchanged(key, from)];
-        self.homes.get_mut(name)?.removal = Some(Removal { base_revision: from, written: false });
+        let guards = vec![kv::Guard::Unchanged(key, base_revision)];
+        self.homes.get_mut(name)?.removal = Some(Removal { base_revision, written: false });
         Some(kv::Txn { guards, changes: vec![change] })
     }
 
     /// Records that the removal of a job from its cell is in the store.
     pub fn removal_written(&mut self, name: &id::Job, actions: &mut Vec<Action>) {
-        let Some(kept) = self.homes.get_mut(name) else { return };
-        let Some(leaving) = &mut kept.removal else { return };
-        leaving.written = true;
-        if kept.is_removal_complete() {
-            kept.removal = None;
+        let Some(stored) = self.homes.get_mut(name) else { return };
+        let Some(removal) = &mut stored.removal else { return };
+        removal.written = true;
+        if stored.is_removal_complete() {
+            stored.removal = None;
             self.notify_home_cell(name, actions);
         }
     }
 
     /// Returns the home value by which a job requests another cell, if there is one left to try.
     fn next_home(&self, name: &id::Job) -> Option<Home> {
-        let kept = self.homes.get(name)?;
+        let stored = self.homes.get(name)?;
         let spec = self.jobs.get(name)?;
-        let mut tried = kept.home.tried.clone();
-        tried.extend(kept.home.cell.clone());
-        let open = |cell: &&id::Cell| may_run(spec, cell) && !tried.contains(cell);
-        self.cells.iter().find(open)?;
+        let mut tried = stored.home.tried.clone();
+        tried.extend(stored.home.cell.clone());
+        let eligible = |cell: &&id::Cell| may_run(spec, cell) && !tried.contains(cell);
+        self.cells.iter().find(eligible)?;
         Some(Home { cell: None, tried })
     }
 }
--- a/crates/tenure/src/inquiry.rs
+++ b/crates/tenure/src/inquiry.rs
@@ -12,11 +12,11 @@
 
 /// Returns `true` if the platform's list proves that an owner's incarnation has ended.
 pub fn has_ended(owner: &Owner, view: &list::View) -> bool {
-    let mut lives = view.members.iter().filter(|member| member.instance == owner.instance);
-    if lives.clone().any(|member| member.incarnation > owner.incarnation) {
+    let mut incarnations = view.members.iter().filter(|member| member.instance == owner.instance);
+    if incarnations.clone().any(|member| member.incarnation > owner.incarnation) {
         return true;
     }
-    let listed = lives.any(|member| member.incarnation == owner.incarnation);
+    let listed = incarnations.any(|member| member.incarnation == owner.incarnation);
     !listed && view.version >= owner.list_version
 }
 
@@ -37,9 +37,9 @@
 impl Inquiry {
     /// Opens an inquiry into all previous owners. `own` is this incarnation, which has stopped
     /// running the cell.
-    pub fn open(formers: &[Owner], own: &Owner, view: &list::View, now: Time) -> Inquiry {
+    pub fn open(previous_owners: &[Owner], own: &Owner, view: &list::View, now: Time) -> Inquiry {
         let mut inquiry = Inquiry { queries: SmallVec::new(), any_ended: false };
-        for owner in formers {
+        for owner in previous_owners {
             // Requests of this process under a previous epoch may still be in flight.
             if owner.is_same(own) || has_ended(owner, view) {
                 inquiry.any_ended = true;
@@ -61,39 +61,39 @@
 
     /// Returns the previous owners that are not known to have stopped.
     pub fn unconfirmed(&self) -> PreviousOwners {
-        self.queries.iter().map(|question| question.owner.clone()).collect()
+        self.queries.iter().map(|query| query.owner.clone()).collect()
     }
 
     /// Removes the previous owners that the list proves to have ended. Returns `true` if that
     /// removed the last one.
     pub fn apply_list(&mut self, view: &list::View) -> bool {
         let before = self.queries.len();
-        self.queries.retain(|question| !has_ended(&question.owner, view));
-        let settled = self.queries.len() < before;
-        self.any_ended |= settled;
-        settled && self.queries.is_empty()
+        self.queries.retain(|query| !has_ended(&query.owner, view));
+        let removed_any = self.queries.len() < before;
+        self.any_ended |= removed_any;
+        removed_any && self.queries.is_empty()
     }
 
     /// Removes a previous owner that confirmed that it has stopped. Returns `true` if it was the
     /// last one.
     pub fn confirm_stopped(&mut self, owner: &Owner) -> bool {
         let before = self.queries.len();
-        self.queries.retain(|question| !question.owner.is_same(owner));
+        self.queries.retain(|query| !query.owner.is_same(owner));
         self.queries.len() < before && self.queries.is_empty()
     }
 
     /// Returns the owners to query now; each is queried again after `interval`.
-    pub fn due(&mut self, now: Time, every: Time) -> SmallVec<[Owner; 2]> {
+    pub fn due(&mut self, now: Time, interval: Time) -> SmallVec<[Owner; 2]> {
         let mut due = SmallVec::new();
-        for question in self.queries.iter_mut().filter(|question| question.query_at <= now) {
-            question.query_at = now + every;
-            due.push(question.owner.clone());
+        for query in self.queries.iter_mut().filter(|query| query.query_at <= now) {
+            query.query_at = now + interval;
+            due.push(query.owner.clone());
         }
         due
     }
 
     /// Returns the time of the next query.
     pub fn next_due(&self) -> Option<id::Time> {
-        self.queries.iter().map(|question| question.query_at).min()
+        self.queries.iter().map(|query| query.query_at).min()
     }
 }
--- a/crates/tenure/src/key.rs
+++ b/crates/tenure/src/key.rs
@@ -33,13 +33,13 @@
 }
 
 /// Returns the key of a cell's ownership.
-pub fn cell(domain: &str, slice: CellIndex) -> String {
-    format!("{CELL}{domain}/{slice}")
+pub fn cell(domain: &str, index: CellIndex) -> String {
+    format!("{CELL}{domain}/{index}")
 }
 
 /// Returns the name of a cell, `domain/index`.
-pub fn name(domain: &str, slice: CellIndex) -> id::Cell {
-    format!("{domain}/{slice}").into()
+pub fn name(domain: &str, index: CellIndex) -> id::Cell {
+    format!("{domain}/{index}").into()
 }
 
 /// Returns the liveness key of a placer, which the store deletes when the placer's lease expires.
@@ -73,8 +73,8 @@
     if rest == PLAN {
         return Some(Kind::Plan);
     }
-    if let Some(life) = rest.strip_prefix(ALIVE) {
-        let (instance, incarnation) = life.rsplit_once('/')?;
+    if let Some(placer) = rest.strip_prefix(ALIVE) {
+        let (instance, incarnation) = placer.rsplit_once('/')?;
         return Some(Kind::Alive { instance, incarnation: incarnation.parse().ok()? });
     }
     Some(Kind::Cell(rest.parse().ok()?))
@@ -83,6 +83,6 @@
 /// Returns the cell whose ownership is stored at a key of any domain, or `None` for another key.
 pub fn parse_cell(key: &str) -> Option<id::Cell> {
     let rest = key.strip_prefix(CELL)?;
-    let (_, slice) = rest.split_once('/')?;
-    slice.parse::<CellIndex>().ok().map(|_| rest.into())
+    let (_, index) = rest.split_once('/')?;
+    index.parse::<CellIndex>().ok().map(|_| rest.into())
 }
--- a/crates/tenure/src/lease.rs
+++ b/crates/tenure/src/lease.rs
@@ -90,7 +90,7 @@
     pub fn obtain(
         &mut self,
         now: Time,
-        alive: &Liveness,
+        liveness: &Liveness,
         tickets: &mut Tickets,
         actions: &mut Vec<Action>,
     ) {
@@ -105,7 +105,7 @@
             {
                 let ticket = tickets.issue();
                 *sent = Some(ticket);
-                actions.push(Action::Commit { ticket, txn: alive.txn(*lease) });
+                actions.push(Action::Commit { ticket, txn: liveness.txn(*lease) });
             }
             _ => {}
         }
--- a/crates/tenure/src/ownership.rs
+++ b/crates/tenure/src/ownership.rs
@@ -101,7 +101,8 @@
     commits: BTreeMap<Ticket, Purpose>,
     stages: BTreeMap<CellIndex, Stage>,
     operations: u64,
-    last_step: Option<Time>,
+    /// Time of the last step.
+    last: Option<Time>,
     drain: Drain,
 }
 
@@ -109,9 +110,9 @@
     /// Opens a manager that has read nothing and owns no cell.
     pub fn open(settings: Settings) -> Manager {
         let key = key::alive(&settings.domain, &settings.instance, settings.incarnation);
-        let alive = Liveness { key, value: settings.address.to_string().into_bytes() };
+        let liveness = Liveness { key, value: settings.address.to_string().into_bytes() };
         Manager {
-            liveness: alive,
+            liveness,
             view: None,
             placers: Vec::new(),
             snapshot: None,
@@ -122,7 +123,7 @@
             commits: BTreeMap::new(),
             stages: BTreeMap::new(),
             operations: 0,
-            last_step: None,
+            last: None,
             drain: Drain::No,
             settings,
         }
@@ -160,7 +161,7 @@
             Event::Drain => self.drain = self.drain.requested(),
         }
         self.advance(now, actions);
-        self.last_step = Some(now);
+        self.last = Some(now);
     }
 
     /// Performs everything that is due now.
@@ -196,7 +197,7 @@
 
     /// Returns the time at which the next [`Event::Tick`] is due.
     pub fn next_due(&self, now: Time) -> Time {
-        let idle = self.last_step.unwrap_or(now) + self.settings.lease / STEP_FRACTION;
+        let idle = self.last.unwrap_or(now) + self.settings.lease / STEP_FRACTION;
         let mut due = idle.min(self.reader.next_due().unwrap_or(idle));
         due = due.min(self.lease.next_due().filter(|_| self.reader.is_fresh()).unwrap_or(idle));
         for stage in self.stages.values() {
@@ -242,12 +243,12 @@
     /// Returns a unique identity for the next write.
     fn next_operation(&mut self) -> id::Operation {
         self.operations += 1;
-        let life = format!("{}/{}", self.settings.instance, self.settings.incarnation);
-        (u128::from(xxh3_64(life.as_bytes())) << 64) | u128::from(self.operations)
+        let identity = format!("{}/{}", self.settings.instance, self.settings.incarnation);
+        (u128::from(xxh3_64(identity.as_bytes())) << 64) | u128::from(self.operations)
     }
 
     fn is_stall(&self, now: Time) -> bool {
-        let gap = now.saturating_sub(self.last_step.unwrap_or(now));
+        let gap = now.saturating_sub(self.last.unwrap_or(now));
         gap > self.settings.lease / STALL_FRACTION
     }
 
--- a/crates/tenure/src/ownership/cells.rs
+++ b/crates/tenure/src/ownership/cells.rs
@@ -41,145 +41,149 @@
         }
         match purpose {
             Some(Purpose::Plan) => self.invalidate(now),
-            Some(Purpose::Take(slice)) => self.take_ended(now, slice, outcome, actions),
-            Some(Purpose::Release(slice)) => self.release_ended(now, slice, outcome, actions),
+            Some(Purpose::Take(index)) => self.take_ended(now, index, outcome, actions),
+            Some(Purpose::Release(index)) => self.release_ended(now, index, outcome, actions),
             None => {}
         }
     }
 
     /// Reconciles all stages with the last snapshot of the store.
     pub(super) fn reconcile(&mut self, now: Time, actions: &mut Vec<Action>) {
-        for slice in 0..self.plan.cell_count() {
-            let cell = key::name(&self.settings.domain, slice);
-            let vacant = || Stage::Vacant(Ownership::open(slice, cell));
-            self.stages.entry(slice).or_insert_with(vacant);
+        for index in 0..self.plan.cell_count() {
+            let cell = key::name(&self.settings.domain, index);
+            let vacant = || Stage::Vacant(Ownership::open(index, cell));
+            self.stages.entry(index).or_insert_with(vacant);
         }
         let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
-        for slice in slices {
-            let stage = self.stages.remove(&slice).expect("the key was just listed");
-            let stage = self.reconcile_stage(now, slice, stage, actions);
-            self.stages.insert(slice, stage);
+        for index in slices {
+            let stage = self.stages.remove(&index).expect("the key was just listed");
+            let stage = self.reconcile_stage(now, index, stage, actions);
+            self.stages.insert(index, stage);
         }
     }
 
     fn reconcile_stage(
         &mut self,
         now: Time,
-        slice: CellIndex,
+        index: CellIndex,
         mut stage: Stage,
         actions: &mut Vec<Action>,
     ) -> Stage {
-        let scene = self.snapshot.as_ref().expect("a scene was just read");
-        let seen = scene.revision;
-        let title = scene.entry(slice).cloned();
-        let claim = title.as_ref().and_then(|title| title.claim.as_ref());
-        let standing = claim.map(|claim| claim.operation);
+        let snapshot = self.snapshot.as_ref().expect("a scene was just read");
+        let seen_revision = snapshot.revision;
+        let cell_entry = snapshot.entry(index).cloned();
+        let claim = cell_entry.as_ref().and_then(|cell_entry| cell_entry.claim.as_ref());
+        let stored_operation = claim.map(|claim| claim.operation);
         if let Some(claim) = claim.filter(|claim| !stage.is_taking(claim.operation)) {
             stage.common().max_epoch = stage.common().max_epoch.max(claim.epoch);
         }
         match stage {
-            Stage::Held(mut tenure) => {
+            Stage::Held(mut ownership) => {
                 // A snapshot older than the ownership says nothing about it.
-                if seen < tenure.state.revision || standing == Some(tenure.state.claim.operation) {
-                    tenure.state.isolated = false;
-                    return Stage::Held(tenure);
+                if seen_revision < ownership.state.revision
+                    || stored_operation == Some(ownership.state.claim.operation)
+                {
+                    ownership.state.isolated = false;
+                    return Stage::Held(ownership);
                 }
-                self.ownership_lost(tenure.lose(), actions)
+                self.ownership_lost(ownership.lose(), actions)
             }
-            Stage::Yielding(tenure) => {
-                if seen < tenure.state.revision || standing == Some(tenure.state.claim.operation) {
-                    return Stage::Yielding(tenure);
+            Stage::Yielding(ownership) => {
+                if seen_revision < ownership.state.revision
+                    || stored_operation == Some(ownership.state.claim.operation)
+                {
+                    return Stage::Yielding(ownership);
                 }
-                self.ownership_lost(tenure.lose(), actions)
+                self.ownership_lost(ownership.lose(), actions)
             }
-            Stage::Taking(tenure) if tenure.state.ticket.is_none() => {
-                if standing != Some(tenure.state.claim.operation) {
-                    return Stage::Vacant(tenure.failed());
+            Stage::Taking(ownership) if ownership.state.ticket.is_none() => {
+                if stored_operation != Some(ownership.state.claim.operation) {
+                    return Stage::Vacant(ownership.failed());
                 }
-                let revision = title.map_or(0, |title| title.revision);
-                self.own_cell(now, tenure, revision, actions)
+                let revision = cell_entry.map_or(0, |cell_entry| cell_entry.revision);
+                self.own_cell(now, ownership, revision, actions)
             }
-            Stage::Releasing(tenure) if tenure.state.ticket.is_none() => {
-                if standing == Some(tenure.state.held_operation) {
-                    return Stage::Releasing(tenure);
+            Stage::Releasing(ownership) if ownership.state.ticket.is_none() => {
+                if stored_operation == Some(ownership.state.held_operation) {
+                    return Stage::Releasing(ownership);
                 }
-                self.released(tenure, actions)
+                self.released(ownership, actions)
             }
             other => other,
         }
     }
 
-    fn ownership_lost(&self, tenure: Ownership<Stopping>, actions: &mut Vec<Action>) -> Stage {
-        let cell = tenure.common.cell.clone();
-        let epoch = tenure.state.epoch;
-        let reason = format!("epoch {epoch} is over; {} was met", tenure.common.max_epoch);
+    fn ownership_lost(&self, ownership: Ownership<Stopping>, actions: &mut Vec<Action>) -> Stage {
+        let cell = ownership.common.cell.clone();
+        let epoch = ownership.state.epoch;
+        let reason = format!("epoch {epoch} is over; {} was met", ownership.common.max_epoch);
         self.log(LogEvent::CellLost, &cell, reason, actions);
         actions.push(Action::Stop { cell, epoch });
-        Stage::Stopping(tenure)
+        Stage::Stopping(ownership)
     }
 
     /// Stops a cell at once if it runs here under an epoch below `epoch`. Returns `true` if it did.
     pub(super) fn stop_below_epoch(
         &mut self,
-        slice: CellIndex,
+        index: CellIndex,
         epoch: id::Epoch,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let Some(mut stage) = self.stages.remove(&slice) else { return false };
+        let Some(mut stage) = self.stages.remove(&index) else { return false };
         stage.common().max_epoch = stage.common().max_epoch.max(epoch);
         let below = stage.active().is_some_and(|own| own < epoch);
         let stage = match stage {
-            Stage::Held(tenure) if below => self.ownership_lost(tenure.lose(), actions),
-            Stage::Yielding(tenure) if below => self.ownership_lost(tenure.lose(), actions),
+            Stage::Held(ownership) if below => self.ownership_lost(ownership.lose(), actions),
+            Stage::Yielding(ownership) if below => self.ownership_lost(ownership.lose(), actions),
             other => other,
         };
-        self.stages.insert(slice, stage);
+        self.stages.insert(index, stage);
         below
     }
 
     /// Starts to release the cells that another placer should own, and all cells during a drain.
     pub(super) fn start_releases(&mut self, now: Time, actions: &mut Vec<Action>) {
         let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
-        for slice in slices {
-            if self.should_release(now, slice) {
-                self.start_release(slice, actions);
+        for index in slices {
+            if self.should_release(now, index) {
+                self.start_release(index, actions);
             }
         }
     }
 
-    fn should_release(&mut self, now: Time, slice: CellIndex) -> bool {
+    fn should_release(&mut self, now: Time, index: CellIndex) -> bool {
         let leaving = self.own_member().is_some_and(|own| own.state == list::State::Leaving);
         let leaving = leaving && self.candidates().next().is_some();
-        let outranked = self.rank(slice) > 0;
+        let outranked = self.rank(index) > 0;
         let wait = self.settings.handover_delay;
-        let Some(Stage::Held(tenure)) = self.stages.get_mut(&slice) else { return false };
+        let Some(Stage::Held(ownership)) = self.stages.get_mut(&index) else { return false };
         if self.drain == Drain::Requested || leaving {
             return true;
         }
         if !outranked {
-            tenure.state.outranked_since = None;
+            ownership.state.outranked_since = None;
             return false;
         }
-        let since = *tenure.state.outranked_since.get_or_insert(now);
-        now >= since + handover_delay(wait, tenure)
+        let since = *ownership.state.outranked_since.get_or_insert(now);
+        now >= since + handover_delay(wait, ownership)
     }
 
     /// Resets the time since which others have ranked before this placer: while the store can't be
     /// read, no placer is known to be alive.
     pub(super) fn reset_outranked(&mut self) {
         for stage in self.stages.values_mut() {
-            if let Stage::Held(tenure) = stage {
-                tenure.state.outranked_since = None;
+            if let Stage::Held(ownership) = stage {
+                ownership.state.outranked_since = None;
             }
         }
     }
 
-    fn start_release(&mut self, slice: CellIndex, actions: &mut Vec<Action>) {
-        let Some(Stage::Held(tenure)) = self.stages.remove(&slice) else { return };
-        let cell = tenure.common.cell.clone();
-        let epoch = tenure.state.claim.epoch;
+    fn start_release(&mut self, index: CellIndex, actions: &mut Vec<Action>) {
+        let Some(Stage::Held(ownership)) = self.stages.remove(&index) else { return };
+        let cell = ownership.common.cell.clone();
+        let epoch = ownership.state.claim.epoch;
         actions.push(Action::Quiesce { cell, epoch });
-        self.stages.insert(slice, Stage::Yielding(tenure.start_yielding()));
+        self.stages.insert(index, Stage::Yielding(ownership.start_yielding()));
     }
 
     /// Logs once per cell that it is kept running without the store.
@@ -188,15 +192,15 @@
             return;
         }
         for stage in self.stages.values_mut() {
-            let Stage::Held(tenure) = stage else { continue };
-            if tenure.state.isolated {
+            let Stage::Held(ownership) = stage else { continue };
+            if ownership.state.isolated {
                 continue;
             }
-            tenure.state.isolated = true;
+            ownership.state.isolated = true;
             actions.push(Action::Note {
                 event: LogEvent::CellIsolated,
-                subject: tenure.common.cell.clone(),
-                reason: format!("epoch {} goes on", tenure.state.claim.epoch),
+                subject: ownership.common.cell.clone(),
+                reason: format!("epoch {} goes on", ownership.state.claim.epoch),
             });
         }
     }
@@ -204,11 +208,11 @@
     /// Returns the time at which a stage next has something to do, if any.
     pub(super) fn stage_due(&self, now: Time, stage: &Stage) -> Option<Time> {
         match stage {
-            Stage::Vacant(tenure) if self.can_take(now) => {
-                let since = tenure.state.free_since?;
-                Some(since + self.settings.rank_delay * self.rank(tenure.common.index) as u32)
+            Stage::Vacant(ownership) if self.can_take(now) => {
+                let since = ownership.state.free_since?;
+                Some(since + self.settings.rank_delay * self.rank(ownership.common.index) as u32)
             }
-            Stage::Held(tenure) => tenure.state.inquiry.next_due(),
+            Stage::Held(ownership) => ownership.state.inquiry.next_due(),
             _ => None,
         }
     }
@@ -220,6 +224,6 @@
     }
 }
 
-fn handover_delay(settle: Duration, tenure: &Ownership<Held>) -> Duration {
-    settle * 2u32.pow(tenure.common.handovers.min(MAX_HANDOVER_DOUBLINGS))
+fn handover_delay(settle: Duration, ownership: &Ownership<Held>) -> Duration {
+    settle * 2u32.pow(ownership.common.handovers.min(MAX_HANDOVER_DOUBLINGS))
 }
--- a/crates/tenure/src/ownership/peers.rs
+++ b/crates/tenure/src/ownership/peers.rs
@@ -19,10 +19,11 @@
             return;
         }
         for stage in self.stages.values_mut() {
-            let Stage::Held(tenure) = stage else { continue };
-            if tenure.state.inquiry.apply_list(&view) {
-                let former = tenure.state.inquiry.outcome();
-                actions.push(Action::PreviousOwners { cell: tenure.common.cell.clone(), former });
+            let Stage::Held(ownership) = stage else { continue };
+            if ownership.state.inquiry.apply_list(&view) {
+                let former = ownership.state.inquiry.outcome();
+                actions
+                    .push(Action::PreviousOwners { cell: ownership.common.cell.clone(), former });
             }
         }
         let here = |member: &&list::Member| {
@@ -40,15 +41,15 @@
         epoch: id::Epoch,
         actions: &mut Vec<Action>,
     ) {
-        let Some(slice) = self.cell_index(cell) else {
+        let Some(index) = self.cell_index(cell) else {
             actions.push(Action::Answer { call, reply: peer::Reply::Misdirected });
             return;
         };
-        self.stop_below_epoch(slice, epoch, actions);
-        let reply = match self.stages.get_mut(&slice) {
+        self.stop_below_epoch(index, epoch, actions);
+        let reply = match self.stages.get_mut(&index) {
             Some(stage) if stage.active().is_some() => peer::Reply::Misdirected,
-            Some(Stage::Stopping(tenure)) => {
-                tenure.common.pending_calls.push(call);
+            Some(Stage::Stopping(ownership)) => {
+                ownership.common.pending_calls.push(call);
                 return;
             }
             _ => peer::Reply::Released,
@@ -57,12 +58,16 @@
     }
 
     pub(super) fn query_previous_owners(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let every = self.settings.query_interval;
+        let interval = self.settings.query_interval;
         for stage in self.stages.values_mut() {
-            let Stage::Held(tenure) = stage else { continue };
-            for owner in tenure.state.inquiry.due(now, every) {
-                let cell = tenure.common.cell.clone();
-                actions.push(Action::QueryStopped { cell, epoch: tenure.state.claim.epoch, owner });
+            let Stage::Held(ownership) = stage else { continue };
+            for owner in ownership.state.inquiry.due(now, interval) {
+                let cell = ownership.common.cell.clone();
+                actions.push(Action::QueryStopped {
+                    cell,
+                    epoch: ownership.state.claim.epoch,
+                    owner,
+                });
             }
         }
     }
@@ -74,11 +79,11 @@
         owner: &Owner,
         actions: &mut Vec<Action>,
     ) {
-        let Some(slice) = self.cell_index(cell) else { return };
-        let Some(Stage::Held(tenure)) = self.stages.get_mut(&slice) else { return };
-        if tenure.state.claim.epoch == epoch && tenure.state.inquiry.confirm_stopped(owner) {
-            let former = tenure.state.inquiry.outcome();
-            actions.push(Action::PreviousOwners { cell: tenure.common.cell.clone(), former });
+        let Some(index) = self.cell_index(cell) else { return };
+        let Some(Stage::Held(ownership)) = self.stages.get_mut(&index) else { return };
+        if ownership.state.claim.epoch == epoch && ownership.state.inquiry.confirm_stopped(owner) {
+            let former = ownership.state.inquiry.outcome();
+            actions.push(Action::PreviousOwners { cell: ownership.common.cell.clone(), former });
         }
     }
 
@@ -91,8 +96,8 @@
         epoch: id::Epoch,
         actions: &mut Vec<Action>,
     ) {
-        let Some(slice) = self.cell_index(cell) else { return };
-        if self.stop_below_epoch(slice, epoch, actions) {
+        let Some(index) = self.cell_index(cell) else { return };
+        if self.stop_below_epoch(index, epoch, actions) {
             self.invalidate(now);
         }
     }
--- a/crates/tenure/src/ownership/read.rs
+++ b/crates/tenure/src/ownership/read.rs
@@ -129,9 +129,9 @@
         if self.reader.reread {
             self.reader.due = now;
         }
-        let scene = Snapshot::parse(&self.settings.domain, snapshot, &self.plan);
-        self.plan = scene.plan.clone();
-        self.snapshot = Some(scene);
+        let parsed = Snapshot::parse(&self.settings.domain, snapshot, &self.plan);
+        self.plan = parsed.plan.clone();
+        self.snapshot = Some(parsed);
         self.reconcile(now, actions);
     }
 
--- a/crates/tenure/src/ownership/release.rs
+++ b/crates/tenure/src/ownership/release.rs
@@ -20,15 +20,15 @@
 impl Manager {
     /// Handles the report that the process has stopped a cell.
     pub(super) fn quiesced(&mut self, cell: &str, epoch: id::Epoch, actions: &mut Vec<Action>) {
-        let Some(slice) = self.cell_index(cell) else { return };
-        let Some(stage) = self.stages.remove(&slice) else { return };
+        let Some(index) = self.cell_index(cell) else { return };
+        let Some(stage) = self.stages.remove(&index) else { return };
         let mut stage = match stage {
-            Stage::Yielding(tenure) if tenure.state.claim.epoch == epoch => {
+            Stage::Yielding(ownership) if ownership.state.claim.epoch == epoch => {
                 let operation = self.next_operation();
-                Stage::Releasing(tenure.quiesced(operation))
+                Stage::Releasing(ownership.quiesced(operation))
             }
-            Stage::Stopping(tenure) if tenure.state.epoch == epoch => {
-                Stage::Vacant(tenure.stopped())
+            Stage::Stopping(ownership) if ownership.state.epoch == epoch => {
+                Stage::Vacant(ownership.stopped())
             }
             other => other,
         };
@@ -37,26 +37,26 @@
                 actions.push(Action::Answer { call, reply: peer::Reply::Released });
             }
         }
-        self.stages.insert(slice, stage);
+        self.stages.insert(index, stage);
     }
 
     pub(super) fn write_releases(&mut self, actions: &mut Vec<Action>) {
         let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
-        for slice in slices {
-            let Some(Stage::Releasing(tenure)) = self.stages.get(&slice) else { continue };
-            if tenure.state.ticket.is_some() {
+        for index in slices {
+            let Some(Stage::Releasing(ownership)) = self.stages.get(&index) else { continue };
+            if ownership.state.ticket.is_some() {
                 continue;
             }
-            let txn = self.release_txn(slice, &tenure.state);
-            let ticket = self.commit(Purpose::Release(slice), txn, actions);
-            if let Some(Stage::Releasing(tenure)) = self.stages.get_mut(&slice) {
-                tenure.state.ticket = Some(ticket);
+            let txn = self.release_txn(index, &ownership.state);
+            let ticket = self.commit(Purpose::Release(index), txn, actions);
+            if let Some(Stage::Releasing(ownership)) = self.stages.get_mut(&index) {
+                ownership.state.ticket = Some(ticket);
             }
         }
     }
 
-    fn release_txn(&self, slice: CellIndex, releasing: &Releasing) -> kv::Txn {
-        let key = key::cell(&self.settings.domain, slice);
+    fn release_txn(&self, index: CellIndex, releasing: &Releasing) -> kv::Txn {
+        let key = key::cell(&self.settings.domain, index);
         let guards = vec![kv::Guard::Unchanged(key.clone(), releasing.revision)];
         let value = releasing.claim.to_bytes();
         kv::Txn { guards, changes: vec![kv::Change::Put { key, value, lease: 0 }] }
@@ -65,30 +65,30 @@
     pub(super) fn release_ended(
         &mut self,
         now: Time,
-        slice: CellIndex,
+        index: CellIndex,
         outcome: Result<kv::Verdict, kv::Error>,
         actions: &mut Vec<Action>,
     ) {
-        let Some(Stage::Releasing(mut tenure)) = self.stages.remove(&slice) else { return };
-        tenure.state.ticket = None;
+        let Some(Stage::Releasing(mut ownership)) = self.stages.remove(&index) else { return };
+        ownership.state.ticket = None;
         let stage = match outcome {
             // If the guard failed, the key is another owner's, and nothing is left to release.
-            Ok(_) => self.released(tenure, actions),
-            Err(_) => Stage::Releasing(tenure),
+            Ok(_) => self.released(ownership, actions),
+            Err(_) => Stage::Releasing(ownership),
         };
-        self.stages.insert(slice, stage);
+        self.stages.insert(index, stage);
         self.invalidate(now);
     }
 
     pub(super) fn released(
         &self,
-        tenure: Ownership<Releasing>,
+        ownership: Ownership<Releasing>,
         actions: &mut Vec<Action>,
     ) -> Stage {
-        let cell = tenure.common.cell.clone();
-        let reason = format!("epoch {}", tenure.state.claim.epoch);
+        let cell = ownership.common.cell.clone();
+        let reason = format!("epoch {}", ownership.state.claim.epoch);
         self.log(LogEvent::CellReleased, &cell, reason, actions);
-        Stage::Vacant(tenure.released())
+        Stage::Vacant(ownership.released())
     }
 
     pub(super) fn finish_drain(&mut self, actions: &mut Vec<Action>) {
--- a/crates/tenure/src/ownership/status.rs
+++ b/crates/tenure/src/ownership/status.rs
@@ -22,11 +22,11 @@
 impl Manager {
     /// Returns the status of every cell of the domain.
     pub fn cell_statuses(&self) -> impl Iterator<Item = Status> {
-        self.stages.iter().map(|(&slice, stage)| {
-            let title = self.snapshot.as_ref().and_then(|scene| scene.entry(slice));
-            let claim = title.and_then(|title| title.claim.as_ref());
+        self.stages.iter().map(|(&index, stage)| {
+            let cell_entry = self.snapshot.as_ref().and_then(|snapshot| snapshot.entry(index));
+            let claim = cell_entry.and_then(|cell_entry| cell_entry.claim.as_ref());
             Status {
-                cell: key::name(&self.settings.domain, slice),
+                cell: key::name(&self.settings.domain, index),
                 stage: stage.as_str(),
                 epoch: stage.active(),
                 owner: claim.filter(|claim| !claim.released).map(|c| c.owner.instance.clone()),
--- a/crates/tenure/src/ownership/take.rs
+++ b/crates/tenure/src/ownership/take.rs
@@ -36,10 +36,10 @@
         if self.commits.values().any(|purpose| *purpose == Purpose::Plan) || !self.may_take() {
             return;
         }
-        let (Some(view), Some(scene)) = (&self.view, &self.snapshot) else { return };
+        let (Some(view), Some(snapshot)) = (&self.view, &self.snapshot) else { return };
         let limit = self.settings.max_cell_workers;
-        let Some(plan) = scene.plan.extended(&view.members, limit) else { return };
-        let guard = self.plan_guard(scene);
+        let Some(plan) = snapshot.plan.extended(&view.members, limit) else { return };
+        let guard = self.plan_guard(snapshot);
         let key = key::plan(&self.settings.domain);
         let put = kv::Change::Put { key, value: plan.to_bytes(), lease: 0 };
         let txn = kv::Txn { guards: vec![guard], changes: vec![put] };
@@ -47,9 +47,9 @@
     }
 
     /// Returns a guard that fails if the plan has changed since it was read.
-    fn plan_guard(&self, scene: &Snapshot) -> kv::Guard {
+    fn plan_guard(&self, snapshot: &Snapshot) -> kv::Guard {
         let key = key::plan(&self.settings.domain);
-        match scene.plan_revision {
+        match snapshot.plan_revision {
             0 => kv::Guard::Missing(key),
             revision => kv::Guard::Unchanged(key, revision),
         }
@@ -84,48 +84,48 @@
             return;
         }
         let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
-        for slice in slices {
-            self.take_if_due(now, slice, actions);
+        for index in slices {
+            self.take_if_due(now, index, actions);
         }
     }
 
-    fn take_if_due(&mut self, now: Time, slice: CellIndex, actions: &mut Vec<Action>) {
-        let opening = self.vacancy(now, slice);
-        let rank = self.rank(slice) as u32;
+    fn take_if_due(&mut self, now: Time, index: CellIndex, actions: &mut Vec<Action>) {
+        let vacancy = self.vacancy(now, index);
+        let rank = self.rank(index) as u32;
         let delay = self.settings.rank_delay * rank;
-        let Some(Stage::Vacant(tenure)) = self.stages.get_mut(&slice) else { return };
-        let Some(opening) = opening else {
-            tenure.state.free_since = None;
+        let Some(Stage::Vacant(ownership)) = self.stages.get_mut(&index) else { return };
+        let Some(vacancy) = vacancy else {
+            ownership.state.free_since = None;
             return;
         };
-        let since = *tenure.state.free_since.get_or_insert(now);
+        let since = *ownership.state.free_since.get_or_insert(now);
         if now >= since + delay {
-            self.take(now, slice, opening, actions);
+            self.take(now, index, vacancy, actions);
         }
     }
 
     /// Returns the vacancy of a cell, if the cell is free.
-    fn vacancy(&self, now: Time, slice: CellIndex) -> Option<Vacancy> {
-        let scene = self.snapshot.as_ref()?;
-        let key = key::cell(&self.settings.domain, slice);
-        let Some(title) = scene.entry(slice) else {
+    fn vacancy(&self, now: Time, index: CellIndex) -> Option<Vacancy> {
+        let snapshot = self.snapshot.as_ref()?;
+        let key = key::cell(&self.settings.domain, index);
+        let Some(cell_entry) = snapshot.entry(index) else {
             let guards = vec![kv::Guard::Missing(key)];
             return Some(Vacancy { guards, epoch: 0, previous_owners: Vec::new() });
         };
         // A value that can't be decoded was written by another version; its cell is never taken.
-        let claim = title.claim.as_ref()?;
-        let mut guards = vec![kv::Guard::Unchanged(key, title.revision)];
-        let mut formers = claim.previous_owners.to_vec();
+        let claim = cell_entry.claim.as_ref()?;
+        let mut guards = vec![kv::Guard::Unchanged(key, cell_entry.revision)];
+        let mut previous_owners = claim.previous_owners.to_vec();
         if !claim.released {
-            formers.push(claim.owner.clone());
+            previous_owners.push(claim.owner.clone());
             if !claim.owner.is_same(&self.this_owner()) {
-                if scene.is_alive(&claim.owner) || self.reader.in_grace_period(now) {
+                if snapshot.is_alive(&claim.owner) || self.reader.in_grace_period(now) {
                     return None;
                 }
                 guards.push(kv::Guard::Missing(self.liveness_key(&claim.owner)));
             }
         }
-        Some(Vacancy { guards, epoch: claim.epoch, previous_owners: formers })
+        Some(Vacancy { guards, epoch: claim.epoch, previous_owners })
     }
 
     fn liveness_key(&self, owner: &Owner) -> String {
@@ -133,8 +133,8 @@
     }
 
     /// Returns the number of live placers that rank before this one for a cell.
-    pub(super) fn rank(&self, slice: CellIndex) -> usize {
-        let cell = key::name(&self.settings.domain, slice);
+    pub(super) fn rank(&self, index: CellIndex) -> usize {
+        let cell = key::name(&self.settings.domain, index);
         rank::rank(&cell, &self.settings.instance, self.candidates())
     }
 
@@ -144,63 +144,63 @@
             member.state == list::State::Live && member.instance != self.settings.instance
         });
         let alive = others.filter(|member| {
-            let scene = self.snapshot.as_ref();
-            scene.is_some_and(|scene| {
-                scene.is_incarnation_alive(&member.instance, member.incarnation)
+            let snapshot = self.snapshot.as_ref();
+            snapshot.is_some_and(|snapshot| {
+                snapshot.is_incarnation_alive(&member.instance, member.incarnation)
             })
         });
         alive.map(|member| &*member.instance)
     }
 
-    fn take(&mut self, now: Time, slice: CellIndex, opening: Vacancy, actions: &mut Vec<Action>) {
-        let Some(Stage::Vacant(tenure)) = self.stages.remove(&slice) else { return };
+    fn take(&mut self, now: Time, index: CellIndex, vacancy: Vacancy, actions: &mut Vec<Action>) {
+        let Some(Stage::Vacant(ownership)) = self.stages.remove(&index) else { return };
         let own = self.this_owner();
         let view = self.view.as_ref().expect("a placer that takes is listed");
-        let inquiry = Inquiry::open(&opening.previous_owners, &own, view, now);
-        let epoch = opening.epoch.max(tenure.common.max_epoch) + 1;
+        let inquiry = Inquiry::open(&vacancy.previous_owners, &own, view, now);
+        let epoch = vacancy.epoch.max(ownership.common.max_epoch) + 1;
         let previous_owners = inquiry.unconfirmed();
         let operation = self.next_operation();
         let claim = Claim { owner: own, epoch, operation, released: false, previous_owners };
-        let mut guards = opening.guards;
+        let mut guards = vacancy.guards;
         // The previous owner may have used a rack that an older plan doesn't assign to the cell.
-        guards.extend(self.snapshot.as_ref().map(|scene| self.plan_guard(scene)));
+        guards.extend(self.snapshot.as_ref().map(|snapshot| self.plan_guard(snapshot)));
         guards.push(kv::Guard::Present(self.liveness.key.clone()));
-        let key = key::cell(&self.settings.domain, slice);
+        let key = key::cell(&self.settings.domain, index);
         let put = kv::Change::Put { key, value: claim.to_bytes(), lease: 0 };
         let txn = kv::Txn { guards, changes: vec![put] };
-        let ticket = self.commit(Purpose::Take(slice), txn, actions);
-        let taking = tenure.take(ticket, claim, opening.previous_owners);
-        self.stages.insert(slice, Stage::Taking(taking));
+        let ticket = self.commit(Purpose::Take(index), txn, actions);
+        let taking = ownership.take(ticket, claim, vacancy.previous_owners);
+        self.stages.insert(index, Stage::Taking(taking));
     }
 
     /// Handles the outcome of the write that takes a cell.
     pub(super) fn take_ended(
         &mut self,
         now: Time,
-        slice: CellIndex,
+        index: CellIndex,
         outcome: Result<kv::Verdict, kv::Error>,
         actions: &mut Vec<Action>,
     ) {
-        let Some(Stage::Taking(mut tenure)) = self.stages.remove(&slice) else { return };
+        let Some(Stage::Taking(mut ownership)) = self.stages.remove(&index) else { return };
         let stage = match outcome {
             // An answer received after a stall or while cut off from the store may be outdated.
             Ok(verdict) if verdict.applied && self.is_answer_current(now) => {
-                self.own_cell(now, tenure, verdict.revision, actions)
+                self.own_cell(now, ownership, verdict.revision, actions)
             }
-            Ok(verdict) if !verdict.applied => Stage::Vacant(tenure.failed()),
-            Err(kv::Error::Unavailable(_)) => Stage::Vacant(tenure.failed()),
+            Ok(verdict) if !verdict.applied => Stage::Vacant(ownership.failed()),
+            Err(kv::Error::Unavailable(_)) => Stage::Vacant(ownership.failed()),
             Ok(_) | Err(_) => {
-                tenure.state.ticket = None;
+                ownership.state.ticket = None;
                 let reason = String::from("the answer to taking the cell was lost");
-                let cell = tenure.common.cell.clone();
+                let cell = ownership.common.cell.clone();
                 self.log(LogEvent::StoreUnsettled, &cell, reason, actions);
-                Stage::Taking(tenure)
+                Stage::Taking(ownership)
             }
         };
         if !matches!(stage, Stage::Held(_)) {
             self.invalidate(now);
         }
-        self.stages.insert(slice, stage);
+        self.stages.insert(index, stage);
     }
 
     /// Returns `true` if an answer just received can be acted on without another read.
@@ -212,17 +212,18 @@
     pub(super) fn own_cell(
         &mut self,
         now: Time,
-        tenure: Ownership<Taking>,
+        ownership: Ownership<Taking>,
         revision: id::Revision,
         actions: &mut Vec<Action>,
     ) -> Stage {
-        if tenure.state.claim.epoch <= tenure.common.max_epoch {
-            return Stage::Vacant(tenure.failed());
+        if ownership.state.claim.epoch <= ownership.common.max_epoch {
+            return Stage::Vacant(ownership.failed());
         }
         let view = self.view.as_ref().expect("a placer that takes is listed");
-        let inquiry = Inquiry::open(&tenure.state.previous_owners, &self.this_owner(), view, now);
+        let inquiry =
+            Inquiry::open(&ownership.state.previous_owners, &self.this_owner(), view, now);
         let former = inquiry.outcome();
-        let held = tenure.taken(revision, inquiry);
+        let held = ownership.taken(revision, inquiry);
         let cell = held.common.cell.clone();
         let epoch = held.state.claim.epoch;
         let reason = format!("epoch {epoch}, former owner {former:?}");
--- a/crates/tenure/src/plan.rs
+++ b/crates/tenure/src/plan.rs
@@ -57,12 +57,12 @@
         for &rack in missing {
             let size = sizes[rack];
             let fit = loads.iter().position(|load| load + size <= limit);
-            let slice = fit.unwrap_or(loads.len());
-            if slice == loads.len() {
+            let index = fit.unwrap_or(loads.len());
+            if index == loads.len() {
                 loads.push(0);
             }
-            loads[slice] += size;
-            plan.racks.insert(rack.clone(), slice as CellIndex);
+            loads[index] += size;
+            plan.racks.insert(rack.clone(), index as CellIndex);
         }
         Some(plan)
     }
@@ -70,8 +70,8 @@
     /// Returns the number of listed workers in each cell.
     fn loads(&self, sizes: &BTreeMap<&id::Rack, usize>) -> Vec<usize> {
         let mut loads = vec![0; self.cell_count() as usize];
-        for (rack, &slice) in &self.racks {
-            loads[slice as usize] += sizes.get(rack).copied().unwrap_or(0);
+        for (rack, &index) in &self.racks {
+            loads[index as usize] += sizes.get(rack).copied().unwrap_or(0);
         }
         loads
     }
--- a/crates/tenure/src/rank.rs
+++ b/crates/tenure/src/rank.rs
@@ -4,16 +4,16 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Returns the weight of a candidate for an item; the highest weight ranks first.
-pub fn weight(thing: &str, candidate: &str) -> u64 {
-    let mut text = String::with_capacity(thing.len() + candidate.len() + 1);
-    text.push_str(thing);
+pub fn weight(item: &str, candidate: &str) -> u64 {
+    let mut text = String::with_capacity(item.len() + candidate.len() + 1);
+    text.push_str(item);
     text.push('\0');
     text.push_str(candidate);
     xxh3_64(text.as_bytes())
 }
 
 /// Returns the number of other candidates that rank before `own`.
-pub fn rank<'a>(thing: &str, own: &str, candidates: impl Iterator<Item = &'a str>) -> usize {
-    let mine = (weight(thing, own), own);
-    candidates.filter(|&other| other != own && (weight(thing, other), other) > mine).count()
+pub fn rank<'a>(item: &str, own: &str, candidates: impl Iterator<Item = &'a str>) -> usize {
+    let own_weight = (weight(item, own), own);
+    candidates.filter(|&other| other != own && (weight(item, other), other) > own_weight).count()
 }
--- a/crates/tenure/src/seat.rs
+++ b/crates/tenure/src/seat.rs
@@ -235,7 +235,7 @@
             | (State::Claiming { lease, until, .. }, Some(entry))
                 if entry.lease == lease =>
             {
-                self.claim_succeeded(now, lease, entry.revision, until, actions);
+                self.take(now, lease, entry.revision, until, actions);
             }
             (State::Watching, None) if self.vacant => self.state = self.vacancy(now),
             (State::Vacant { .. }, _) if !self.vacant => self.state = State::Watching,
@@ -332,7 +332,7 @@
         }
         match outcome {
             Ok(verdict) if verdict.applied => {
-                self.claim_succeeded(now, lease, verdict.revision, until, actions);
+                self.take(now, lease, verdict.revision, until, actions);
             }
             Err(kv::Error::Unknown(_)) => self.state = State::Unsettled { lease, until },
             outcome => {
@@ -349,7 +349,7 @@
         }
     }
 
-    fn claim_succeeded(
+    fn take(
         &mut self,
         now: Time,
         lease: kv::LeaseId,
--- a/crates/tenure/src/snapshot.rs
+++ b/crates/tenure/src/snapshot.rs
@@ -46,24 +46,24 @@
     /// Decodes the entries below the domain's prefix. If the plan can't be decoded, `last` stays in
     /// force, since a rack must never lose its cell.
     pub fn parse(domain: &str, snapshot: &kv::Snapshot, last: &Plan) -> Snapshot {
-        let mut scene =
+        let mut parsed =
             Snapshot { revision: snapshot.revision, plan: last.clone(), ..Snapshot::default() };
         for entry in &snapshot.entries {
             match key::parse(domain, &entry.key) {
-                Some(Kind::Cell(slice)) => scene.put_entry(slice, entry),
+                Some(Kind::Cell(index)) => parsed.put_entry(index, entry),
                 Some(Kind::Alive { instance, incarnation }) => {
-                    scene.live.insert(Identity { instance: instance.into(), incarnation });
+                    parsed.live.insert(Identity { instance: instance.into(), incarnation });
                 }
-                Some(Kind::Plan) => scene.put_plan(entry),
+                Some(Kind::Plan) => parsed.put_plan(entry),
                 None => {}
             }
         }
-        scene
+        parsed
     }
 
-    fn put_entry(&mut self, slice: CellIndex, entry: &kv::Entry) {
+    fn put_entry(&mut self, index: CellIndex, entry: &kv::Entry) {
         let claim = Claim::from_bytes(&entry.value);
-        self.entries.insert(slice, Entry { claim, revision: entry.revision });
+        self.entries.insert(index, Entry { claim, revision: entry.revision });
     }
 
     fn put_plan(&mut self, entry: &kv::Entry) {
@@ -74,14 +74,15 @@
     }
 
     /// Returns the entry of a cell's key, or `None` if the key doesn't exist.
-    pub fn entry(&self, slice: CellIndex) -> Option<&Entry> {
-        self.entries.get(&slice)
+    pub fn entry(&self, index: CellIndex) -> Option<&Entry> {
+        self.entries.get(&index)
     }
 
     /// Returns `true` if the liveness key of the owner's incarnation existed.
     pub fn is_alive(&self, owner: &Owner) -> bool {
-        let life = Identity { instance: owner.instance.clone(), incarnation: owner.incarnation };
-        self.live.contains(&life)
+        let identity =
+            Identity { instance: owner.instance.clone(), incarnation: owner.incarnation };
+        self.live.contains(&identity)
     }
 
     /// Returns `true` if the liveness key of an incarnation existed.
--- a/crates/tenure/src/stage.rs
+++ b/crates/tenure/src/stage.rs
@@ -211,27 +211,27 @@
     /// Returns the data kept in all states.
     pub fn common(&mut self) -> &mut Common {
         match self {
-            Stage::Vacant(tenure) => &mut tenure.common,
-            Stage::Taking(tenure) => &mut tenure.common,
-            Stage::Held(tenure) => &mut tenure.common,
-            Stage::Yielding(tenure) => &mut tenure.common,
-            Stage::Releasing(tenure) => &mut tenure.common,
-            Stage::Stopping(tenure) => &mut tenure.common,
+            Stage::Vacant(ownership) => &mut ownership.common,
+            Stage::Taking(ownership) => &mut ownership.common,
+            Stage::Held(ownership) => &mut ownership.common,
+            Stage::Yielding(ownership) => &mut ownership.common,
+            Stage::Releasing(ownership) => &mut ownership.common,
+            Stage::Stopping(ownership) => &mut ownership.common,
         }
     }
 
     /// Returns the epoch under which this placer runs the cell, if it does.
     pub fn active(&self) -> Option<id::Epoch> {
         match self {
-            Stage::Held(tenure) => Some(tenure.state.claim.epoch),
-            Stage::Yielding(tenure) => Some(tenure.state.claim.epoch),
+            Stage::Held(ownership) => Some(ownership.state.claim.epoch),
+            Stage::Yielding(ownership) => Some(ownership.state.claim.epoch),
             _ => None,
         }
     }
 
     /// Returns `true` if the cell is being taken by the given write.
     pub fn is_taking(&self, operation: id::Operation) -> bool {
-        matches!(self, Stage::Taking(tenure) if tenure.state.claim.operation == operation)
+        matches!(self, Stage::Taking(ownership) if ownership.state.claim.operation == operation)
     }
 
     /// Returns the name of the stage in status output and scenarios.
@@ -239,7 +239,7 @@
         match self {
             Stage::Vacant(_) => "vacant",
             Stage::Taking(_) => "taking",
-            Stage::Held(tenure) if tenure.state.isolated => "isolated",
+            Stage::Held(ownership) if ownership.state.isolated => "isolated",
             Stage::Held(_) => "held",
             Stage::Yielding(_) => "yielding",
             Stage::Releasing(_) => "releasing",
--- a/crates/tenure/tests/homes.rs
+++ b/crates/tenure/tests/homes.rs
@@ -85,10 +85,10 @@
     fn open() -> World {
         let cells: Vec<id::Cell> = vec!["d/0".into(), "d/1".into()];
         let node = |cell: &id::Cell| {
-            let mut board = Directory::open(DELAY);
-            board.set_cells(cells.clone());
-            board.add_owned_cell(cell, &mut Vec::new());
-            Node { directory: board, cell: cell.clone(), jobs: BTreeMap::new() }
+            let mut directory = Directory::open(DELAY);
+            directory.set_cells(cells.clone());
+            directory.add_owned_cell(cell, &mut Vec::new());
+            Node { directory, cell: cell.clone(), jobs: BTreeMap::new() }
         };
         World {
             now: Time::ZERO,
@@ -127,16 +127,16 @@
 
     fn configure(&mut self, node: usize) {
         let mut actions = Vec::new();
-        let board = &mut self.nodes[node].directory;
+        let directory = &mut self.nodes[node].directory;
         for name in JOBS {
             let name: id::Job = name.into();
             if self.declared.contains_key(&name) {
-                board.declared(self.now, &name, &Arc::new(job::Spec::default()), &mut actions);
-            } else if board.is_declared(&name) {
-                board.undeclared(&name, &mut actions);
+                directory.declared(self.now, &name, &Arc::new(job::Spec::default()), &mut actions);
+            } else if directory.is_declared(&name) {
+                directory.undeclared(&name, &mut actions);
             }
         }
-        board.set_declared_revision(self.store.revision, &mut actions);
+        directory.set_declared_revision(self.store.revision, &mut actions);
         self.apply(node, actions);
     }
 
@@ -153,8 +153,8 @@
         for action in std::mem::take(&mut actions) {
             let Action::Claim { txn } = action else { panic!("a tick only claims") };
             let outcome = self.write(&txn, fate);
-            let board = &mut self.nodes[node].directory;
-            board.claim_ended(self.now, outcome, &txn, DELAY, &mut actions);
+            let directory = &mut self.nodes[node].directory;
+            directory.claim_ended(self.now, outcome, &txn, DELAY, &mut actions);
         }
         self.apply(node, actions);
     }
@@ -221,8 +221,8 @@
     fn check(&self) {
         for name in JOBS {
             let busy = |node: &&Node| {
-                let stay = node.jobs.get(name);
-                stay.is_some_and(|stay| !matches!(stay, JobState::Removing { .. }))
+                let state = node.jobs.get(name);
+                state.is_some_and(|state| !matches!(state, JobState::Removing { .. }))
             };
             let cells: Vec<&id::Cell> =
                 self.nodes.iter().filter(busy).map(|node| &node.cell).collect();
--- a/crates/tenure/tests/interleavings.rs
+++ b/crates/tenure/tests/interleavings.rs
@@ -51,7 +51,7 @@
 
 fn op() -> impl Strategy<Value = Op> {
     let node = 0..NAMES.len();
-    let loss = prop_oneof![Just(Fault::Applied), Just(Fault::Dropped), Just(Fault::Late)];
+    let fault = prop_oneof![Just(Fault::Applied), Just(Fault::Dropped), Just(Fault::Late)];
     prop_oneof![
         6 => (50..600u64).prop_map(Op::Pass),
         2 => Just(Op::Pass(6000)),
@@ -66,7 +66,7 @@
         1 => Just(Op::Down),
         1 => Just(Op::Up),
         1 => Just(Op::Back),
-        3 => (node.clone(), loss).prop_map(|(n, loss)| Op::Lose(n, loss)),
+        3 => (node.clone(), fault).prop_map(|(n, fault)| Op::Lose(n, fault)),
         2 => Just(Op::Land),
         1 => node.clone().prop_map(Op::Restart),
         1 => Just(Op::Relist),
@@ -82,8 +82,8 @@
 
 fn listed(world: &World) -> list::View {
     let version = world.view.version + 1;
-    let lives = world.nodes.iter().map(|(name, node)| member(name, node.incarnation, ""));
-    let mut members: Vec<list::Member> = lives.collect();
+    let placers = world.nodes.iter().map(|(name, node)| member(name, node.incarnation, ""));
+    let mut members: Vec<list::Member> = placers.collect();
     // Adds a new rack in some versions, so that the plan has to grow.
     let rack = format!("r{}", 4 + version.min(16) / 4);
     members.push(member("w7", 1, &rack));
@@ -116,7 +116,7 @@
         Op::Down => world.down = true,
         Op::Up => world.down = false,
         Op::Back => restore_store(world),
-        Op::Lose(n, loss) => world.node(NAMES[n]).fault = Some(loss),
+        Op::Lose(n, fault) => world.node(NAMES[n]).fault = Some(fault),
         Op::Land => world.apply_late_commit(),
         Op::Restart(n) => restart(world, NAMES[n]),
         Op::Relist => relist(world),
@@ -184,8 +184,8 @@
             prop_assert_eq!(owners, 1, "{} has {} owners\n{}", cell, owners, world.describe());
         }
         for node in world.nodes.values() {
-            for term in node.running.values() {
-                let former = term.former;
+            for running in node.running.values() {
+                let former = running.former;
                 prop_assert_ne!(former, cowslipchute_cell::event::Former::Unheard);
             }
         }
--- a/crates/tenure/tests/plan.rs
+++ b/crates/tenure/tests/plan.rs
@@ -48,12 +48,12 @@
         for racks in &fleets {
             let before = plan.clone();
             plan = plan.extended(&workers(racks), LIMIT).unwrap_or(plan);
-            for (rack, slice) in &before.racks {
-                prop_assert_eq!(plan.cell_index(rack), Some(*slice));
+            for (rack, index) in &before.racks {
+                prop_assert_eq!(plan.cell_index(rack), Some(*index));
             }
             for rack in racks.keys() {
-                let slice = plan.cell_index(&format!("r{rack}"));
-                prop_assert!(slice.is_some());
+                let index = plan.cell_index(&format!("r{rack}"));
+                prop_assert!(index.is_some());
             }
             prop_assert!(plan.extended(&workers(racks), LIMIT).is_none());
         }
@@ -64,8 +64,8 @@
         let plan = Plan::default().extended(&workers(&racks), LIMIT).expect("no rack is planned yet");
         let mut cells: BTreeMap<u32, Vec<usize>> = BTreeMap::new();
         for (rack, &size) in &racks {
-            let slice = plan.cell_index(&format!("r{rack}")).expect("every rack is planned");
-            cells.entry(slice).or_default().push(size);
+            let index = plan.cell_index(&format!("r{rack}")).expect("every rack is planned");
+            cells.entry(index).or_default().push(size);
         }
         prop_assert_eq!(cells.len() as u32, plan.cell_count());
         for sizes in cells.values() {
@@ -92,6 +92,7 @@
 ) {
     let address = ([127, 0, 0, 1], 1).into();
     let owner = Owner { instance: "p1".into(), incarnation: 2, address, list_version: 4 };
-    let members = listed.map(|life| member(Role::Placer, "p1", life, "")).into_iter().collect();
+    let members =
+        listed.map(|incarnation| member(Role::Placer, "p1", incarnation, "")).into_iter().collect();
     assert_eq!(has_ended(&owner, &View { version, members }), ended);
 }
--- a/crates/tenure/tests/world/mod.rs
+++ b/crates/tenure/tests/world/mod.rs
@@ -96,10 +96,10 @@
 }
 
 impl World {
-    pub fn open(rank_delay: Duration, grain: Duration) -> World {
+    pub fn open(rank_delay: Duration, tick: Duration) -> World {
         World {
             rank_delay,
-            tick: grain,
+            tick,
             now: Time::ZERO,
             store: Memory::default(),
             down: false,
@@ -115,7 +115,7 @@
 
     pub fn start(&mut self, name: &str, incarnation: id::Incarnation) {
         let port = 7000 + name.bytes().map(u16::from).sum::<u16>();
-        let keeper = Manager::open(Settings {
+        let manager = Manager::open(Settings {
             instance: name.into(),
             incarnation,
             address: ([127, 0, 0, 1], port).into(),
@@ -127,7 +127,7 @@
             query_interval: Duration::from_secs(1),
         });
         let node = Node {
-            manager: keeper,
+            manager,
             incarnation,
             inbox: VecDeque::new(),
             frozen: false,
@@ -251,8 +251,8 @@
             }
             Action::PreviousOwners { cell, former } => {
                 self.record(name, format!("learns of {cell} former {former:?}"));
-                let term = self.node(name).running.get_mut(&cell);
-                term.expect("only an owner learns of former owners").former = former;
+                let running = self.node(name).running.get_mut(&cell);
+                running.expect("only an owner learns of former owners").former = former;
             }
             Action::Quiesce { cell, epoch } | Action::Stop { cell, epoch } => {
                 self.record(name, format!("stops {cell} epoch {epoch}"));
@@ -286,8 +286,8 @@
         let before = self.store.revision;
         let lost = || Err(kv::Error::Unknown(String::from("lost")));
         let reached = self.check_store(name);
-        let loss = self.node(name).fault.take();
-        let outcome = match (reached, loss) {
+        let fault = self.node(name).fault.take();
+        let outcome = match (reached, fault) {
             (Err(error), _) => Err(error),
             (Ok(()), None) => self.store.commit(&txn).inspect(|verdict| {
                 if verdict.applied {
@@ -352,8 +352,8 @@
         if *reply != peer::Reply::Released {
             return;
         }
-        let Call { caller: asker, cell, epoch, owner } = call;
-        if let Some(node) = self.nodes.get_mut(&asker) {
+        let Call { caller, cell, epoch, owner } = call;
+        if let Some(node) = self.nodes.get_mut(&caller) {
             node.inbox.push_back(Event::StopConfirmed { cell, epoch, owner });
         }
     }
@@ -362,13 +362,17 @@
     fn check(&mut self) {
         let mut terms: Vec<(&str, &id::Cell, Running)> = Vec::new();
         for (name, node) in &self.nodes {
-            terms.extend(node.running.iter().map(|(cell, term)| (&**name, cell, *term)));
+            terms.extend(node.running.iter().map(|(cell, running)| (&**name, cell, *running)));
         }
-        for (index, (name, cell, term)) in terms.iter().enumerate() {
-            for (other, same, beside) in terms[index + 1..].iter().filter(|t| t.1 == *cell) {
+        for (index, (name, cell, running)) in terms.iter().enumerate() {
+            for (other, same, other_running) in terms[index + 1..].iter().filter(|t| t.1 == *cell) {
                 let trace = self.trace.join("\n");
-                assert_ne!(term.epoch, beside.epoch, "{name} and {other} own {same}\n{trace}");
-                let later = if term.epoch > beside.epoch { term } else { beside };
+                assert_ne!(
+                    running.epoch, other_running.epoch,
+                    "{name} and {other} own {same}\n{trace}"
+                );
+                let later =
+                    if running.epoch > other_running.epoch { running } else { other_running };
                 assert_eq!(
                     later.former,
                     Former::Unheard,
@@ -388,25 +392,29 @@
     pub fn describe(&self) -> String {
         let mut lines = Vec::new();
         for (name, node) in &self.nodes {
-            for standing in node.manager.cell_statuses().filter(|s| s.stage != "vacant") {
-                let epoch = standing.epoch.map_or(String::new(), |e| format!(" epoch {e}"));
-                lines.push(format!("{name} {} {}{epoch}", standing.cell, standing.stage));
+            for status in node.manager.cell_statuses().filter(|s| s.stage != "vacant") {
+                let epoch = status.epoch.map_or(String::new(), |e| format!(" epoch {e}"));
+                lines.push(format!("{name} {} {}{epoch}", status.cell, status.stage));
             }
         }
         for (key, entry) in &self.store.entries {
             let Some(claim) = Claim::from_bytes(&entry.value) else { continue };
             let released = if claim.released { " released" } else { "" };
-            let formers: Vec<&str> = claim.previous_owners.iter().map(|f| &*f.instance).collect();
-            let formers = match formers.is_empty() {
+            let previous_owners: Vec<&str> =
+                claim.previous_owners.iter().map(|f| &*f.instance).collect();
+            let previous_owners = match previous_owners.is_empty() {
                 true => String::new(),
-                false => format!(" after {}", formers.join(" ")),
+                false => format!(" after {}", previous_owners.join(" ")),
             };
             let owner = &claim.owner.instance;
-            lines.push(format!("store {key} {owner} epoch {}{released}{formers}", claim.epoch));
+            lines.push(format!(
+                "store {key} {owner} epoch {}{released}{previous_owners}",
+                claim.epoch
+            ));
         }
         let plan = self.store.entries.get(&key::plan(DOMAIN));
         if let Some(plan) = plan.and_then(|entry| Plan::from_bytes(&entry.value)) {
-            let racks = plan.racks.iter().map(|(rack, slice)| format!(" {rack}={slice}"));
+            let racks = plan.racks.iter().map(|(rack, index)| format!(" {rack}={index}"));
             lines.push(format!("plan{}", racks.collect::<String>()));
         }
         lines.join("\n")
--- a/crates/tenure/tests/world/store.rs
+++ b/crates/tenure/tests/world/store.rs
@@ -23,9 +23,9 @@
 impl Memory {
     /// Revokes expired leases and deletes their keys.
     pub fn expire(&mut self, now: Time) {
-        let lapsed: Vec<kv::LeaseId> =
+        let expired: Vec<kv::LeaseId> =
             self.leases.iter().filter(|(_, l)| l.expires_at <= now).map(|(&id, _)| id).collect();
-        for lease in lapsed {
+        for lease in expired {
             self.revoke(lease);
         }
     }
