--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -1,8 +1,9 @@
-//! A stand-in of the users' platform, which speaks its protocol on loopback: its store, its
-//! directory and its workers, in one process with whoever opens it.
+//! A stand-in for the users' platform, which serves its protocol on loopback: the store, the
+//! directory and the workers, all in the process that opens it.
 //!
-//! It plays the platform's part in tests, in the demo and in the soak, and checks what only it can
-//! see: that no task runs twice at once, and that nothing runs that nobody asked for.
+//! Tests, the demo and the soak run use it as their platform. It also checks guarantees that only
+//! the platform can observe: no two runs of a task are active at once, and no task runs that no
+//! client has submitted.
 
 pub mod crashes;
 pub mod evacuations;
@@ -37,14 +38,15 @@
 use store::Store;
 use worker::Worker;
 
-/// How often the workers' time passes.
-const STEP: Duration = Duration::from_millis(5);
-/// A worker that ends so soon after a start by itself looks as if it had died of it.
-const INDISTINCT: Duration = Duration::from_millis(150);
-/// How often workers refresh their entries.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+/// The interval at which workers are advanced and checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+/// A worker that crashes within this time after a start may appear to have been crashed by the
+/// started task.
+const START_WINDOW: Duration = Duration::from_millis(150);
+/// The interval at which workers refresh their entries in the directory.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What everything shares.
+/// The state of a site, shared by its servers.
 #[derive(Debug)]
 pub struct State {
     start: Instant,
@@ -52,39 +54,40 @@
     pub store: Store,
     /// The workers by machine.
     pub workers: BTreeMap<String, Worker>,
-    /// Where each machine's worker is reached, and what the directory says of it.
+    /// The address of each machine's worker, as the directory lists it.
     addresses: BTreeMap<String, SocketAddr>,
-    lives: u32,
-    /// What clients have handed in.
+    replacements: u32,
+    /// The jobs that clients have submitted.
     pub jobs: BTreeMap<JobId, Spec>,
-    /// Jobs of which a task has ever started.
+    /// Jobs of which at least one task has started.
     pub started: BTreeSet<JobId>,
-    /// Tasks of which a run has ended done.
+    /// Tasks of which a run has completed.
     pub finished: BTreeSet<TaskId>,
-    /// Tasks of which an end as done was acknowledged.
+    /// Tasks whose completion was acknowledged.
     acknowledged: BTreeSet<TaskId>,
-    /// What other writers leave among the workers' entries, by key.
+    /// Entries that other writers put among the workers' entries, by key.
     pub strays: BTreeMap<String, String>,
     /// Tasks that crash their workers.
     pub crashes: Crashes,
-    /// Workers that are down until they start again under their names.
+    /// Workers that are down, with the time at which they restart under their names.
     restarts: BTreeMap<String, Time>,
-    /// Jobs with a task whose worker ended by itself right after its start, which looks as if it had died of it.
+    /// Jobs with a task whose worker was restarted right after the task's start, so that the task
+    /// may appear to have crashed it.
     pub unlucky: BTreeSet<JobId>,
     /// Failure domains that the operator has evacuated.
     pub evacuations: Evacuations,
-    /// Promises that were broken.
+    /// Violated guarantees.
     pub broken: Vec<String>,
 }
 
 impl State {
-    /// Time since the site was opened.
+    /// Returns the time since the site was opened.
     pub fn now(&self) -> Time {
         self.start.elapsed()
     }
 
-    /// Lets the workers' time pass and checks what must hold.
-    fn pass(&mut self) {
+    /// Advances the workers to the current time and checks the guarantees.
+    fn advance(&mut self) {
         let now = self.now();
         let mut running: BTreeMap<TaskId, String> = BTreeMap::new();
         for worker in self.workers.values_mut() {
@@ -93,19 +96,21 @@
             self.finished.extend(finished.into_iter().map(|run| run.task));
             for run in worker.active.keys() {
                 if let Some(other) = running.insert(run.task, worker.name.to_string()) {
-                    let text = format!("{} runs twice, on {other} and {}", run.task, worker.name);
+                    let text =
+                        format!("{} runs twice at once, on {other} and {}", run.task, worker.name);
                     if !self.broken.contains(&text) {
                         self.broken.push(text);
                     }
                 }
             }
         }
-        self.pass_crashes(now);
-        self.pass_restarts(now);
+        self.advance_crashes(now);
+        self.advance_restarts(now);
     }
 
-    /// Crashes the workers that run a culprit for long enough, and begins the next lives of those whose time is over.
-    fn pass_crashes(&mut self, now: Time) {
+    /// Crashes the workers on which a crashing task has run for its delay, and replaces crashed
+    /// workers whose down time is over.
+    fn advance_crashes(&mut self, now: Time) {
         for (machine, worker) in &mut self.workers {
             if let Some(task) = worker.crashing(&self.crashes.culprits, now) {
                 worker.up = false;
@@ -114,12 +119,12 @@
             }
         }
         for machine in self.crashes.take_back(now) {
-            self.begin_life(&machine);
+            self.replace_worker(&machine);
         }
     }
 
-    /// Starts the workers again whose time has come.
-    fn pass_restarts(&mut self, now: Time) {
+    /// Restarts the workers whose restart is due.
+    fn advance_restarts(&mut self, now: Time) {
         let due: Vec<String> = self
             .restarts
             .iter()
@@ -134,36 +139,37 @@
             }
         }
         if !due.is_empty() {
-            self.beat();
+            self.write_entries();
         }
     }
 
-    /// A worker crashes and starts again under its name after a while, knowing nothing of before.
+    /// Crashes a worker, which restarts under its name after `down` without its earlier state.
     fn restart(&mut self, machine: &str, down: Duration) {
         let now = self.now();
         let Some(worker) = self.workers.get_mut(machine).filter(|worker| worker.up) else { return };
-        let begun = worker.active.iter().filter(|(_, active)| now < active.since + INDISTINCT);
-        self.unlucky.extend(begun.map(|(run, _)| run.task.job));
+        let recent = worker.active.iter().filter(|(_, active)| now < active.since + START_WINDOW);
+        self.unlucky.extend(recent.map(|(run, _)| run.task.job));
         worker.up = false;
         worker.active.clear();
         self.restarts.insert(machine.to_owned(), now + down);
     }
 
-    /// Another life begins on a machine.
-    fn begin_life(&mut self, machine: &str) {
-        self.lives += 1;
-        let name = format!("{machine}-{}", self.lives);
+    /// Replaces a machine's worker by a new one with a new name.
+    fn replace_worker(&mut self, machine: &str) {
+        self.replacements += 1;
+        let name = format!("{machine}-{}", self.replacements);
         let now = self.now();
         let Some(old) = self.workers.get(machine) else { return };
-        let mut life = Worker::open(&name, old.capacity, &old.rack.clone());
-        life.updated = now;
-        life.domain = old.domain.clone();
-        self.workers.insert(machine.to_owned(), life);
-        self.beat();
+        let mut replacement = Worker::open(&name, old.capacity, &old.rack.clone());
+        replacement.updated = now;
+        replacement.domain = old.domain.clone();
+        self.workers.insert(machine.to_owned(), replacement);
+        self.write_entries();
     }
 
-    /// Writes each live worker's entry, and after them what other writers leave there.
-    fn beat(&mut self) {
+    /// Writes the directory entries of all live workers, then those of other writers, and removes
+    /// all others.
+    fn write_entries(&mut self) {
         let now = self.now();
         let entries: Vec<(String, String)> = self
             .workers
@@ -205,11 +211,11 @@
     }
 }
 
-/// A running site; its servers end with the runtime.
+/// A running site. Its servers stop with the runtime.
 #[derive(Clone, Debug)]
 pub struct Site {
     state: Arc<Mutex<State>>,
-    /// Where the store is.
+    /// The address of the store.
     pub store: SocketAddr,
 }
 
@@ -217,14 +223,14 @@
 ///
 /// # Errors
 ///
-/// When no port can be had.
+/// Fails if no port can be bound.
 pub async fn open() -> io::Result<Site> {
     let state = State {
         start: Instant::now(),
         store: Store::default(),
         workers: BTreeMap::new(),
         addresses: BTreeMap::new(),
-        lives: 0,
+        replacements: 0,
         jobs: BTreeMap::new(),
         started: BTreeSet::new(),
         finished: BTreeSet::new(),
@@ -239,23 +245,23 @@
     let state = Arc::new(Mutex::new(state));
     let store = serve(store::routes(state.clone())).await?;
     let site = Site { state, store };
-    let passing = site.clone();
+    let ticking = site.clone();
     tokio::spawn(async move {
-        let mut beat = Instant::now();
+        let mut last_heartbeat = Instant::now();
         loop {
-            tokio::time::sleep(STEP).await;
-            let mut state = passing.lock();
-            state.pass();
-            if beat.elapsed() >= HEARTBEAT {
-                beat = Instant::now();
-                state.beat();
+            tokio::time::sleep(TICK_INTERVAL).await;
+            let mut state = ticking.lock();
+            state.advance();
+            if last_heartbeat.elapsed() >= HEARTBEAT_INTERVAL {
+                last_heartbeat = Instant::now();
+                state.write_entries();
             }
         }
     });
     Ok(site)
 }
 
-/// Serves routes on a free port of loopback.
+/// Serves routes on a free loopback port.
 async fn serve(routes: Route) -> io::Result<SocketAddr> {
     let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     listener.set_nonblocking(true)?;
@@ -270,16 +276,16 @@
     ///
     /// # Panics
     ///
-    /// Panics if a server of the site has.
+    /// Panics if a server of the site has panicked.
     pub fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no server of the site has failed")
+        self.state.lock().expect("no server of the site has panicked")
     }
 
     /// Adds a machine with its worker.
     ///
     /// # Errors
     ///
-    /// When no port can be had.
+    /// Fails if no port can be bound.
     pub async fn add_worker(&self, machine: &str, capacity: Amount, rack: &str) -> io::Result<()> {
         let routes = workers::routes(self.state.clone(), machine.to_owned());
         let address = serve(routes).await?;
@@ -288,7 +294,7 @@
         worker.updated = state.now();
         state.workers.insert(machine.to_owned(), worker);
         state.addresses.insert(machine.to_owned(), address);
-        state.beat();
+        state.write_entries();
         Ok(())
     }
 
@@ -298,10 +304,10 @@
         if let Some(worker) = state.workers.get_mut(machine) {
             worker.domain = domain.into();
         }
-        state.beat();
+        state.write_entries();
     }
 
-    /// The operator evacuates a failure domain.
+    /// Evacuates a failure domain, as the operator does.
     pub fn evacuate(&self, domain: &str) {
         let mut state = self.lock();
         let now = state.now();
@@ -309,36 +315,37 @@
         state.store.put(&format!("op/evacuate/{domain}"), b"{}".to_vec(), 0);
     }
 
-    /// The operator restores an evacuated failure domain.
+    /// Restores an evacuated failure domain, as the operator does.
     pub fn restore(&self, domain: &str) {
         let mut state = self.lock();
         state.evacuations.restore(domain);
         state.store.remove(&format!("op/evacuate/{domain}"));
     }
 
-    /// Where a machine's worker is reached.
+    /// Returns the address of a machine's worker.
     pub fn address(&self, machine: &str) -> Option<SocketAddr> {
         self.lock().addresses.get(machine).copied()
     }
 
-    /// Lets the directory name another address for a machine's worker: that of a proxy.
+    /// Sets the address that the directory lists for a machine's worker, for example that of a
+    /// proxy.
     pub fn name_address(&self, machine: &str, address: SocketAddr) {
         let mut state = self.lock();
         state.addresses.insert(machine.to_owned(), address);
-        state.beat();
+        state.write_entries();
     }
 
-    /// Ends a worker's life; another one begins on its machine.
+    /// Replaces a machine's worker by a new one with a new name.
     pub fn rebirth(&self, machine: &str) {
-        self.lock().begin_life(machine);
+        self.lock().replace_worker(machine);
     }
 
-    /// Lets a worker crash and start again under its name after a while.
+    /// Crashes a worker, which restarts under its name after `down`.
     pub fn restart(&self, machine: &str, down: Duration) {
         self.lock().restart(machine, down);
     }
 
-    /// Writes the operator's configuration with one queue below `/q/` and one below `/low/`.
+    /// Writes the operator's configuration, with one queue at `/q/` and one at `/low/`.
     pub fn configure(&self, version: u64, max_attempts: u32) {
         let route = |name: &str, prefix: &str, priority: u8| {
             json!({
@@ -359,7 +366,7 @@
         self.lock().store.put("op/config", config.to_string().into_bytes(), 0);
     }
 
-    /// Renders the settings file of one of our processes.
+    /// Returns the text of a settings file for one of our processes.
     pub fn settings(
         &self,
         name: &str,
--- a/crates/standin/src/site/crashes.rs
+++ b/crates/standin/src/site/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash the workers which start them, and what has come of it.
+//! Crashing tasks, which crash each worker that runs them, and their effects.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -9,59 +9,62 @@
 use cowslipchute_ports::executor::Run;
 use cowslipchute_ports::job::TaskId;
 
-/// How long a worker that has crashed is away.
-pub const DOWN: Duration = Duration::from_millis(2700);
-/// Workers that may crash under a task until it should be given up.
-const CRASHES: u32 = 3;
-/// Starts of such a task that break the promise.
-const STARTS_MORE: usize = 3;
+/// The time for which a crashed worker is down.
+pub const DOWN_TIME: Duration = Duration::from_millis(2700);
+/// Number of workers that a task may crash before the scheduler must give it up.
+const MAX_CRASHES: u32 = 3;
+/// Number of later starts of such a task that violate the guarantee.
+const VIOLATING_STARTS: usize = 3;
 
-/// Which tasks crash workers, which workers are down for it, and how often.
+/// The crashing tasks, the workers that they have crashed, and their counts.
 #[derive(Clone, Debug, Default)]
 pub struct Crashes {
-    /// How long after its start each such task crashes its worker.
+    /// The delay between the start of each crashing task and the crash of its worker.
     pub culprits: BTreeMap<TaskId, Duration>,
-    /// How many workers each has crashed.
-    pub counts: BTreeMap<TaskId, u32>,
-    /// The runs of each that were started after it should have been given up.
-    more: BTreeMap<TaskId, BTreeSet<id::Attempt>>,
-    /// Machines that are down, and when they are back.
-    back: BTreeMap<String, Time>,
+    /// The number of workers that each has crashed.
+    pub crash_counts: BTreeMap<TaskId, u32>,
+    /// The runs of each that were started after it had to be given up.
+    excess_starts: BTreeMap<TaskId, BTreeSet<id::Attempt>>,
+    /// The machines that are down, with the time at which they return.
+    returns: BTreeMap<String, Time>,
 }
 
 impl Crashes {
-    /// A machine has crashed under a task.
+    /// Records that a task has crashed a machine.
     pub fn crash(&mut self, machine: &str, task: TaskId, now: Time) {
-        *self.counts.entry(task).or_insert(0) += 1;
-        self.back.insert(machine.to_owned(), now + DOWN);
+        *self.crash_counts.entry(task).or_insert(0) += 1;
+        self.returns.insert(machine.to_owned(), now + DOWN_TIME);
     }
 
-    /// Returns the machines that are back by now, once.
+    /// Removes and returns the machines that have returned by now.
     pub fn take_back(&mut self, now: Time) -> Vec<String> {
-        let back = self.back.iter().filter(|(_, at)| **at <= now);
-        let back: Vec<String> = back.map(|(machine, _)| machine.clone()).collect();
-        for machine in &back {
-            self.back.remove(machine);
+        let returned = self.returns.iter().filter(|(_, at)| **at <= now);
+        let returned: Vec<String> = returned.map(|(machine, _)| machine.clone()).collect();
+        for machine in &returned {
+            self.returns.remove(machine);
         }
-        back
+        returned
     }
 
-    /// A run is started, maybe once more; tells what is wrong if its task should have been given up long before.
+    /// Records a start, which may be a repeated one. Returns the violation if the task had to be
+    /// given up long before.
     pub fn start(&mut self, run: Run) -> Option<String> {
         let task = run.task;
-        if self.counts.get(&task).is_none_or(|&count| count < CRASHES) {
+        if self.crash_counts.get(&task).is_none_or(|&count| count < MAX_CRASHES) {
             return None;
         }
-        let more = self.more.entry(task).or_default();
-        more.insert(run.attempt);
-        (more.len() >= STARTS_MORE).then(|| {
-            let times = more.len();
-            format!("{task} is started {times} times more after {CRASHES} workers crashed under it")
+        let excess = self.excess_starts.entry(task).or_default();
+        excess.insert(run.attempt);
+        (excess.len() >= VIOLATING_STARTS).then(|| {
+            let times = excess.len();
+            format!(
+                "{task} was started {times} more times after it had crashed {MAX_CRASHES} workers"
+            )
         })
     }
 
-    /// The most workers that a task has crashed.
+    /// Returns the highest number of workers that one task has crashed.
     pub fn most(&self) -> u32 {
-        self.counts.values().copied().max().unwrap_or(0)
+        self.crash_counts.values().copied().max().unwrap_or(0)
     }
 }
--- a/crates/standin/src/site/evacuations.rs
+++ b/crates/standin/src/site/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuated failure domains, and what was started there all the same.
+//! Evacuated failure domains, and the runs that were started there nevertheless.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,15 +14,16 @@
     pub run: Run,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// How long the domain had been evacuated.
+    /// The time for which the domain had been evacuated.
     pub after: Duration,
 }
 
-/// What the operator has evacuated, since when, and what was started there.
+/// The evacuated failure domains, the times of their evacuation, and the starts there.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     since: BTreeMap<id::Domain, Time>,
-    /// Starts there that nobody has taken yet. Whether one is allowed depends on what else went on.
+    /// Starts there that the test hasn't taken yet. Whether a start is allowed depends on other
+    /// events, so the test decides.
     pub intrusions: Vec<Intrusion>,
 }
 
@@ -35,7 +36,7 @@
         self.since.remove(domain);
     }
 
-    /// A run has begun in a failure domain.
+    /// Records the start of a run in a failure domain.
     pub(super) fn start(&mut self, run: Run, domain: &id::Domain, now: Time) {
         let Some(&since) = self.since.get(domain) else { return };
         let after = now.saturating_sub(since);
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -1,4 +1,4 @@
-//! The site's store: keys with revisions, transactions, leases and watches.
+//! The site's store, with revisions, transactions, leases and watches.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,10 +29,10 @@
 
 type Shared = Arc<Mutex<State>>;
 
-/// How often a waiting watch looks again.
-const LOOK: Duration = Duration::from_millis(4);
-/// Events that are kept for watches.
-const HISTORY: usize = 20_000;
+/// The interval at which a waiting watch checks for changes.
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// Changes kept for watches.
+const MAX_HISTORY: usize = 20_000;
 
 #[derive(Clone, Debug)]
 struct Item {
@@ -42,7 +42,7 @@
     lease: i64,
 }
 
-/// One change, as watches tell it.
+/// One change, as reported to watches.
 #[derive(Clone, Debug)]
 struct Change {
     key: String,
@@ -50,15 +50,15 @@
     item: Option<Item>,
 }
 
-/// How the store answers now.
+/// The way in which the store responds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mood {
-    /// As it should.
+    /// It responds normally.
     #[default]
     Well,
-    /// 503 to everything.
+    /// It responds to every call with status 503.
     Busy,
-    /// It does what it is asked and answers nothing.
+    /// It carries out every call and never responds.
     Silent,
 }
 
@@ -68,13 +68,13 @@
     items: BTreeMap<String, Item>,
     revision: u64,
     changes: Vec<Change>,
-    /// The oldest revision from which watches can go on.
+    /// The oldest revision from which watches can resume.
     compacted: u64,
     leases: BTreeMap<i64, (Instant, Duration)>,
     last_lease: i64,
-    /// How it answers.
+    /// The way in which it responds.
     pub mood: Mood,
-    /// How long each answer takes.
+    /// The delay of each response.
     pub delay: Duration,
     /// Calls so far.
     pub calls: u64,
@@ -84,64 +84,64 @@
     /// Writes a key.
     pub fn put(&mut self, key: &str, value: Vec<u8>, lease: i64) {
         self.revision += 1;
-        self.put_now(key, value, lease);
+        self.put_at_revision(key, value, lease);
     }
 
-    /// Writes a key as part of the revision that has just begun.
-    fn put_now(&mut self, key: &str, value: Vec<u8>, lease: i64) {
+    /// Writes a key in the current revision.
+    fn put_at_revision(&mut self, key: &str, value: Vec<u8>, lease: i64) {
         let revision = self.revision;
         let created = self.items.get(key).map_or(revision, |item| item.created);
         let item = Item { value, revision, created, lease };
         self.items.insert(key.to_owned(), item.clone());
         self.changes.push(Change { key: key.to_owned(), revision, item: Some(item) });
-        self.forget();
+        self.trim_history();
     }
 
     /// Removes a key.
     pub fn remove(&mut self, key: &str) {
         self.revision += 1;
-        self.remove_now(key);
+        self.remove_at_revision(key);
     }
 
-    /// Removes a key as part of the revision that has just begun.
-    fn remove_now(&mut self, key: &str) {
+    /// Removes a key in the current revision.
+    fn remove_at_revision(&mut self, key: &str) {
         if self.items.remove(key).is_some() {
             let revision = self.revision;
             self.changes.push(Change { key: key.to_owned(), revision, item: None });
         }
     }
 
-    fn forget(&mut self) {
-        if self.changes.len() > HISTORY {
+    fn trim_history(&mut self) {
+        if self.changes.len() > MAX_HISTORY {
             self.compact();
         }
     }
 
-    /// Drops the history: watches from earlier revisions have to begin anew.
+    /// Drops the history. Watches from earlier revisions have to start again.
     pub fn compact(&mut self) {
         self.compacted = self.revision;
         self.changes.clear();
     }
 
-    /// Lists the keys below a prefix.
+    /// Returns the keys with a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         self.items.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Reads a key.
+    /// Returns the value of a key.
     pub fn value(&self, key: &str) -> Option<&[u8]> {
         self.items.get(key).map(|item| item.value.as_slice())
     }
 
-    /// Ends every lease now, as an outage may.
+    /// Expires every lease now, as an outage may.
     pub fn lapse(&mut self) {
         let all: Vec<i64> = self.leases.keys().copied().collect();
         for lease in all {
-            self.end(lease);
+            self.remove_lease(lease);
         }
     }
 
-    fn end(&mut self, lease: i64) {
+    fn remove_lease(&mut self, lease: i64) {
         self.leases.remove(&lease);
         let bound: Vec<String> = self
             .items
@@ -154,15 +154,15 @@
         }
     }
 
-    fn expire(&mut self) {
-        let gone: Vec<i64> = self
+    fn expire_leases(&mut self) {
+        let expired: Vec<i64> = self
             .leases
             .iter()
             .filter(|(_, (at, ttl))| at.elapsed() > *ttl)
             .map(|(lease, _)| *lease)
             .collect();
-        for lease in gone {
-            self.end(lease);
+        for lease in expired {
+            self.remove_lease(lease);
         }
     }
 }
@@ -178,35 +178,35 @@
     Response::builder().status(status).content_type("application/json").body(body.to_string())
 }
 
-/// The store's paths.
+/// Returns the store's routes.
 pub(super) fn routes(state: Shared) -> Route {
     let routes = Route::new()
         .at("/v1/kv-key", get(read_key))
         .at("/v1/kv-range", get(read_range))
         .at("/v1/kv-watch", get(watch_prefix))
-        .at("/v1/kv-txn", post(decide))
+        .at("/v1/kv-txn", post(commit_txn))
         .at("/v1/kv-lease", post(grant_lease))
         .at("/v1/kv-keep/:id", post(keep_lease))
         .at("/v1/kv-lease-end/:id", delete(end_lease));
-    let passed = state.clone();
+    let shared = state.clone();
     let guarded = routes.data(state).around(move |routes, request| {
-        let state = passed.clone();
+        let state = shared.clone();
         async move {
             let (mood, delay) = {
-                let mut state = state.lock().expect("no server of the site has failed");
+                let mut state = state.lock().expect("no server of the site has panicked");
                 state.store.calls += 1;
-                state.store.expire();
+                state.store.expire_leases();
                 (state.store.mood, state.store.delay)
             };
             tokio::time::sleep(delay).await;
             if mood == Mood::Busy {
                 return Ok(reply(StatusCode::SERVICE_UNAVAILABLE, &json!({})));
             }
-            let answer = routes.call(request).await?;
+            let response = routes.call(request).await?;
             if mood == Mood::Silent {
                 std::future::pending::<()>().await;
             }
-            Ok(poem::IntoResponse::into_response(answer))
+            Ok(poem::IntoResponse::into_response(response))
         }
     });
     Route::new().nest("/", guarded)
@@ -219,7 +219,7 @@
 
 #[handler]
 fn read_key(Query(query): Query<Key>, state: Data<&Shared>) -> Response {
-    let state = state.lock().expect("no server of the site has failed");
+    let state = state.lock().expect("no server of the site has panicked");
     match state.store.items.get(&query.key) {
         Some(item) => {
             let mut body = render(&query.key, item);
@@ -239,16 +239,16 @@
 
 #[handler]
 fn read_range(Query(query): Query<Range>, state: Data<&Shared>) -> Response {
-    /// Items of one page.
-    const PAGE: usize = 50;
-    let state = state.lock().expect("no server of the site has failed");
+    /// Items on one page.
+    const PAGE_SIZE: usize = 50;
+    let state = state.lock().expect("no server of the site has panicked");
     let mut found = state
         .store
         .items
         .range(query.after.clone()..)
         .filter(|(key, _)| key.starts_with(&query.prefix) && **key > query.after);
     let items: Vec<Value> =
-        found.by_ref().take(PAGE).map(|(key, item)| render(key, item)).collect();
+        found.by_ref().take(PAGE_SIZE).map(|(key, item)| render(key, item)).collect();
     let more = found.next().is_some();
     let at = state.store.revision;
     reply(StatusCode::OK, &json!({ "items": items, "has-more": more, "at": at }))
@@ -267,7 +267,7 @@
     let until = Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
         {
-            let state = state.lock().expect("no server of the site has failed");
+            let state = state.lock().expect("no server of the site has panicked");
             if query.after < state.store.compacted {
                 return reply(StatusCode::GONE, &json!({}));
             }
@@ -290,7 +290,7 @@
                 return reply(StatusCode::OK, &json!({ "events": events, "at": at }));
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -321,16 +321,17 @@
 }
 
 #[handler]
-fn decide(Json(txn): Json<Txn>, state: Data<&Shared>) -> Response {
-    /// The most entries of a transaction.
-    const ENTRIES: usize = 32;
-    let mut state = state.lock().expect("no server of the site has failed");
+fn commit_txn(Json(txn): Json<Txn>, state: Data<&Shared>) -> Response {
+    /// Entries allowed in one transaction.
+    const MAX_ENTRIES: usize = 32;
+    let mut state = state.lock().expect("no server of the site has panicked");
     let store = &mut state.store;
-    if txn.expected_revision.len() + txn.set_keys.len() + txn.remove.len() > ENTRIES {
+    if txn.expected_revision.len() + txn.set_keys.len() + txn.remove.len() > MAX_ENTRIES {
         return reply(StatusCode::BAD_REQUEST, &json!({ "error": "too many entries" }));
     }
-    let of = |store: &Store, key: &str| store.items.get(key).map_or(0, |item| item.revision);
-    if txn.expected_revision.iter().any(|row| of(store, &row.key) != row.revision) {
+    let revision_of =
+        |store: &Store, key: &str| store.items.get(key).map_or(0, |item| item.revision);
+    if txn.expected_revision.iter().any(|row| revision_of(store, &row.key) != row.revision) {
         let items: Vec<Value> = txn
             .expected_revision
             .iter()
@@ -341,8 +342,8 @@
             .collect();
         return reply(StatusCode::PRECONDITION_FAILED, &json!({ "items": items }));
     }
-    let known = |lease: i64| lease == 0 || store.leases.contains_key(&lease);
-    if !txn.set_keys.iter().all(|put| known(put.lease_id)) {
+    let is_known = |lease: i64| lease == 0 || store.leases.contains_key(&lease);
+    if !txn.set_keys.iter().all(|put| is_known(put.lease_id)) {
         return reply(StatusCode::NOT_FOUND, &json!({}));
     }
     let decoded: Result<Vec<_>, _> = txn
@@ -355,10 +356,10 @@
     };
     store.revision += 1;
     for (put, value) in decoded {
-        store.put_now(&put.key, value, put.lease_id);
+        store.put_at_revision(&put.key, value, put.lease_id);
     }
     for key in txn.remove {
-        store.remove_now(&key);
+        store.remove_at_revision(&key);
     }
     let revision = store.revision;
     reply(StatusCode::OK, &json!({ "revision": revision }))
@@ -372,7 +373,7 @@
 
 #[handler]
 fn grant_lease(Json(ttl): Json<Ttl>, state: Data<&Shared>) -> Response {
-    let mut state = state.lock().expect("no server of the site has failed");
+    let mut state = state.lock().expect("no server of the site has panicked");
     state.store.last_lease += 1;
     let id = state.store.last_lease;
     let ttl = Duration::from_millis(ttl.ttl_ms);
@@ -382,7 +383,7 @@
 
 #[handler]
 fn keep_lease(Path(id): Path<i64>, state: Data<&Shared>) -> Response {
-    let mut state = state.lock().expect("no server of the site has failed");
+    let mut state = state.lock().expect("no server of the site has panicked");
     match state.store.leases.get_mut(&id) {
         Some((at, ttl)) => {
             *at = Instant::now();
@@ -394,7 +395,7 @@
 
 #[handler]
 fn end_lease(Path(id): Path<i64>, state: Data<&Shared>) -> Response {
-    let mut state = state.lock().expect("no server of the site has failed");
-    state.store.end(id);
+    let mut state = state.lock().expect("no server of the site has panicked");
+    state.store.remove_lease(id);
     reply(StatusCode::OK, &json!({}))
 }
--- a/crates/standin/src/site/worker.rs
+++ b/crates/standin/src/site/worker.rs
@@ -1,5 +1,5 @@
-//! A worker of the users' platform: runs, ends, a deadline, an epoch, a clock of its own. In any
-//! time that it is told, so that scenarios play it in virtual time.
+//! A worker of the users' platform, with its runs, their ends, its lease deadline, its epoch and
+//! its own clock. The caller passes the time, so that scenarios can use virtual time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -23,108 +23,109 @@
 
 use crate::site::serving::Serving;
 
-/// How long a gang's member waits for the others.
-pub const GANG_TIME: Duration = Duration::from_millis(3000);
-/// How long a stop takes.
+/// The time for which a task waits for the other members of its gang.
+pub const GANG_TIMEOUT: Duration = Duration::from_millis(3000);
+/// The time that a run takes to stop.
 const STOP_TIME: Duration = Duration::from_millis(400);
-/// Longest deadline that is taken.
-const MAX_HOLD: Duration = Duration::from_secs(10);
-/// What the worker's clock shows at the world's beginning.
+/// The maximum time from now to an accepted lease deadline.
+const MAX_LEASE: Duration = Duration::from_secs(10);
+/// The reading of the clock of a worker of the initial incarnation at time zero.
 const CLOCK_START: Stamp = 400_000;
-/// Failure domain of workers for which none is given.
+/// The failure domain of workers for which none is set.
 pub const FIRST_DOMAIN: &str = "d1";
-/// When the workers of a world's beginning were started.
-const BORN: id::Incarnation = 1_780_000_000_000;
+/// The start time of workers of the initial incarnation, in Unix milliseconds.
+const INITIAL_START_MS: id::Incarnation = 1_780_000_000_000;
 
-/// A run in progress.
+/// An active run.
 #[derive(Clone, Debug)]
 pub struct Active {
-    /// What its step asks for.
+    /// The specification of its step.
     pub step: Step,
-    /// When it began.
+    /// The time at which it started.
     pub since: Time,
-    /// Work done before it began, from its checkpoint.
+    /// The work done before its start, from its checkpoint.
     pub before: Duration,
-    /// All the work that it has.
+    /// Its total work.
     pub work: Duration,
-    /// Share of its speed, in percent.
+    /// Its speed limit, in percent of full speed.
     pub pace: u8,
-    /// Work done so far at the paces it had.
+    /// The work done since its start, at the speed limits that it had.
     pub done: Duration,
-    /// When it will have ended, and how, once it was stopped or its deadline has passed. Until then it
-    /// works on and is listed neither as running nor as ended.
+    /// The time and kind of its end, once it was stopped or its lease has expired. Until then it
+    /// continues to work and is listed neither as running nor as ended.
     pub ending: Option<(Time, How)>,
-    /// Whether it waits for the rest of its gang.
+    /// Whether it waits for the other members of its gang.
     pub alone: bool,
 }
 
-/// One incarnation of a worker.
+/// A worker in one incarnation.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Its name, which it keeps when it starts again.
+    /// Its name, which it keeps after a restart.
     pub name: id::Instance,
-    /// Unix milliseconds of its start.
+    /// Its start time, in Unix milliseconds.
     pub born: id::Incarnation,
-    /// Whether it tells that.
+    /// Whether it reports its start time.
     pub tells_start: bool,
-    /// When it started, in the world's time.
-    begun: Time,
-    /// All that it has.
+    /// Its start time, in the caller's time.
+    started_at: Time,
+    /// Its capacity.
     pub capacity: Amount,
     /// Its rack.
     pub rack: id::Rack,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// Whether it lives.
+    /// Whether it is running.
     pub up: bool,
-    /// Whether the directory holds it.
+    /// Whether the directory lists it.
     pub listed: bool,
-    /// Whether orders and answers pass.
+    /// Whether the network drops its commands and responses.
     pub cut: bool,
-    /// Whether it is about to leave.
+    /// Whether it is draining.
     pub draining: bool,
-    /// It refuses what doesn't fit.
+    /// Whether it refuses starts that exceed its capacity.
     pub guards: bool,
-    /// It fails all that it starts.
+    /// Whether it fails every run.
     pub fails: bool,
-    /// What runs there makes no progress.
+    /// Whether its runs make no progress.
     pub hangs: bool,
-    /// Work takes this many times as long.
+    /// The factor by which work takes longer.
     pub slow: u32,
-    /// How its serving tasks respond.
+    /// The load and latency of its latency-critical tasks.
     pub serving: Serving,
-    /// The next so many answers get lost, after the order was carried out.
+    /// The number of next commands whose responses are lost after they were carried out.
     pub lose: u32,
-    /// The next so many orders are left without an answer and carried out this much later.
+    /// The number of next commands that get no response, and the delay after which they are carried
+    /// out.
     pub late: (u32, Duration),
-    /// The same of holds.
+    /// The same for heartbeats.
     pub late_holds: (u32, Duration),
     /// The highest epoch that it has seen.
     pub epoch: id::Epoch,
-    /// Everything is killed when its clock passes this.
+    /// The lease deadline. All runs are killed once its clock has passed it.
     pub deadline: Stamp,
-    /// What runs.
+    /// The active runs.
     pub active: BTreeMap<Run, Active>,
-    /// Ends that nobody has acknowledged.
+    /// The ends that haven't been acknowledged.
     pub ended: Vec<Ended>,
-    /// Number of the next end.
-    pub next_end: u64,
-    /// The highest run of each task that has ended or was stopped here.
+    /// The number of the next end.
+    pub next_end_number: u64,
+    /// The highest attempt of each task that has ended or was stopped here.
     pub highest: BTreeMap<TaskId, id::Attempt>,
-    /// Runs that ended done, for the world's checks.
+    /// The completed runs, for the checks of tests.
     pub finished: BTreeSet<Run>,
-    /// Up to when time has passed here.
+    /// The time to which the worker was last advanced.
     pub updated: Time,
 }
 
 impl Worker {
-    /// Begins the first incarnation.
+    /// Returns a worker in its initial incarnation.
     pub fn open(name: &str, capacity: Amount, rack: &str) -> Worker {
         Worker {
             name: name.into(),
-            born: BORN,
+            born: INITIAL_START_MS,
             tells_start: true,
-            begun: Time::ZERO,
+            started_at: Time::ZERO,
             capacity,
             rack: rack.into(),
             domain: FIRST_DOMAIN.into(),
@@ -144,19 +145,19 @@
             deadline: 0,
             active: BTreeMap::new(),
             ended: Vec::new(),
-            next_end: 1,
+            next_end_number: 1,
             highest: BTreeMap::new(),
             finished: BTreeSet::new(),
             updated: Time::ZERO,
         }
     }
 
-    /// Begins the next incarnation: it holds and knows nothing of before, and its clock starts anew.
+    /// Returns the next incarnation, which has no state of this one and whose clock starts at zero.
     #[must_use]
     pub fn restarted(&self, now: Time) -> Worker {
         Worker {
-            born: BORN + now.as_millis() as id::Incarnation,
-            begun: now,
+            born: INITIAL_START_MS + now.as_millis() as id::Incarnation,
+            started_at: now,
             tells_start: self.tells_start,
             guards: self.guards,
             cut: self.cut,
@@ -167,16 +168,16 @@
         }
     }
 
-    /// What it says of its start.
+    /// Returns its start time as it reports it.
     pub fn told_start(&self) -> Option<id::Incarnation> {
         self.tells_start.then_some(self.born)
     }
 
-    /// The worker's clock runs two percent slow.
+    /// Returns the reading of the worker's clock, which runs 2 percent slow.
     pub fn clock(&self, now: Time) -> Stamp {
-        let since = now.saturating_sub(self.begun).mul_f64(0.98).as_millis() as Stamp;
-        // Only a worker of the world's beginning has been up for longer than the world.
-        if self.begun.is_zero() { CLOCK_START + since } else { since }
+        let since = now.saturating_sub(self.started_at).mul_f64(0.98).as_millis() as Stamp;
+        // Only the initial incarnation was started before time zero.
+        if self.started_at.is_zero() { CLOCK_START + since } else { since }
     }
 
     fn end(&mut self, run: Run, how: How) {
@@ -189,29 +190,29 @@
         let total = active.before + active.done;
         let checkpoint = (active.step.checkpointing && !total.is_zero())
             .then(|| format!("{}:{}", run.task, total.as_millis()).into());
-        self.ended.push(Ended { number: self.next_end, run, how, checkpoint });
-        self.next_end += 1;
+        self.ended.push(Ended { number: self.next_end_number, run, how, checkpoint });
+        self.next_end_number += 1;
     }
 
-    /// Lets time pass.
+    /// Advances the worker to a time.
     pub fn advance(&mut self, now: Time) {
-        let passed = now.saturating_sub(self.updated);
+        let elapsed = now.saturating_sub(self.updated);
         self.updated = now;
         if !self.up {
             return;
         }
-        self.serve(now, passed);
-        let lapsed = self.clock(now) > self.deadline;
+        self.advance_serving(now, elapsed);
+        let expired = self.clock(now) > self.deadline;
         let runs: Vec<Run> = self.active.keys().copied().collect();
         for run in runs {
             let (fails, hangs, slow) = (self.fails, self.hangs, self.slow);
             let Some(active) = self.active.get_mut(&run) else { continue };
             if !hangs && !active.alone {
-                active.done += passed * u32::from(active.pace) / 100 / slow;
+                active.done += elapsed * u32::from(active.pace) / 100 / slow;
             }
             let done = active.before + active.done >= active.work && !active.step.long_running;
-            let late = active.alone && now >= active.since + GANG_TIME;
-            if lapsed {
+            let gang_timed_out = active.alone && now >= active.since + GANG_TIMEOUT;
+            if expired {
                 active.ending.get_or_insert((now + STOP_TIME, How::Lapsed));
             }
             let ending = active.ending;
@@ -221,7 +222,7 @@
                 }
             } else if fails {
                 self.end(run, How::Failed);
-            } else if late {
+            } else if gang_timed_out {
                 self.end(run, How::Alone);
             } else if done {
                 self.end(run, How::Done);
@@ -239,28 +240,28 @@
         })
     }
 
-    fn no(&self, refusal: Refusal, now: Time) -> Failure {
+    fn refused(&self, refusal: Refusal, now: Time) -> Failure {
         Failure::Refused(refusal, Some(self.clock(now)))
     }
 
     fn admit(&mut self, epoch: id::Epoch, now: Time) -> Result<(), Failure> {
         if epoch < self.epoch {
-            return Err(self.no(Refusal::Fenced, now));
+            return Err(self.refused(Refusal::Fenced, now));
         }
         self.epoch = epoch;
         Ok(())
     }
 
     fn extend(&mut self, deadline: Stamp, now: Time) {
-        let most = self.clock(now) + MAX_HOLD.as_millis() as Stamp;
-        self.deadline = self.deadline.max(deadline.min(most));
+        let limit = self.clock(now) + MAX_LEASE.as_millis() as Stamp;
+        self.deadline = self.deadline.max(deadline.min(limit));
     }
 
     /// Starts a run.
     ///
     /// # Errors
     ///
-    /// Why it was not started.
+    /// Returns the reason why the run was not started.
     pub fn start(
         &mut self,
         epoch: id::Epoch,
@@ -274,10 +275,10 @@
             return Ok(self.clock(now));
         }
         if self.highest.get(&start.run.task).is_some_and(|&highest| start.run.attempt <= highest) {
-            return Err(self.no(Refusal::Old, now));
+            return Err(self.refused(Refusal::Old, now));
         }
         if start.deadline < self.clock(now) {
-            return Err(self.no(Refusal::Late, now));
+            return Err(self.refused(Refusal::Late, now));
         }
         self.extend(start.deadline, now);
         let mut demand = step.demand;
@@ -285,7 +286,7 @@
             demand.cpu_milli = 0;
         }
         if self.guards && !self.reserved().plus(demand).fits(self.capacity) {
-            return Err(self.no(Refusal::Room, now));
+            return Err(self.refused(Refusal::Room, now));
         }
         let before = start.checkpoint.as_ref().and_then(|text| text.rsplit(':').next());
         let before = before.and_then(|text| text.parse().ok()).map(Duration::from_millis);
@@ -303,11 +304,11 @@
         Ok(self.clock(now))
     }
 
-    /// Stops a run, or keeps it from ever starting.
+    /// Stops a run, or refuses its start from now on if it isn't active.
     ///
     /// # Errors
     ///
-    /// When the epoch is too low.
+    /// Fails if the epoch is too low.
     pub fn stop(&mut self, epoch: id::Epoch, run: Run, now: Time) -> Result<Stamp, Failure> {
         self.admit(epoch, now)?;
         match self.active.get_mut(&run) {
@@ -322,11 +323,11 @@
         Ok(self.clock(now))
     }
 
-    /// Sets a run's pace.
+    /// Sets a run's speed limit.
     ///
     /// # Errors
     ///
-    /// When the epoch is too low.
+    /// Fails if the epoch is too low.
     pub fn pace(
         &mut self,
         epoch: id::Epoch,
@@ -341,11 +342,12 @@
         Ok(self.clock(now))
     }
 
-    /// Extends the deadline, forgets acknowledged ends and lists the rest.
+    /// Carries out a heartbeat: extends the lease, forgets acknowledged ends and returns the
+    /// report.
     ///
     /// # Errors
     ///
-    /// When the epoch is too low.
+    /// Fails if the epoch is too low.
     pub fn hold(&mut self, epoch: id::Epoch, hold: &Hold, now: Time) -> Result<Report, Failure> {
         self.admit(epoch, now)?;
         if let Some(deadline) = hold.deadline {
@@ -355,10 +357,11 @@
         Ok(self.report(now))
     }
 
-    /// Returns the part of the worker's processors that each filling run uses.
-    fn fills(&self) -> Vec<(String, f64)> {
-        let filling = self.active.values().filter(|active| active.step.fills);
-        filling
+    /// Returns the image of each best-effort run with the fraction of the worker's processors that
+    /// it uses.
+    fn best_effort_usage(&self) -> Vec<(String, f64)> {
+        let best_effort = self.active.values().filter(|active| active.step.fills);
+        best_effort
             .map(|active| {
                 let image = active.step.image.as_deref().unwrap_or_default().to_owned();
                 let milli =
@@ -368,26 +371,26 @@
             .collect()
     }
 
-    fn serve(&mut self, now: Time, passed: Duration) {
-        let fills = self.fills();
+    fn advance_serving(&mut self, now: Time, elapsed: Duration) {
+        let best_effort = self.best_effort_usage();
         for (run, active) in &self.active {
             if let Some(target) = active.step.target {
-                self.serving.advance(*run, target, &fills, now, passed);
+                self.serving.advance(*run, target, &best_effort, now, elapsed);
             }
         }
     }
 
-    /// Returns the task that crashes the worker now, if one of those that do so after a time has run for
-    /// that long.
-    pub fn crashing(&self, culprits: &BTreeMap<TaskId, Duration>, now: Time) -> Option<TaskId> {
+    /// Returns a task that crashes the worker now: one that has run for its delay in
+    /// `crash_delays`.
+    pub fn crashing(&self, crash_delays: &BTreeMap<TaskId, Duration>, now: Time) -> Option<TaskId> {
         let due = |run: &Run, active: &Active| {
-            culprits.get(&run.task).is_some_and(|&after| now >= active.since + after)
+            crash_delays.get(&run.task).is_some_and(|&after| now >= active.since + after)
         };
         let found = self.active.iter().find(|(run, active)| self.up && due(run, active))?;
         Some(found.0.task)
     }
 
-    /// Lists what runs and what has ended.
+    /// Returns the active runs and the ends.
     pub fn report(&self, now: Time) -> Report {
         let listed = self.active.iter().filter(|(_, active)| active.ending.is_none());
         let running = listed.map(|(run, active)| {
--- a/crates/standin/src/site/workers.rs
+++ b/crates/standin/src/site/workers.rs
@@ -1,4 +1,4 @@
-//! The workers' side of the protocol, one server a machine.
+//! The workers' HTTP servers, one for each machine.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -36,22 +36,23 @@
 
 type Shared = Arc<Mutex<State>>;
 
-/// How often a waiting hold looks again.
-const LOOK: Duration = Duration::from_millis(5);
-/// How long an order that is left without an answer keeps its connection: longer than any caller waits.
-const UNANSWERED: Duration = Duration::from_secs(3);
-/// Ends that are listed at once.
-const LISTED: usize = 500;
+/// The interval at which a waiting heartbeat checks for new ends.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The time for which a command without a response keeps its connection open: longer than any
+/// caller waits.
+const NO_RESPONSE_DELAY: Duration = Duration::from_secs(3);
+/// Ends listed in one report.
+const MAX_LISTED_ENDS: usize = 500;
 
-/// Whether an order is carried out as it arrives.
+/// The time at which a command is carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Timing {
     Prompt,
-    /// Long after its sender has given it up.
+    /// Long after its sender has given up.
     Late,
 }
 
-/// A machine's name, for its routes.
+/// The name of the machine that a route belongs to.
 #[derive(Clone)]
 struct Machine(String);
 
@@ -59,8 +60,8 @@
     let routes = Route::new()
         .at("/v1/run-start", post(start_run))
         .at("/v1/run-stop", post(stop_run))
-        .at("/v1/pace", post(pace_run))
-        .at("/v1/hold", post(hold_runs))
+        .at("/v1/pace", post(set_speed_limit))
+        .at("/v1/hold", post(renew_lease))
         .data(state)
         .data(Machine(machine));
     Route::new().nest("/", routes)
@@ -68,7 +69,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct Order {
+struct Command {
     task: String,
     run_id: id::Attempt,
     fencing_token: id::Epoch,
@@ -80,7 +81,7 @@
     percent: u8,
 }
 
-impl Order {
+impl Command {
     fn run(&self) -> Option<Run> {
         let mut parts = self.task.split('.');
         let job = JobId::from_str_radix(parts.next()?, 16).ok()?;
@@ -93,7 +94,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct HoldOrder {
+struct Heartbeat {
     fencing_token: id::Epoch,
     ack_seq: u64,
     #[serde(default)]
@@ -106,8 +107,8 @@
     Response::builder().status(status).content_type("application/json").body(body.to_string())
 }
 
-/// Renders an outcome as the platform's workers do.
-fn settle(outcome: Result<Stamp, Failure>) -> Response {
+/// Renders an outcome like the platform's workers do.
+fn render_outcome(outcome: Result<Stamp, Failure>) -> Response {
     match outcome {
         Ok(clock) => reply(StatusCode::OK, &json!({ "clock-ms": clock })),
         Err(Failure::Refused(refusal, clock)) => {
@@ -133,78 +134,78 @@
     }
 }
 
-/// The name of the worker that a request means.
-fn named(request: &Request) -> Option<String> {
+/// Returns the name of the worker that a request is intended for.
+fn expected_instance(request: &Request) -> Option<String> {
     request.header("Expected-Instance").map(str::to_owned)
 }
 
-/// Finds the worker that a request means, whichever of its starts that was.
-fn meant<'a>(
+/// Returns the worker that a request is intended for, in whichever incarnation.
+fn find_worker<'a>(
     state: &'a mut State,
     machine: &Machine,
-    named: Option<&str>,
+    expected: Option<&str>,
 ) -> Result<&'a mut Worker, Failure> {
     let other = Failure::Refused(Refusal::OtherWorker, None);
     let worker = state.workers.get_mut(&machine.0).ok_or(other)?;
     if !worker.up {
         return Err(Failure::Unknown);
     }
-    if named.is_some_and(|name| *name != *worker.name) {
+    if expected.is_some_and(|name| *name != *worker.name) {
         return Err(other);
     }
     Ok(worker)
 }
 
-/// Tells whether the next order to a worker is left without an answer, and how much later it is carried out.
-fn late(state: &Shared, machine: &Machine) -> Option<Duration> {
-    let mut state = state.lock().expect("no server of the site has failed");
+/// Returns the delay of the next command to a worker if it is to get no response, and counts it.
+fn delay(state: &Shared, machine: &Machine) -> Option<Duration> {
+    let mut state = state.lock().expect("no server of the site has panicked");
     let worker = state.workers.get_mut(&machine.0)?;
     worker.late.0 = worker.late.0.checked_sub(1)?;
     Some(worker.late.1)
 }
 
-/// Carries an order out, now or late and without an answer.
-async fn answer(
+/// Carries out a command, either now or late and without a response.
+async fn execute(
     state: &Shared,
     machine: &Machine,
     act: impl FnOnce(&Shared, &Machine, Timing) -> Response + Send + 'static,
 ) -> Response {
-    let Some(by) = late(state, machine) else { return act(state, machine, Timing::Prompt) };
+    let Some(lag) = delay(state, machine) else { return act(state, machine, Timing::Prompt) };
     let (state, machine) = (state.clone(), machine.clone());
     tokio::spawn(async move {
-        tokio::time::sleep(by).await;
-        // Nobody waits for what it would say.
+        tokio::time::sleep(lag).await;
+        // The sender no longer waits for the response.
         drop(act(&state, &machine, Timing::Late));
     });
-    tokio::time::sleep(UNANSWERED).await;
-    settle(Err(Failure::Unknown))
+    tokio::time::sleep(NO_RESPONSE_DELAY).await;
+    render_outcome(Err(Failure::Unknown))
 }
 
 #[handler]
 async fn start_run(
     request: &Request,
-    Json(order): Json<Order>,
+    Json(command): Json<Command>,
     state: Data<&Shared>,
     machine: Data<&Machine>,
 ) -> Response {
-    let named = named(request);
+    let expected = expected_instance(request);
     let act = move |state: &Shared, machine: &Machine, timing| {
-        start(state, machine, named, &order, timing)
+        start(state, machine, expected, &command, timing)
     };
-    answer(&state, &machine, act).await
+    execute(&state, &machine, act).await
 }
 
 fn start(
     state: &Shared,
     machine: &Machine,
-    named: Option<String>,
-    order: &Order,
+    expected: Option<String>,
+    command: &Command,
     timing: Timing,
 ) -> Response {
-    let mut state = state.lock().expect("no server of the site has failed");
+    let mut state = state.lock().expect("no server of the site has panicked");
     let now = state.now();
-    let Some(run) = order.run() else {
-        return settle(Err(Failure::Refused(Refusal::Malformed, None)));
+    let Some(run) = command.run() else {
+        return render_outcome(Err(Failure::Refused(Refusal::Malformed, None)));
     };
     let step = state
         .jobs
@@ -212,128 +213,136 @@
         .and_then(|spec| spec.steps.get(usize::from(run.task.step)))
         .cloned();
     let Some(step) = step else {
-        state.broken.push(format!("{} was started and nobody asked for it", run.task));
-        return settle(Err(Failure::Refused(Refusal::Malformed, None)));
+        state.broken.push(format!("{} was started but its job was never submitted", run.task));
+        return render_outcome(Err(Failure::Refused(Refusal::Malformed, None)));
     };
-    let checkpoint = (!order.checkpoint.is_empty()).then(|| order.checkpoint.as_str().into());
+    let checkpoint = (!command.checkpoint.is_empty()).then(|| command.checkpoint.as_str().into());
     let start =
-        Start { run, payload: "".into(), deadline: order.deadline_ms, checkpoint, ticket: None };
+        Start { run, payload: "".into(), deadline: command.deadline_ms, checkpoint, ticket: None };
     let work = step.estimate;
     let worker = state.workers.get(&machine.0);
-    let is_there = worker.is_some_and(|worker| worker.active.contains_key(&run));
-    let outcome = meant(&mut state, machine, named.as_deref())
-        .and_then(|worker| worker.start(order.fencing_token, &start, &step, work, now));
-    if outcome.is_ok() && !is_there && timing == Timing::Prompt {
+    let is_running = worker.is_some_and(|worker| worker.active.contains_key(&run));
+    let outcome = find_worker(&mut state, machine, expected.as_deref())
+        .and_then(|worker| worker.start(command.fencing_token, &start, &step, work, now));
+    if outcome.is_ok() && !is_running && timing == Timing::Prompt {
         let domain = state.workers[&machine.0].domain.clone();
         state.evacuations.start(run, &domain, now);
     }
     if outcome.is_ok() {
         state.started.insert(run.task.job);
         if state.acknowledged.contains(&run.task) {
-            state.broken.push(format!("{} is started after its end was acknowledged", run.task));
+            state
+                .broken
+                .push(format!("{} was started after its completion was acknowledged", run.task));
         }
         let broken = state.crashes.start(run);
         state.broken.extend(broken);
     }
-    settle(outcome)
+    render_outcome(outcome)
 }
 
-/// Carries out an order about a run.
-fn carry_out(
-    named: Option<&str>,
+/// Carries out a command on an active run.
+fn execute_on_run(
+    expected: Option<&str>,
     state: &Shared,
     machine: &Machine,
-    order: &Order,
+    command: &Command,
     act: impl FnOnce(&mut Worker, Run, Time) -> Result<Stamp, Failure>,
 ) -> Response {
-    let mut state = state.lock().expect("no server of the site has failed");
+    let mut state = state.lock().expect("no server of the site has panicked");
     let now = state.now();
-    let Some(run) = order.run() else {
-        return settle(Err(Failure::Refused(Refusal::Malformed, None)));
+    let Some(run) = command.run() else {
+        return render_outcome(Err(Failure::Refused(Refusal::Malformed, None)));
     };
-    settle(meant(&mut state, machine, named).and_then(|worker| act(worker, run, now)))
+    render_outcome(
+        find_worker(&mut state, machine, expected).and_then(|worker| act(worker, run, now)),
+    )
 }
 
 #[handler]
 async fn stop_run(
     request: &Request,
-    Json(order): Json<Order>,
+    Json(command): Json<Command>,
     state: Data<&Shared>,
     machine: Data<&Machine>,
 ) -> Response {
-    let named = named(request);
+    let expected = expected_instance(request);
     let stop = move |state: &Shared, machine: &Machine, _| {
-        carry_out(named.as_deref(), state, machine, &order, |worker, run, now| {
-            worker.stop(order.fencing_token, run, now)
+        execute_on_run(expected.as_deref(), state, machine, &command, |worker, run, now| {
+            worker.stop(command.fencing_token, run, now)
         })
     };
-    answer(&state, &machine, stop).await
+    execute(&state, &machine, stop).await
 }
 
 #[handler]
-fn pace_run(
+fn set_speed_limit(
     request: &Request,
-    Json(order): Json<Order>,
+    Json(command): Json<Command>,
     state: Data<&Shared>,
     machine: Data<&Machine>,
 ) -> Response {
-    carry_out(named(request).as_deref(), &state, &machine, &order, |worker, run, now| {
-        worker.pace(order.fencing_token, run, order.percent, now)
-    })
+    execute_on_run(
+        expected_instance(request).as_deref(),
+        &state,
+        &machine,
+        &command,
+        |worker, run, now| worker.pace(command.fencing_token, run, command.percent, now),
+    )
 }
 
 #[handler]
-async fn hold_runs(
+async fn renew_lease(
     request: &Request,
-    Json(order): Json<HoldOrder>,
+    Json(heartbeat): Json<Heartbeat>,
     state: Data<&Shared>,
     machine: Data<&Machine>,
 ) -> Response {
-    let asked = Hold {
-        deadline: order.deadline_ms,
-        acknowledged: order.ack_seq,
-        wait: Duration::from_millis(order.wait_ms),
+    let hold = Hold {
+        deadline: heartbeat.deadline_ms,
+        acknowledged: heartbeat.ack_seq,
+        wait: Duration::from_millis(heartbeat.wait_ms),
     };
-    let until = tokio::time::Instant::now() + asked.wait;
+    let until = tokio::time::Instant::now() + hold.wait;
     loop {
         {
-            let mut state = state.lock().expect("no server of the site has failed");
+            let mut state = state.lock().expect("no server of the site has panicked");
             let now = state.now();
-            acknowledge(&mut state, &machine, &order);
-            let outcome = meant(&mut state, &machine, named(request).as_deref())
-                .and_then(|worker| worker.hold(order.fencing_token, &asked, now));
+            acknowledge(&mut state, &machine, &heartbeat);
+            let outcome = find_worker(&mut state, &machine, expected_instance(request).as_deref())
+                .and_then(|worker| worker.hold(heartbeat.fencing_token, &hold, now));
             match outcome {
                 Ok(report) if report.ended.is_empty() && tokio::time::Instant::now() < until => {}
-                Ok(report) => return reply(StatusCode::OK, &listing(report)),
-                Err(failure) => return settle(Err(failure)),
+                Ok(report) => return reply(StatusCode::OK, &render_report(report)),
+                Err(failure) => return render_outcome(Err(failure)),
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Remembers which ends a worker is told to forget, if it obeys: from then on they stand for good.
-fn acknowledge(state: &mut State, machine: &Machine, order: &HoldOrder) {
-    let obeys = |worker: &&Worker| worker.up && worker.epoch <= order.fencing_token;
-    let Some(worker) = state.workers.get(&machine.0).filter(obeys) else { return };
-    let told =
-        worker.ended.iter().filter(|end| end.number <= order.ack_seq && end.how == How::Done);
-    let told: Vec<TaskId> = told.map(|end| end.run.task).collect();
-    state.acknowledged.extend(told);
+/// Records which completions a heartbeat acknowledges, if the worker accepts it. These are final.
+fn acknowledge(state: &mut State, machine: &Machine, heartbeat: &Heartbeat) {
+    let accepts = |worker: &&Worker| worker.up && worker.epoch <= heartbeat.fencing_token;
+    let Some(worker) = state.workers.get(&machine.0).filter(accepts) else { return };
+    let acknowledged =
+        worker.ended.iter().filter(|end| end.number <= heartbeat.ack_seq && end.how == How::Done);
+    let acknowledged: Vec<TaskId> = acknowledged.map(|end| end.run.task).collect();
+    state.acknowledged.extend(acknowledged);
 }
 
-fn listing(report: Report) -> Value {
-    let running: Vec<Value> = report.running.iter().map(running).collect();
-    let ended: Vec<Value> = report.ended.iter().take(LISTED).map(ended).collect();
+fn render_report(report: Report) -> Value {
+    let running: Vec<Value> = report.running.iter().map(render_running).collect();
+    let ended: Vec<Value> = report.ended.iter().take(MAX_LISTED_ENDS).map(render_ended).collect();
     json!({ "born": report.born, "clock-ms": report.clock, "running": running, "finished": ended })
 }
 
-fn running(row: &Running) -> Value {
+fn render_running(row: &Running) -> Value {
     let saved = row.checkpoint.as_deref().unwrap_or_default();
     json!([row.run.task.to_string(), row.run.attempt, saved, row.percent, row.figure])
 }
 
-fn ended(row: &Ended) -> Value {
+fn render_ended(row: &Ended) -> Value {
     let how = match row.how {
         How::Done => "done",
         How::Failed => "failed",
