--- a/bin/standin/src/main.rs
+++ b/bin/standin/src/main.rs
@@ -1,5 +1,5 @@
 //! The platform's stand-ins as one process, for tests with real processes and for trying the system
-//! on one machine. It is no part of a deployment.
+//! on one machine. It isn't part of a deployment.
 
 mod settings;
 
@@ -24,29 +24,29 @@
         .plan()
         .unwrap_or_else(|problem| common::refuse(Code::BadSetting, &problem.to_string()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    // Registered before the announcement, since whoever reads that may ask for an end at once.
-    let ends = ends(&runtime)?;
+    // Registered before the addresses are announced, because a reader may send a signal at once.
+    let signals = signals(&runtime)?;
     let standin = cowslipchute_standin::open(&plan)
         .unwrap_or_else(|problem| common::refuse(Code::BindFailed, &problem.to_string()));
     announce(&settings, standin.addresses())?;
-    runtime.block_on(ends.wait());
+    runtime.block_on(signals.wait());
     Ok(())
 }
 
-/// The signals that end the process; there is nothing to finish first.
-struct Ends {
+/// The signals that end the process. There is no state to save before that.
+struct Signals {
     terminate: Signal,
     interrupt: Signal,
 }
 
-fn ends(runtime: &Runtime) -> io::Result<Ends> {
+fn signals(runtime: &Runtime) -> io::Result<Signals> {
     let _entered = runtime.enter();
     let terminate = signal(SignalKind::terminate())?;
     let interrupt = signal(SignalKind::interrupt())?;
-    Ok(Ends { terminate, interrupt })
+    Ok(Signals { terminate, interrupt })
 }
 
-impl Ends {
+impl Signals {
     async fn wait(mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -55,18 +55,18 @@
     }
 }
 
-/// Tells where everything is reached: one line of JSON on standard output, and in a file that
-/// appears whole, so that whoever waits for it can read it at once.
+/// Announces the addresses of all servers as one line of JSON on standard output and in the ready
+/// file. The file is renamed into place, so that a process that waits for it never reads an incomplete file.
 fn announce(settings: &Settings, addresses: &Addresses) -> anyhow::Result<()> {
     let line = serde_json::to_string(addresses)?;
     if let Some(path) = &settings.ready_file {
         let path = Path::new(path);
         let partial = path.with_extension("partial");
-        fs::write(&partial, format!("{line}\n")).context("the ready file can't be written")?;
-        fs::rename(&partial, path).context("the ready file can't be written")?;
+        fs::write(&partial, format!("{line}\n")).context("cannot write the ready file")?;
+        fs::rename(&partial, path).context("cannot write the ready file")?;
     }
     let mut stdout = io::stdout();
-    // Nobody may be reading standard output, which is no reason to end.
+    // A closed standard output is not an error.
     let _ = writeln!(stdout, "{line}").and_then(|()| stdout.flush());
     Ok(())
 }
--- a/bin/standin/src/settings.rs
+++ b/bin/standin/src/settings.rs
@@ -8,7 +8,7 @@
 use cowslipchute_standin::backend::plan::Plan as BackendPlan;
 use cowslipchute_standin::backend::plan::ServiceTime;
 use cowslipchute_standin::plan;
-use cowslipchute_standin::worker::nature::Nature;
+use cowslipchute_standin::worker::behavior::Behavior;
 use cowslipchute_standin::worker::timing::Timing;
 use thiserror::Error;
 
@@ -17,40 +17,40 @@
 #[derive(Bpaf)]
 #[bpaf(options, version)]
 pub struct Settings {
-    /// First of the ports, which follow one on the other [default: chosen by the system]
+    /// First of the consecutive ports [default: chosen by the system]
     #[bpaf(long("base-port"), env("COWSLIPCHUTE_STANDIN_BASE_PORT"), argument("PORT"), optional)]
     pub base_port: Option<u16>,
-    /// File that receives the addresses as JSON once all servers can be reached
+    /// File that receives the addresses as JSON once all servers accept connections
     #[bpaf(long("ready-file"), env("COWSLIPCHUTE_STANDIN_READY_FILE"), argument("PATH"), optional)]
     pub ready_file: Option<String>,
-    /// Threads that serve
+    /// Server threads
     #[bpaf(long("threads"), argument("COUNT"), fallback(2), display_fallback)]
     pub threads: usize,
-    /// Seed of all that is drawn
+    /// Seed of all random draws
     #[bpaf(long("seed"), argument("NUMBER"), fallback(1), display_fallback)]
     pub seed: u64,
-    /// A failure domain; may be given again [default: a and b]
+    /// A failure domain; may be repeated [default: a and b]
     #[bpaf(long("domain"), argument("NAME"))]
     pub domains: Vec<String>,
-    /// A service; may be given again [default: web]
+    /// A service; may be repeated [default: web]
     #[bpaf(long("service"), argument("NAME"))]
     pub services: Vec<String>,
     /// Backend servers of each service in each failure domain
     #[bpaf(long("backends"), argument("COUNT"), fallback(2), display_fallback)]
     pub backends: u16,
-    /// Requests that a backend server runs at once
+    /// Requests that a backend server runs concurrently
     #[bpaf(long("slots"), argument("COUNT"), fallback(8), display_fallback)]
     pub slots: u16,
     /// Requests that may wait for a slot of a backend server
     #[bpaf(long("queue"), argument("COUNT"), fallback(8), display_fallback)]
     pub queue: u16,
-    /// Connections that a backend server accepts in all
+    /// Open connections that a backend server accepts
     #[bpaf(long("connections"), argument("COUNT"), fallback(60), display_fallback)]
     pub connections: u16,
-    /// Fixed part of a request's time, in microseconds
+    /// Fixed part of a request's service time, in microseconds
     #[bpaf(long("fixed-time-us"), argument("US"), fallback(1000), display_fallback)]
     pub fixed_time_us: u64,
-    /// Mean of the drawn part of a request's time, in microseconds
+    /// Mean of the drawn part of a request's service time, in microseconds
     #[bpaf(long("drawn-time-us"), argument("US"), fallback(1000), display_fallback)]
     pub drawn_time_us: u64,
     /// Workers in each failure domain
@@ -74,41 +74,41 @@
     /// Lag of the workers' measurements, in milliseconds
     #[bpaf(long("usage-lag-ms"), argument("MS"), fallback(2000), display_fallback)]
     pub usage_lag_ms: u64,
-    /// Most that one task slows another down, in thousandths
+    /// Maximum slowdown of one task by another, in thousandths
     #[bpaf(long("pair-permille"), argument("PERMILLE"), fallback(0), display_fallback)]
     pub pair_permille: u32,
-    /// How many times larger or smaller than declared tasks may be
+    /// Maximum factor by which the usage of tasks differs from the declared one
     #[bpaf(long("size-spread"), argument("TIMES"), fallback(1), display_fallback)]
     pub size_spread: u32,
-    /// How many times longer or shorter than declared tasks may run
+    /// Maximum factor by which the duration of tasks differs from the declared one
     #[bpaf(long("time-spread"), argument("TIMES"), fallback(1), display_fallback)]
     pub time_spread: u32,
-    /// A job all of whose runs fail; may be given again
+    /// A job all of whose runs fail; may be repeated
     #[bpaf(long("failing-job"), argument("NAME"))]
     pub failing_jobs: Vec<String>,
     /// Lag of the list of instances, in milliseconds
     #[bpaf(long("list-lag-ms"), argument("MS"), fallback(200), display_fallback)]
     pub list_lag_ms: u64,
-    /// Reads that the store lets through in each second [default: no limit]
+    /// Reads that the store admits in each second [default: no limit]
     #[bpaf(long("store-reads"), argument("COUNT"), fallback(u64::MAX))]
     pub store_reads: u64,
-    /// Writes and calls about leases that the store lets through in each second [default: no limit]
+    /// Writes and lease calls that the store admits in each second [default: no limit]
     #[bpaf(long("store-writes"), argument("COUNT"), fallback(u64::MAX))]
     pub store_writes: u64,
-    /// Pause between two progress messages of a watch, in milliseconds
+    /// Interval between progress messages of a watch, in milliseconds
     #[bpaf(long("watch-progress-ms"), argument("MS"), fallback(1000), display_fallback)]
     pub watch_progress_ms: u64,
 }
 
-/// Why settings can't be used together.
+/// An error in the values of settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Problem {
     /// A count must not be zero.
     #[error("{0} must be at least 1")]
     Zero(&'static str),
-    /// There are too few ports from the first one on.
-    #[error("--base-port {base} leaves no room for {needed} ports")]
+    /// There are too few ports from the first port on.
+    #[error("--base-port {base} leaves fewer than {needed} ports")]
     Ports {
         /// The first port.
         base: u16,
@@ -117,11 +117,12 @@
     },
 }
 
-/// Servers beside the backend servers and workers: switchboard, store and list.
-const OWN_PORTS: usize = 3;
+/// Number of ports for servers other than backend servers and workers: control server, store and
+/// list.
+const PLATFORM_PORTS: usize = 3;
 
 impl Settings {
-    /// Lays the stand-in out.
+    /// Returns the plan of the stand-in.
     pub fn plan(&self) -> Result<Plan, Problem> {
         let counts = [("--slots", self.slots), ("--connections", self.connections)];
         if let Some((name, _)) = counts.into_iter().find(|(_, count)| *count == 0) {
@@ -134,12 +135,12 @@
             domains: names(&self.domains, &["a", "b"]),
             services: self.services(),
             workers: self.workers(),
-            nature: self.nature(),
+            behavior: self.behavior(),
             list_lag: Duration::from_millis(self.list_lag_ms),
             store_limits: plan::Limits { reads: self.store_reads, writes: self.store_writes },
             watch_progress: Duration::from_millis(self.watch_progress_ms.max(1)),
         };
-        let needed = OWN_PORTS + plan.backends().len() + plan.workers().len();
+        let needed = PLATFORM_PORTS + plan.backends().len() + plan.workers().len();
         match self.base_port {
             Some(base) if usize::from(base) + needed > usize::from(u16::MAX) => {
                 Err(Problem::Ports { base, needed })
@@ -181,8 +182,8 @@
         }
     }
 
-    fn nature(&self) -> Nature {
-        Nature {
+    fn behavior(&self) -> Behavior {
+        Behavior {
             seed: self.seed,
             pair_permille: self.pair_permille,
             size_spread: self.size_spread,
--- a/bin/standin/tests/process.rs
+++ b/bin/standin/tests/process.rs
@@ -1,4 +1,4 @@
-//! The stand-in as a process: its settings, its announcement and its end.
+//! The stand-in as a process: its settings, the announcement of its addresses and its termination.
 
 use std::fs;
 use std::io::BufRead as _;
@@ -27,12 +27,12 @@
     let mut line = String::new();
     let stdout = child.stdout.take().expect("it is piped");
     BufReader::new(stdout).read_line(&mut line).expect("it says where it is");
-    let said: Addresses = serde_json::from_str(&line).expect("it is JSON");
+    let announced: Addresses = serde_json::from_str(&line).expect("it is JSON");
     let text = fs::read_to_string(&file).expect("the file is there by then");
-    assert_eq!(serde_json::from_str::<Addresses>(&text).expect("it is JSON"), said);
-    let names: Vec<&str> = said.backends.iter().map(|backend| &*backend.instance).collect();
+    assert_eq!(serde_json::from_str::<Addresses>(&text).expect("it is JSON"), announced);
+    let names: Vec<&str> = announced.backends.iter().map(|backend| &*backend.instance).collect();
     assert_eq!(names, ["web-x-0", "web-x-1", "web-x-2", "web-x-0", "web-x-1", "web-x-2"]);
-    std::net::TcpStream::connect(said.store).expect("it can be reached");
+    std::net::TcpStream::connect(announced.store).expect("it can be reached");
     let asked = Command::new("kill").arg(child.id().to_string()).status().expect("it is asked");
     assert!(asked.success());
     assert!(child.wait().expect("it ends").success());
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -1,7 +1,8 @@
-//! Backend servers: slots, a small queue, seeded service times, and a record of what ran.
+//! Backend servers: slots, a small queue, seeded service times, and a record of the requests run.
 //!
-//! A request may carry an [`order`] in its headers that asks for one certain failure. What ran is in
-//! the server's own [`log`] and, for requests with an id, in the [`runs`] of all servers together.
+//! A request may carry a directive in its headers (see [`order`]) that requests a specific failure.
+//! Requests that ran are recorded in the server's own [`log`] and, if they have an id, in the
+//! [`runs`] of all servers.
 
 pub mod body;
 pub mod log;
--- a/crates/standin/src/backend/body.rs
+++ b/crates/standin/src/backend/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers.
+//! Response bodies.
 
 use std::io;
 use std::time::Duration;
@@ -7,28 +7,28 @@
 use futures_util::stream;
 use poem::Body;
 
-/// Time for the first half of a body to leave before the connection is broken.
-const HALF_SENT: Duration = Duration::from_millis(20);
+/// Time for the first half of a body to be sent before the connection is reset.
+const FLUSH_DELAY: Duration = Duration::from_millis(20);
 
-/// Makes `length` bytes that only the request with this id gets.
+/// Returns `length` bytes that are specific to a request id, so that the caller can verify them.
 pub fn pattern(id: &str, length: usize) -> Bytes {
     let unit = format!("<{id}>");
     unit.bytes().cycle().take(length).collect::<Vec<u8>>().into()
 }
 
-/// A body that breaks off halfway, by `cut`ting its connection. An error alone is not enough: the
-/// HTTP library then ends a body in chunks as if it were whole.
-pub(super) fn half(body: Bytes, cut: impl FnOnce() + Send + 'static) -> Body {
+/// Returns a body that breaks off halfway by calling `reset` on its connection. An error alone
+/// isn't enough: the HTTP library would end a chunked body as if it were complete.
+pub(super) fn truncated(body: Bytes, reset: impl FnOnce() + Send + 'static) -> Body {
     let first = body.slice(..body.len() / 2);
     Body::from_bytes_stream(stream::unfold(
-        (Some(first), Some(cut)),
-        |(first, mut cut)| async move {
+        (Some(first), Some(reset)),
+        |(first, mut reset)| async move {
             if let Some(bytes) = first {
-                return Some((Ok(bytes), (None, cut)));
+                return Some((Ok(bytes), (None, reset)));
             }
-            tokio::time::sleep(HALF_SENT).await;
-            cut.take()?();
-            Some((Err(io::Error::from(io::ErrorKind::ConnectionReset)), (None, cut)))
+            tokio::time::sleep(FLUSH_DELAY).await;
+            reset.take()?();
+            Some((Err(io::Error::from(io::ErrorKind::ConnectionReset)), (None, reset)))
         },
     ))
 }
--- a/crates/standin/src/backend/log.rs
+++ b/crates/standin/src/backend/log.rs
@@ -1,4 +1,4 @@
-//! One server's record of the requests that it ran.
+//! The record of the requests that one server ran.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -6,8 +6,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Runs that are kept.
-const KEPT: usize = 4096;
+/// Number of runs kept.
+const MAX_ENTRIES: usize = 4096;
 
 /// One run of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     pub path: Box<str>,
     /// Its idempotency key, if it had one.
     pub key: Option<Box<str>>,
-    /// The number of the attempt, if it had one.
+    /// Its attempt number, if it had one.
     pub attempt: Option<Box<str>>,
 }
 
@@ -34,8 +34,8 @@
 impl Log {
     /// Records a run.
     pub fn push(&self, entry: Entry) {
-        let mut entries = self.entries.lock().expect("no holder panics");
-        if entries.len() == KEPT {
+        let mut entries = self.entries.lock().expect("no lock holder panics");
+        if entries.len() == MAX_ENTRIES {
             entries.pop_front();
         }
         entries.push_back(entry);
@@ -43,6 +43,6 @@
 
     /// Returns the latest runs, oldest first.
     pub fn entries(&self) -> Vec<Entry> {
-        self.entries.lock().expect("no holder panics").iter().cloned().collect()
+        self.entries.lock().expect("no lock holder panics").iter().cloned().collect()
     }
 }
--- a/crates/standin/src/backend/order.rs
+++ b/crates/standin/src/backend/order.rs
@@ -1,39 +1,39 @@
-//! What one request asks of a backend server by its headers, so that a test can bring about one
-//! certain failure.
+//! Directives to a backend server in the headers of a request, with which a test causes a specific
+//! failure.
 
 use std::time::Duration;
 
 use poem::http::HeaderMap;
 
-/// Names a request; the answer repeats it, and the records count how often it ran.
+/// The id of a request. The response repeats it, and the records count how often it ran.
 pub const ID_HEADER: &str = "x-standin-id";
-/// Asks to run for so many milliseconds in place of the drawn time.
+/// The service time in milliseconds, instead of a drawn one.
 pub const DELAY_HEADER: &str = "x-standin-delay-ms";
-/// Asks for a body of so many bytes.
+/// The length of the response body in bytes.
 pub const BODY_BYTES_HEADER: &str = "x-standin-body-bytes";
-/// Asks to break the connection: `before`, `during` or `after` the run, or `answer` for halfway
-/// through the answer, `chunk` for the same when its length is not announced.
+/// When to reset the connection: `before`, `during` or `after` the run, `answer` for halfway
+/// through the response body, or `chunk` for the same without a content length.
 pub const BREAK_HEADER: &str = "x-standin-break";
-/// Asks for the connection to be closed unannounced so many milliseconds after the answer.
+/// The delay in milliseconds after the response before the connection is closed without notice.
 pub const CLOSE_HEADER: &str = "x-standin-close-ms";
-/// Asks for an answer with this status.
+/// The status of the response.
 pub const STATUS_HEADER: &str = "x-standin-status";
 
-/// What all these headers begin with.
+/// The prefix of all these headers.
 const PREFIX: &str = "x-standin-";
 
-/// When the connection is to be broken.
+/// The point at which the connection is to be reset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Break {
     /// Before the request runs.
     Before,
     /// While it runs.
     During,
-    /// After it ran, before any of the answer.
+    /// After it ran, before any of the response is sent.
     After,
-    /// Halfway through the answer's body, whose length is announced.
+    /// Halfway through the response body, which has a content length.
     Answer,
-    /// Halfway through the answer's body, which comes in chunks of no announced number.
+    /// Halfway through the response body, which is sent in chunks without a content length.
     Chunk,
 }
 
@@ -50,34 +50,34 @@
     }
 }
 
-/// What one request asks for.
+/// The directives of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Order {
+pub struct Directive {
     /// Its id.
     pub id: Option<Box<str>>,
-    /// How long it is to run.
+    /// The service time.
     pub delay: Option<Duration>,
-    /// Bytes of the answer's body.
+    /// The length of the response body.
     pub body_bytes: Option<usize>,
-    /// When the connection is to be broken.
-    pub broken: Option<Break>,
-    /// How long after the answer the connection is to be closed.
-    pub close: Option<Duration>,
-    /// Status of the answer.
+    /// The point at which the connection is to be reset.
+    pub break_at: Option<Break>,
+    /// The delay after the response before the connection is closed.
+    pub close_after: Option<Duration>,
+    /// The status of the response.
     pub status: Option<u16>,
 }
 
-impl Order {
-    /// Reads the headers; an unreadable one asks for nothing.
-    pub fn read(headers: &HeaderMap) -> Order {
-        let mut order = Order::default();
+impl Directive {
+    /// Parses the headers. A malformed header is ignored.
+    pub fn read(headers: &HeaderMap) -> Directive {
+        let mut directive = Directive::default();
         for (name, value) in headers {
             let Ok(value) = value.to_str() else { continue };
             if name.as_str().starts_with(PREFIX) {
-                order.set(name.as_str(), value);
+                directive.set(name.as_str(), value);
             }
         }
-        order
+        directive
     }
 
     fn set(&mut self, name: &str, value: &str) {
@@ -85,8 +85,8 @@
             ID_HEADER => self.id = Some(value.into()),
             DELAY_HEADER => self.delay = value.parse().ok().map(Duration::from_millis),
             BODY_BYTES_HEADER => self.body_bytes = value.parse().ok(),
-            BREAK_HEADER => self.broken = Break::parse(value),
-            CLOSE_HEADER => self.close = value.parse().ok().map(Duration::from_millis),
+            BREAK_HEADER => self.break_at = Break::parse(value),
+            CLOSE_HEADER => self.close_after = value.parse().ok().map(Duration::from_millis),
             STATUS_HEADER => self.status = value.parse().ok(),
             _ => {}
         }
--- a/crates/standin/src/backend/plan.rs
+++ b/crates/standin/src/backend/plan.rs
@@ -1,32 +1,33 @@
-//! How a backend server is laid out, and how long its requests take.
+//! The configuration of a backend server and the service times of its requests.
 
 use std::time::Duration;
 
-/// How long a request takes: a fixed part and one drawn from an exponential distribution.
+/// A service time: a fixed part plus one drawn from an exponential distribution.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServiceTime {
     /// The part that every request takes.
     pub fixed: Duration,
-    /// Mean of the drawn part.
+    /// The mean of the drawn part.
     pub drawn: Duration,
 }
 
-/// Longest drawn part, in means, so that one draw doesn't decide a test.
-const LONGEST_DRAW: f64 = 20.0;
+/// Upper bound of the drawn part, in multiples of its mean, so that a single draw doesn't dominate
+/// a test.
+const MAX_DRAW_MEANS: f64 = 20.0;
 
 impl ServiceTime {
-    /// Draws the time of the request with a number; the same for the same seed and number.
+    /// Returns the service time of a request, which is determined by seed and request number.
     pub fn draw(&self, seed: u64, number: u64) -> Duration {
         if self.drawn.is_zero() {
             return self.fixed;
         }
-        // Between zero and one, never zero: 53 bits are what a float holds exactly.
+        // In (0, 1], never zero: an `f64` holds 53 bits exactly.
         let uniform = ((mix(seed ^ mix(number)) >> 11) + 1) as f64 / (1u64 << 53) as f64;
-        self.fixed + self.drawn.mul_f64((-uniform.ln()).min(LONGEST_DRAW))
+        self.fixed + self.drawn.mul_f64((-uniform.ln()).min(MAX_DRAW_MEANS))
     }
 }
 
-/// Scrambles a number (the finalizer of SplitMix64), which needs no lock as a generator would.
+/// Hashes a number with the finalizer of SplitMix64. Unlike a random generator it needs no lock.
 pub fn mix(number: u64) -> u64 {
     let mut z = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -34,18 +35,18 @@
     z ^ (z >> 31)
 }
 
-/// How a backend server is laid out.
+/// The configuration of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// Requests that it runs at once.
+    /// Requests that it runs concurrently.
     pub slots: u16,
     /// Requests that may wait for a slot; more are refused as not run.
     pub queue: u16,
-    /// Connections that it accepts in all; more are closed at once.
+    /// Open connections that it accepts; more are closed at once.
     pub connections: u16,
-    /// How long a request takes.
+    /// The service time of a request.
     pub service_time: ServiceTime,
-    /// Seed of the drawn times.
+    /// The seed of the drawn times.
     pub seed: u64,
 }
 
--- a/crates/standin/src/backend/runs.rs
+++ b/crates/standin/src/backend/runs.rs
@@ -1,4 +1,4 @@
-//! How often each request ran over all servers, by its id.
+//! The run count of each request over all servers, by request id.
 
 use std::collections::HashMap;
 use std::hash::BuildHasher as _;
@@ -8,14 +8,14 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Parts that are locked apart.
+/// Number of shards, each with its own lock.
 const SHARDS: usize = 64;
-/// Ids that a part keeps; later ones are only counted.
-const KEPT: usize = 1 << 16;
-/// Doubled ids that a summary names.
-const NAMED: usize = 100;
+/// Ids that a shard keeps; runs of later ids are only counted.
+const MAX_IDS_PER_SHARD: usize = 1 << 16;
+/// Ids of doubled requests that a summary lists.
+const MAX_DOUBLED_IDS: usize = 100;
 
-/// How often each request ran.
+/// The run count of each request.
 #[derive(Debug)]
 pub struct Runs {
     hasher: RandomState,
@@ -28,19 +28,19 @@
     unkept: u64,
 }
 
-/// What the record says on the whole.
+/// A summary of the run counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Summary {
     /// Requests with an id that ran at least once.
     pub requests: u64,
-    /// Runs of those.
+    /// Runs of these requests.
     pub runs: u64,
     /// Requests that ran more than once.
     pub doubled: u64,
     /// Some of their ids.
     pub doubled_ids: Vec<Box<str>>,
-    /// Runs that came when the record was full, of which nothing is known.
+    /// Runs of ids that were not kept because the record was full.
     pub unkept: u64,
 }
 
@@ -58,27 +58,27 @@
 
     /// Records a run.
     pub fn record(&self, id: &str) {
-        let mut shard = self.shard(id).lock().expect("no holder panics");
+        let mut shard = self.shard(id).lock().expect("no lock holder panics");
         if let Some(runs) = shard.runs.get_mut(id) {
             *runs += 1;
-        } else if shard.runs.len() < KEPT {
+        } else if shard.runs.len() < MAX_IDS_PER_SHARD {
             shard.runs.insert(id.into(), 1);
         } else {
             shard.unkept += 1;
         }
     }
 
-    /// Returns how often a request ran.
+    /// Returns how many times a request ran.
     pub fn of(&self, id: &str) -> u32 {
-        let shard = self.shard(id).lock().expect("no holder panics");
+        let shard = self.shard(id).lock().expect("no lock holder panics");
         shard.runs.get(id).copied().unwrap_or(0)
     }
 
-    /// Sums the record up.
+    /// Returns a summary of the run counts.
     pub fn summary(&self) -> Summary {
         let mut summary = Summary::default();
         for shard in &self.shards {
-            let shard = shard.lock().expect("no holder panics");
+            let shard = shard.lock().expect("no lock holder panics");
             summary.unkept += shard.unkept;
             summary.requests += shard.runs.len() as u64;
             for (id, runs) in &shard.runs {
@@ -90,7 +90,7 @@
             }
         }
         summary.doubled_ids.sort();
-        summary.doubled_ids.truncate(NAMED);
+        summary.doubled_ids.truncate(MAX_DOUBLED_IDS);
         summary
     }
 }
--- a/crates/standin/src/backend/server.rs
+++ b/crates/standin/src/backend/server.rs
@@ -1,4 +1,5 @@
-//! A backend server over HTTP. The way of a healthy request takes no lock but that of its record.
+//! A backend server over HTTP. A request to a healthy server takes no locks but those of the
+//! records.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,36 +22,36 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::backend::body::half;
 use crate::backend::body::pattern;
+use crate::backend::body::truncated;
 use crate::backend::log::Entry;
 use crate::backend::log::Log;
 use crate::backend::order::Break;
+use crate::backend::order::Directive;
 use crate::backend::order::ID_HEADER;
-use crate::backend::order::Order;
 use crate::backend::plan::Plan;
 use crate::backend::runs::Runs;
 use crate::backend::slots::Slots;
+use crate::connection::Connections;
 use crate::fault::Fault;
 use crate::host;
-use crate::link::Links;
+use crate::injector::Injector;
+use crate::injector::Refusal;
 use crate::origin;
-use crate::valve::Refusal;
-use crate::valve::Valve;
 
-/// Path at which a server shows its log; it takes no slot.
+/// The path of a server's log. Reading it takes no slot.
 pub const LOG_PATH: &str = "/standin/log";
-/// Largest request body, which the answer echoes.
+/// Largest request body, in bytes. The response echoes it.
 const BODY_LIMIT: usize = 8 << 20;
-/// Seconds after which a refused caller may come again.
+/// Seconds after which a refused caller may retry.
 const RETRY_AFTER_SECONDS: u32 = 1;
-/// What a server did so far.
+/// The counts of a server so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Count {
-    /// Requests that began to run.
+    /// Requests that started to run.
     pub started: u64,
-    /// Requests whose answer was handed to the connection.
+    /// Requests whose response was passed to the connection.
     pub answered: u64,
     /// Requests refused as not run.
     pub refused: u64,
@@ -73,43 +74,43 @@
     instance: Instance,
     plan: Plan,
     slots: Slots,
-    valve: Arc<Valve>,
-    links: Arc<Links>,
+    injector: Arc<Injector>,
+    connections: Arc<Connections>,
     log: Log,
     runs: Arc<Runs>,
     counts: Counts,
 }
 
-/// Why a request brings no ordinary answer.
-enum End {
-    /// Its connection is to be broken.
+/// The reason why a request gets no ordinary response.
+enum Abort {
+    /// Its connection is to be reset.
     Break,
     /// It did not run.
     NotRun,
 }
 
 impl Server {
-    /// Opens a server that has run nothing.
+    /// Opens a server.
     pub(crate) fn open(
         instance: Instance,
         plan: Plan,
-        valve: Arc<Valve>,
-        links: Arc<Links>,
+        injector: Arc<Injector>,
+        connections: Arc<Connections>,
         runs: Arc<Runs>,
     ) -> Arc<Server> {
         let slots = Slots::open(plan.slots.into(), plan.queue.into());
         let (log, counts) = (Log::default(), Counts::default());
-        Arc::new(Server { instance, plan, slots, valve, links, log, runs, counts })
+        Arc::new(Server { instance, plan, slots, injector, connections, log, runs, counts })
     }
 
-    /// Returns what the server did so far.
+    /// Returns the counts so far.
     pub fn count(&self) -> Count {
         Count {
             started: self.counts.started.load(Ordering::Relaxed),
             answered: self.counts.answered.load(Ordering::Relaxed),
             refused: self.counts.refused.load(Ordering::Relaxed),
             waiting: self.slots.waiting() as u64,
-            connections: self.links.len() as u64,
+            connections: self.connections.len() as u64,
         }
     }
 
@@ -118,60 +119,64 @@
         self.log.entries()
     }
 
-    async fn serve(&self, mut request: Request, peer: Option<SocketAddr>) -> Result<Response, End> {
-        let order = Order::read(request.headers());
-        let pass = self.valve.enter(origin::of(&request)).await.map_err(end)?;
-        let fault = (!self.valve.clear()).then(|| self.valve.fault());
+    async fn serve(
+        &self,
+        mut request: Request,
+        peer: Option<SocketAddr>,
+    ) -> Result<Response, Abort> {
+        let directive = Directive::read(request.headers());
+        let call = self.injector.before_request(origin::of(&request)).await.map_err(abort)?;
+        let fault = (!self.injector.clear()).then(|| self.injector.fault());
         let Ok(body) = request.take_body().into_bytes_limit(BODY_LIMIT).await else {
-            return Err(End::Break);
+            return Err(Abort::Break);
         };
-        if order.broken == Some(Break::Before) {
-            return Err(End::Break);
+        if directive.break_at == Some(Break::Before) {
+            return Err(Abort::Break);
         }
-        let status = self.run(&request, &order, fault.as_ref()).await?;
-        self.valve.leave(&pass).await.map_err(end)?;
-        if order.broken == Some(Break::After) {
-            return Err(End::Break);
+        let status = self.run(&request, &directive, fault.as_ref()).await?;
+        self.injector.before_response(&call).await.map_err(abort)?;
+        if directive.break_at == Some(Break::After) {
+            return Err(Abort::Break);
         }
-        let body = self.answer_body(&request, &order, body);
+        let body = self.response_body(&request, &directive, body);
         self.counts.answered.fetch_add(1, Ordering::Relaxed);
         let leaving = fault.is_some_and(|fault| fault.leaving);
-        Ok(self.answer(status, order, body, leaving, peer))
+        Ok(self.respond(status, directive, body, leaving, peer))
     }
 
-    /// Runs a request in a slot and returns the status of its answer.
+    /// Runs a request in a slot and returns the status of its response.
     async fn run(
         &self,
         request: &Request,
-        order: &Order,
+        directive: &Directive,
         fault: Option<&Fault>,
-    ) -> Result<StatusCode, End> {
-        let _slot = self.slots.take().await.ok_or(End::NotRun)?;
-        let number = self.record(request, order);
+    ) -> Result<StatusCode, Abort> {
+        let _slot = self.slots.take().await.ok_or(Abort::NotRun)?;
+        let number = self.record(request, directive);
         if fault.is_some_and(|fault| fault.failing) {
             return Ok(StatusCode::INTERNAL_SERVER_ERROR);
         }
         let drawn = self.plan.service_time.draw(self.plan.seed, number);
-        let usual = order.delay.unwrap_or(drawn);
-        let time = fault.map_or(usual, |fault| usual * fault.slow_permille / 1000);
-        if order.broken == Some(Break::During) {
+        let unscaled = directive.delay.unwrap_or(drawn);
+        let time = fault.map_or(unscaled, |fault| unscaled * fault.slow_permille / 1000);
+        if directive.break_at == Some(Break::During) {
             tokio::time::sleep(time / 2).await;
-            return Err(End::Break);
+            return Err(Abort::Break);
         }
         if !time.is_zero() {
             tokio::time::sleep(time).await;
         }
-        let status = order.status.and_then(|status| StatusCode::from_u16(status).ok());
+        let status = directive.status.and_then(|status| StatusCode::from_u16(status).ok());
         Ok(status.unwrap_or(StatusCode::OK))
     }
 
-    /// Records that a request runs and returns its number.
-    fn record(&self, request: &Request, order: &Order) -> u64 {
-        if let Some(id) = &order.id {
+    /// Records the start of a request and returns its number.
+    fn record(&self, request: &Request, directive: &Directive) -> u64 {
+        if let Some(id) = &directive.id {
             self.runs.record(id);
         }
         self.log.push(Entry {
-            id: order.id.clone(),
+            id: directive.id.clone(),
             method: request.method().as_str().into(),
             path: request.uri().path().into(),
             key: request.header(KEY_HEADER).map(Box::from),
@@ -180,61 +185,64 @@
         self.counts.started.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Makes the body, from which its caller can tell that it is its own and whole: the request's
-    /// body, or what [`pattern`] makes of its id, or a line that names it.
-    fn answer_body(&self, request: &Request, order: &Order, body: Bytes) -> Bytes {
-        if let Some(length) = order.body_bytes {
-            return pattern(order.id.as_deref().unwrap_or_default(), length);
+    /// Returns the response body, from which the caller can verify that it is complete and its own:
+    /// the [`pattern`] of its id if a length is requested, else the request's body, else a line
+    /// that names the request.
+    fn response_body(&self, request: &Request, directive: &Directive, body: Bytes) -> Bytes {
+        if let Some(length) = directive.body_bytes {
+            return pattern(directive.id.as_deref().unwrap_or_default(), length);
         }
         if !body.is_empty() {
             return body;
         }
-        let id = order.id.as_deref().unwrap_or("-");
+        let id = directive.id.as_deref().unwrap_or("-");
         format!("{} {} {} {id}\n", self.instance, request.method(), request.uri().path()).into()
     }
 
-    fn answer(
+    fn respond(
         &self,
         status: StatusCode,
-        order: Order,
+        directive: Directive,
         body: Bytes,
         leaving: bool,
         peer: Option<SocketAddr>,
     ) -> Response {
         let mut builder = Response::builder().status(status);
-        if let Some(id) = order.id.as_deref() {
+        if let Some(id) = directive.id.as_deref() {
             builder = builder.header(ID_HEADER, id);
         }
         if leaving {
             builder = builder.header(LEAVING_HEADER, "true");
         }
-        if let (Some(pause), Some(peer)) = (order.close, peer) {
-            self.close_later(pause, peer);
+        if let (Some(delay), Some(peer)) = (directive.close_after, peer) {
+            self.reset_later(delay, peer);
         }
-        let links = self.links.clone();
-        let cut = move || peer.into_iter().for_each(|peer| links.cut(peer));
-        match order.broken {
-            Some(Break::Answer) => builder.header(CONTENT_LENGTH, body.len()).body(half(body, cut)),
-            Some(Break::Chunk) => builder.body(half(body, cut)),
+        let connections = self.connections.clone();
+        let reset = move || peer.into_iter().for_each(|peer| connections.reset(peer));
+        match directive.break_at {
+            Some(Break::Answer) => {
+                builder.header(CONTENT_LENGTH, body.len()).body(truncated(body, reset))
+            }
+            Some(Break::Chunk) => builder.body(truncated(body, reset)),
             _ => builder.body(body),
         }
     }
 
-    fn close_later(&self, pause: Duration, peer: SocketAddr) {
-        let links = self.links.clone();
+    fn reset_later(&self, delay: Duration, peer: SocketAddr) {
+        let connections = self.connections.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(pause).await;
-            links.cut(peer);
+            tokio::time::sleep(delay).await;
+            connections.reset(peer);
         });
     }
 
-    fn refuse(&self) -> Response {
+    fn not_run(&self) -> Response {
         self.counts.refused.fetch_add(1, Ordering::Relaxed);
         Response::builder()
             .status(StatusCode::SERVICE_UNAVAILABLE)
             .header(NOT_RUN_HEADER, "true")
             .header(RETRY_AFTER, RETRY_AFTER_SECONDS)
-            .body("every slot is taken\n")
+            .body("all slots are taken\n")
     }
 
     fn show_log(&self) -> Response {
@@ -243,20 +251,20 @@
     }
 }
 
-fn end(refusal: Refusal) -> End {
+fn abort(refusal: Refusal) -> Abort {
     match refusal {
-        Refusal::Break => End::Break,
-        Refusal::Down => End::NotRun,
+        Refusal::Break => Abort::Break,
+        Refusal::Down => Abort::NotRun,
     }
 }
 
-/// A backend server's HTTP endpoint.
-pub(crate) struct Door {
+/// A backend server's HTTP handler.
+pub(crate) struct Handler {
     /// The server behind it.
     pub server: Arc<Server>,
 }
 
-impl Endpoint for Door {
+impl Endpoint for Handler {
     type Output = Response;
 
     async fn call(&self, request: Request) -> poem::Result<Response> {
@@ -264,20 +272,20 @@
             return Ok(self.server.show_log());
         }
         let peer = host::peer(&request);
-        let served = if self.server.valve.clear() {
+        let served = if self.server.injector.clear() {
             self.server.serve(request, peer).await
         } else {
-            // A task of its own, since a server that was held up runs what it was sent, also when
-            // the caller is gone by then.
+            // A separate task, because a server that was frozen or delayed runs the requests that
+            // it has received even if the caller has disconnected meanwhile.
             let server = self.server.clone();
-            let serving = tokio::spawn(async move { server.serve(request, peer).await });
-            serving.await.expect("serving doesn't panic")
+            let task = tokio::spawn(async move { server.serve(request, peer).await });
+            task.await.expect("serving doesn't panic")
         };
         match served {
             Ok(response) => Ok(response),
-            Err(End::NotRun) => Ok(self.server.refuse()),
-            Err(End::Break) => {
-                peer.into_iter().for_each(|peer| self.server.links.cut(peer));
+            Err(Abort::NotRun) => Ok(self.server.not_run()),
+            Err(Abort::Break) => {
+                peer.into_iter().for_each(|peer| self.server.connections.reset(peer));
                 Ok(Response::default())
             }
         }
--- a/crates/standin/src/backend/slots.rs
+++ b/crates/standin/src/backend/slots.rs
@@ -1,4 +1,4 @@
-//! A server's slots and the bounded queue before them.
+//! A server's slots with a bounded queue in front of them.
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
@@ -14,7 +14,7 @@
     queue: usize,
 }
 
-/// Counts a request as waiting for as long as it waits, also when it is given up meanwhile.
+/// Counts a request as waiting until it is dropped, also if its caller gives up.
 struct Waiting<'a>(&'a AtomicUsize);
 
 impl Drop for Waiting<'_> {
@@ -24,17 +24,17 @@
 }
 
 impl Slots {
-    /// Opens so many slots with a queue of so many.
+    /// Opens `slots` slots with a queue of `queue` places.
     pub fn open(slots: usize, queue: usize) -> Slots {
         Slots { free: Semaphore::new(slots), waiting: AtomicUsize::new(0), queue }
     }
 
-    /// Counts the requests that wait.
+    /// Returns the number of requests that wait.
     pub fn waiting(&self) -> usize {
         self.waiting.load(Ordering::Acquire)
     }
 
-    /// Takes a slot, at once or after waiting; nothing when the queue is full.
+    /// Takes a slot, after waiting if none is free. Returns `None` if the queue is full.
     pub async fn take(&self) -> Option<SemaphorePermit<'_>> {
         if let Ok(permit) = self.free.try_acquire() {
             return Some(permit);
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -1,4 +1,4 @@
-//! The switchboard over HTTP: faults and cuts in, records out.
+//! The control server: sets faults and network partitions and shows the records, over HTTP.
 
 use std::io;
 use std::sync::Arc;
@@ -18,63 +18,63 @@
 use crate::platform::Platform;
 use crate::standin::Addresses;
 
-/// Switches a fault: POST an [`Order`].
+/// Sets a fault: POST an [`Order`].
 pub const FAULT: &str = "/standin/fault";
-/// Cuts two sides off from each other: POST a [`Cut`].
+/// Starts a network partition: POST a [`Cut`].
 pub const CUT: &str = "/standin/cut";
-/// Joins two sides again: POST a [`Cut`].
+/// Ends a network partition: POST a [`Cut`].
 pub const HEAL: &str = "/standin/heal";
-/// Shows what all servers did.
+/// Shows the counts of all servers.
 pub const REPORT: &str = "/standin/report";
-/// Shows what must never have happened.
+/// Shows the recorded violations.
 pub const VIOLATIONS: &str = "/standin/violations";
-/// Shows how often requests ran; with an id behind it, how often that one did.
+/// Shows how often requests ran; followed by an id, how often that request ran.
 pub const RUNS: &str = "/standin/runs";
 /// Shows the addresses of all servers.
 pub const ADDRESSES: &str = "/standin/addresses";
 
-/// Largest order.
+/// Largest request body, in bytes.
 const BODY_LIMIT: usize = 64 << 10;
 
-/// Puts a fault in force at a target, in place of the one before.
+/// A request to set the fault of a target, replacing the previous one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// Where.
+    /// The target.
     pub target: Target,
-    /// What; nothing is wrong if left out.
+    /// The fault. If it is left out, the target becomes healthy.
     #[serde(default)]
     pub fault: Fault,
 }
 
-/// The switchboard's HTTP endpoint.
-pub(crate) struct Door {
-    /// What it switches.
+/// The control server's HTTP handler.
+pub(crate) struct Handler {
+    /// The servers that it controls.
     pub platform: Arc<Platform>,
-    /// Where everything is.
+    /// The addresses of all servers.
     pub addresses: Addresses,
 }
 
-impl Endpoint for Door {
+impl Endpoint for Handler {
     type Output = Response;
 
     async fn call(&self, mut request: Request) -> poem::Result<Response> {
         let body = request.take_body().into_bytes_limit(BODY_LIMIT).await?;
         let path = request.uri().path();
         if request.method() == Method::POST {
-            return Ok(self.switch(path, &body).await);
+            return Ok(self.execute(path, &body).await);
         }
         Ok(self.show(path))
     }
 }
 
-impl Door {
-    async fn switch(&self, path: &str, body: &[u8]) -> Response {
+impl Handler {
+    async fn execute(&self, path: &str, body: &[u8]) -> Response {
         match path {
             FAULT => match parse::<Order>(body) {
-                Ok(order) => done(self.platform.set_fault(&order.target, &order.fault).await),
-                Err(error) => bad(&error),
+                Ok(order) => respond(self.platform.set_fault(&order.target, &order.fault).await),
+                Err(error) => bad_request(&error),
             },
             CUT => self.cut(body, |cut| self.platform.cuts.cut(cut)),
             HEAL => self.cut(body, |cut| self.platform.cuts.heal(cut)),
@@ -82,13 +82,13 @@
         }
     }
 
-    fn cut(&self, body: &[u8], act: impl FnOnce(Cut)) -> Response {
+    fn cut(&self, body: &[u8], apply: impl FnOnce(Cut)) -> Response {
         match parse(body) {
             Ok(cut) => {
-                act(cut);
-                done(Ok(()))
+                apply(cut);
+                respond(Ok(()))
             }
-            Err(error) => bad(&error),
+            Err(error) => bad_request(&error),
         }
     }
 
@@ -110,16 +110,16 @@
     serde_json::from_slice(body)
 }
 
-fn bad(error: &serde_json::Error) -> Response {
+fn bad_request(error: &serde_json::Error) -> Response {
     (StatusCode::BAD_REQUEST, format!("{error}\n")).into()
 }
 
 fn json<T: Serialize>(value: &T) -> Response {
-    let text = serde_json::to_string_pretty(value).expect("what is shown is plain data");
+    let text = serde_json::to_string_pretty(value).expect("the value is plain data");
     Response::builder().content_type("application/json").body(text + "\n")
 }
 
-fn done(result: io::Result<()>) -> Response {
+fn respond(result: io::Result<()>) -> Response {
     match result {
         Ok(()) => StatusCode::NO_CONTENT.into(),
         Err(error) if error.kind() == io::ErrorKind::NotFound => {
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -1,4 +1,4 @@
-//! The faults that can be switched on and off.
+//! The faults that can be injected.
 
 use std::time::Duration;
 
@@ -12,12 +12,12 @@
 /// The side of the store and the list in a [`Cut`].
 pub const PLATFORM: &str = "platform";
 
-/// What a fault is switched on at.
+/// The servers that a fault applies to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Target {
-    /// The key-value service.
+    /// The key-value store.
     Store,
     /// The list of instances.
     List,
@@ -29,41 +29,41 @@
     Domain(Domain),
 }
 
-/// Whether a server answers at all.
+/// The availability of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It does.
+    /// The server responds.
     #[default]
     Up,
-    /// It refuses each call before any effect.
+    /// The server refuses each call before it has any effect.
     Down,
-    /// It holds calls and answers until it goes on, and then obeys them, however old they are.
+    /// The server holds calls and responses until it is unfrozen, and then carries them out,
+    /// however old they are.
     Frozen,
-    /// Its process is gone, with all that it held in memory.
+    /// The server's process has ended, and its in-memory state is lost.
     Killed,
 }
 
-/// What is wrong with a server; the default is nothing.
+/// A fault of a server. The default is a healthy server.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Whether it answers at all.
+    /// The availability.
     pub state: State,
-    /// How long each call waits before it takes effect, in milliseconds.
+    /// The delay before each call takes effect; in milliseconds when serialised.
     #[serde_as(as = "Millis")]
     pub delay: Duration,
-    /// Every how many calls the answer is lost after the call took effect; zero for never.
+    /// The response to every Nth call is lost after the call took effect; zero for none.
     pub lose_answers: u64,
-    /// How long a backend server or run takes, in thousandths of its usual time.
+    /// The duration of requests and runs, in thousandths of their usual duration.
     pub slow_permille: u32,
-    /// Whether it fails whatever it is given to run: a backend server at once with status 500, a
-    /// worker each run shortly after its start.
+    /// Whether all work fails: requests at once with status 500, runs shortly after their start.
     pub failing: bool,
-    /// Whether it says that it is leaving.
+    /// Whether the server announces that it is leaving.
     pub leaving: bool,
 }
 
@@ -81,7 +81,7 @@
 }
 
 impl Fault {
-    /// A server in this state with nothing else wrong.
+    /// Returns a fault of this availability with nothing else wrong.
     pub fn state(state: State) -> Fault {
         Fault { state, ..Fault::default() }
     }
@@ -98,7 +98,7 @@
 }
 
 impl Cut {
-    /// A cut has no direction, so its sides are kept in order.
+    /// Returns the cut with its sides sorted, since a cut has no direction.
     pub(crate) fn ordered(self) -> Cut {
         if self.a <= self.b { self } else { Cut { a: self.b, b: self.a } }
     }
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -1,4 +1,4 @@
-//! One HTTP server on one port, which can be killed and started again.
+//! One HTTP server on one port, which can be killed and restarted.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,90 +17,92 @@
 use tokio::runtime::Handle;
 use tokio::task::JoinHandle;
 
-use crate::link::Link;
-use crate::link::Links;
+use crate::connection::Connection;
+use crate::connection::Connections;
 
-/// Times that a killed server tries to get its port back.
-const BIND_TRIES: u32 = 50;
-/// Pause between two tries.
-const BIND_PAUSE: Duration = Duration::from_millis(20);
+/// Attempts of a killed server to bind its port again.
+const BIND_ATTEMPTS: u32 = 50;
+/// Delay between two attempts.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections as links.
-struct Gatekeeper {
+/// An acceptor with a limit on open connections, which makes each of them resettable.
+struct Listener {
     listener: TcpListener,
     address: SocketAddr,
-    links: Arc<Links>,
+    connections: Arc<Connections>,
     limit: usize,
 }
 
-impl Acceptor for Gatekeeper {
-    type Io = Link;
+impl Acceptor for Listener {
+    type Io = Connection;
 
     fn local_addr(&self) -> Vec<LocalAddr> {
         vec![LocalAddr(self.address.into())]
     }
 
-    async fn accept(&mut self) -> io::Result<(Link, LocalAddr, RemoteAddr, Scheme)> {
+    async fn accept(&mut self) -> io::Result<(Connection, LocalAddr, RemoteAddr, Scheme)> {
         loop {
             let (socket, peer) = self.listener.accept().await?;
             socket.set_nodelay(true)?;
-            // One over the limit is closed at once, as by a server that is out of descriptors.
-            if let Some(link) = self.links.admit(socket, peer, self.limit) {
+            // A connection over the limit is closed at once, like by a server that has run out of
+            // file descriptors.
+            if let Some(connection) = self.connections.admit(socket, peer, self.limit) {
                 let local = LocalAddr(self.address.into());
-                return Ok((link, local, RemoteAddr(peer.into()), Scheme::HTTP));
+                return Ok((connection, local, RemoteAddr(peer.into()), Scheme::HTTP));
             }
         }
     }
 }
 
-/// A server on one port. Dropping it ends it.
+/// A server on one port. Dropping it stops the server.
 pub struct Host<E> {
     address: SocketAddr,
-    links: Arc<Links>,
+    connections: Arc<Connections>,
     limit: usize,
     endpoint: Arc<E>,
     runtime: Handle,
-    serving: Mutex<Option<JoinHandle<()>>>,
+    task: Mutex<Option<JoinHandle<()>>>,
 }
 
 impl<E: Endpoint + 'static> Host<E> {
-    /// Binds a port and serves. `links` are the server's connections, at most `limit` at a time.
+    /// Binds an address and serves on it. `connections` receives the server's connections, at most
+    /// `limit` at a time.
     ///
     /// # Errors
     ///
-    /// When the address can't be bound.
+    /// Fails if the address can't be bound.
     pub fn open(
         runtime: &Handle,
         address: SocketAddr,
-        links: Arc<Links>,
+        connections: Arc<Connections>,
         limit: usize,
         endpoint: Arc<E>,
     ) -> io::Result<Host<E>> {
         let listener = std::net::TcpListener::bind(address)?;
-        Host::from_listener(runtime, listener, links, limit, endpoint)
+        Host::from_listener(runtime, listener, connections, limit, endpoint)
     }
 
-    /// Serves on a port that is bound already; otherwise like [`Host::open`].
+    /// Serves on a listener that is already bound; otherwise like [`Host::open`].
     pub fn from_listener(
         runtime: &Handle,
         listener: std::net::TcpListener,
-        links: Arc<Links>,
+        connections: Arc<Connections>,
         limit: usize,
         endpoint: Arc<E>,
     ) -> io::Result<Host<E>> {
         let host = Host {
             address: listener.local_addr()?,
-            links,
+            connections,
             limit,
             endpoint,
             runtime: runtime.clone(),
-            serving: Mutex::new(None),
+            task: Mutex::new(None),
         };
         host.serve(listener)?;
         Ok(host)
     }
 
-    /// Returns the address, which stays the same over a kill.
+    /// Returns the address, which stays the same after a kill and a restart.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -108,48 +110,48 @@
     fn serve(&self, listener: std::net::TcpListener) -> io::Result<()> {
         listener.set_nonblocking(true)?;
         let _entered = self.runtime.enter();
-        let gatekeeper = Gatekeeper {
+        let acceptor = Listener {
             listener: TcpListener::from_std(listener)?,
             address: self.address,
-            links: self.links.clone(),
+            connections: self.connections.clone(),
             limit: self.limit,
         };
         let endpoint = self.endpoint.clone();
-        let serving = self.runtime.spawn(async move {
-            let server = poem::Server::new_with_acceptor(gatekeeper);
+        let task = self.runtime.spawn(async move {
+            let server = poem::Server::new_with_acceptor(acceptor);
             let _ = server.run(endpoint.into_endpoint()).await;
         });
-        *self.serving.lock().expect("no holder panics") = Some(serving);
+        *self.task.lock().expect("no lock holder panics") = Some(task);
         Ok(())
     }
 
-    /// Ends the server as a killed process ends: the port closes and every connection breaks.
+    /// Stops the server like a killed process: the port is closed and every connection is reset.
     pub async fn kill(&self) {
-        let serving = self.serving.lock().expect("no holder panics").take();
-        if let Some(serving) = serving {
-            serving.abort();
-            // Its end is an abort, which is what was asked for.
-            let _ = serving.await;
+        let task = self.task.lock().expect("no lock holder panics").take();
+        if let Some(task) = task {
+            task.abort();
+            // The expected result is the cancellation requested above.
+            let _ = task.await;
         }
-        self.links.cut_all();
+        self.connections.reset_all();
     }
 
-    /// Starts a killed server again on its port; does nothing to one that serves.
+    /// Restarts a killed server on its port. Does nothing if the server is running.
     ///
     /// # Errors
     ///
-    /// When the port has been taken by someone else.
-    pub async fn revive(&self) -> io::Result<()> {
-        if self.serving.lock().expect("no holder panics").is_some() {
+    /// Fails if another process has taken the port.
+    pub async fn restart(&self) -> io::Result<()> {
+        if self.task.lock().expect("no lock holder panics").is_some() {
             return Ok(());
         }
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            tries += 1;
+            attempts += 1;
             match std::net::TcpListener::bind(self.address) {
                 Ok(listener) => return self.serve(listener),
-                Err(error) if tries == BIND_TRIES => return Err(error),
-                Err(_) => tokio::time::sleep(BIND_PAUSE).await,
+                Err(error) if attempts == BIND_ATTEMPTS => return Err(error),
+                Err(_) => tokio::time::sleep(BIND_RETRY_DELAY).await,
             }
         }
     }
@@ -157,14 +159,14 @@
 
 impl<E> Drop for Host<E> {
     fn drop(&mut self) {
-        if let Some(serving) = self.serving.lock().expect("no holder panics").take() {
-            serving.abort();
+        if let Some(task) = self.task.lock().expect("no lock holder panics").take() {
+            task.abort();
         }
-        self.links.cut_all();
+        self.connections.reset_all();
     }
 }
 
-/// Returns the address at the other end of a request's connection.
+/// Returns the peer address of a request's connection.
 pub fn peer(request: &Request) -> Option<SocketAddr> {
     request.remote_addr().as_socket_addr().copied()
 }
--- a/crates/standin/src/kv.rs
+++ b/crates/standin/src/kv.rs
@@ -1,6 +1,7 @@
-//! The platform's key-value service: the part of etcd's JSON gateway that our adapter speaks.
+//! The platform's key-value store: the subset of etcd's JSON gateway that our adapter uses.
 //!
-//! [`state`] holds the keys and decides; [`server`] speaks HTTP; [`stream`] feeds the watches.
+//! [`state`] holds the keys and carries out transactions; [`server`] serves HTTP; `stream` serves
+//! the watches.
 
 pub mod count;
 mod rate;
--- a/crates/standin/src/kv/count.rs
+++ b/crates/standin/src/kv/count.rs
@@ -1,4 +1,4 @@
-//! How many calls the store got.
+//! Counts of calls to the store.
 
 use std::sync::atomic::AtomicI64;
 use std::sync::atomic::AtomicU64;
@@ -10,7 +10,7 @@
 use crate::kv::rate::Rate;
 use crate::plan::Limits;
 
-/// How many calls came, by what the platform counts apart.
+/// The number of calls to the store, by the kinds that the platform counts separately.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Count {
@@ -18,47 +18,47 @@
     pub reads: u64,
     /// Transactions.
     pub commits: u64,
-    /// Grants, renewals and ends of leases.
+    /// Grants, renewals and revocations of leases.
     pub leases: u64,
     /// Watches opened.
     pub watches: u64,
-    /// Watches waiting now.
+    /// Watches open now.
     pub watches_waiting: i64,
-    /// Most reads in one second.
+    /// Highest number of reads in one second.
     pub peak_reads: u64,
-    /// Most transactions and calls about leases in one second.
+    /// Highest number of transactions and lease calls in one second.
     pub peak_writes: u64,
-    /// Calls refused or broken by a fault before any effect.
+    /// Calls refused or broken off by a fault before any effect.
     pub refused: u64,
-    /// Answers lost after the effect.
+    /// Responses lost after the call took effect.
     pub lost: u64,
 }
 
-/// The running counts behind a [`Count`].
+/// The live counters behind a [`Count`].
 #[derive(Debug)]
 pub struct Counts {
     /// Reads.
     pub reads: AtomicU64,
     /// Transactions.
     pub commits: AtomicU64,
-    /// Grants, renewals and ends of leases.
+    /// Grants, renewals and revocations of leases.
     pub leases: AtomicU64,
     /// Watches opened.
     pub watches: AtomicU64,
-    /// Watches waiting now.
+    /// Watches open now.
     pub watches_waiting: AtomicI64,
     /// The rate of reads.
     pub read_rate: Rate,
-    /// The rate of transactions and calls about leases.
+    /// The rate of transactions and lease calls.
     pub write_rate: Rate,
-    /// Calls refused or broken by a fault.
+    /// Calls refused or broken off by a fault.
     pub refused: AtomicU64,
-    /// Answers lost after the effect.
+    /// Responses lost after the call took effect.
     pub lost: AtomicU64,
 }
 
 impl Counts {
-    /// Opens counts that let calls through within limits.
+    /// Opens counters that admit calls within limits.
     pub fn open(limits: Limits) -> Counts {
         Counts {
             reads: AtomicU64::new(0),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Reads the counts.
+    /// Returns the current counts.
     pub fn count(&self) -> Count {
         Count {
             reads: self.reads.load(Ordering::Relaxed),
--- a/crates/standin/src/kv/rate.rs
+++ b/crates/standin/src/kv/rate.rs
@@ -1,10 +1,10 @@
-//! The rate of one kind of call, which the platform limits, by whole seconds.
+//! The rate of one kind of call. The platform limits it for each whole second.
 
 use std::sync::Mutex;
 
 use cowslipchute_base::id::Time;
 
-/// Counts calls by whole seconds.
+/// A rate limiter with a fixed window of one second.
 #[derive(Debug)]
 pub struct Rate {
     limit: u64,
@@ -19,14 +19,14 @@
 }
 
 impl Rate {
-    /// Opens a count that lets so many calls a second through.
+    /// Opens a limiter that admits `limit` calls in each second.
     pub fn open(limit: u64) -> Rate {
         Rate { limit, inner: Mutex::default() }
     }
 
-    /// Counts one call and tells whether it is within the limit.
+    /// Counts one call and returns `true` if it is within the limit.
     pub fn admit(&self, now: Time) -> bool {
-        let mut inner = self.inner.lock().expect("no holder panics");
+        let mut inner = self.inner.lock().expect("no lock holder panics");
         if now.as_secs() != inner.second {
             inner.second = now.as_secs();
             inner.calls = 0;
@@ -36,8 +36,8 @@
         inner.calls <= self.limit
     }
 
-    /// Returns the most calls of one second so far.
+    /// Returns the highest number of calls in one second so far.
     pub fn peak(&self) -> u64 {
-        self.inner.lock().expect("no holder panics").peak
+        self.inner.lock().expect("no lock holder panics").peak
     }
 }
--- a/crates/standin/src/kv/server.rs
+++ b/crates/standin/src/kv/server.rs
@@ -18,55 +18,63 @@
 use serde::de::DeserializeOwned;
 use tokio::sync::watch;
 
+use crate::connection::Connections;
 use crate::host;
+use crate::injector::Call;
+use crate::injector::Injector;
+use crate::injector::Refusal;
 use crate::kv::count::Count;
 use crate::kv::count::Counts;
 use crate::kv::rate::Rate;
 use crate::kv::state::State;
 use crate::kv::stream;
-use crate::link::Links;
 use crate::origin;
 use crate::plan::Limits;
-use crate::valve::Pass;
-use crate::valve::Refusal;
-use crate::valve::Valve;
 
-/// Largest request, which leaves room for one value in base64 and more keys beside it.
+/// Largest request body, in bytes: enough for one value in base64 and further keys.
 const BODY_LIMIT: usize = 16 << 20;
-/// How often lapsed leases are looked for.
-const LAPSE_EVERY: Duration = Duration::from_millis(10);
+/// The interval between checks for expired leases.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The store that all calls share.
+/// The store, shared by all calls.
 #[derive(Debug)]
 pub struct Service {
     state: Mutex<State>,
     revision: watch::Sender<u64>,
     clock: Clock,
-    progress: Duration,
-    valve: Arc<Valve>,
-    links: Arc<Links>,
+    progress_interval: Duration,
+    injector: Arc<Injector>,
+    connections: Arc<Connections>,
     counts: Counts,
 }
 
 impl Service {
-    /// Opens an empty store whose watches tell their progress every `progress`.
+    /// Opens an empty store whose watches report their progress every `progress_interval`.
     pub(crate) fn open(
         clock: Clock,
-        progress: Duration,
+        progress_interval: Duration,
         limits: Limits,
-        valve: Arc<Valve>,
-        links: Arc<Links>,
+        injector: Arc<Injector>,
+        connections: Arc<Connections>,
     ) -> Arc<Service> {
         let state = State::default();
         let revision = watch::Sender::new(state.revision());
         let counts = Counts::open(limits);
         let state = Mutex::new(state);
-        Arc::new(Service { state, revision, clock, progress, valve, links, counts })
+        Arc::new(Service {
+            state,
+            revision,
+            clock,
+            progress_interval,
+            injector,
+            connections,
+            counts,
+        })
     }
 
-    /// Lets leases lapse for as long as the store lives.
-    pub(crate) async fn lapse(self: Arc<Service>) {
-        let mut ticks = tokio::time::interval(LAPSE_EVERY);
+    /// Expires leases until the store is closed.
+    pub(crate) async fn expire_leases(self: Arc<Service>) {
+        let mut ticks = tokio::time::interval(LEASE_CHECK_INTERVAL);
         loop {
             ticks.tick().await;
             let now = self.clock.now();
@@ -75,43 +83,43 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no lock holder panics")
     }
 
-    /// Changes the store and tells the watches if its revision rose.
+    /// Changes the store and notifies the watches if its revision increased.
     fn change<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
         let mut state = self.lock();
         let result = change(&mut state);
         let revision = state.revision();
-        // Sent under the lock, so that revisions are told in their order.
-        self.revision.send_if_modified(|told| {
-            let rose = revision > *told;
-            *told = revision;
-            rose
+        // Sent under the lock, so that revisions are announced in order.
+        self.revision.send_if_modified(|sent| {
+            let advanced = revision > *sent;
+            *sent = revision;
+            advanced
         });
         result
     }
 
-    /// Forgets the changes up to and with a revision.
+    /// Compacts the history up to and including a revision.
     pub fn compact(&self, revision: u64) {
         self.lock().compact(revision);
     }
 
-    /// Returns how many calls came.
+    /// Returns the counts of calls.
     pub fn count(&self) -> Count {
         self.counts.count()
     }
 
-    pub(super) fn links(&self) -> &Links {
-        &self.links
+    pub(super) fn connections(&self) -> &Connections {
+        &self.connections
     }
 
-    pub(super) fn valve(&self) -> &Valve {
-        &self.valve
+    pub(super) fn injector(&self) -> &Injector {
+        &self.injector
     }
 
-    pub(super) fn progress(&self) -> Duration {
-        self.progress
+    pub(super) fn progress_interval(&self) -> Duration {
+        self.progress_interval
     }
 
     pub(super) fn revisions(&self) -> watch::Receiver<u64> {
@@ -126,7 +134,8 @@
         self.counts.watches_waiting.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Returns the changes of a watch after a revision, up to one that it has been told of.
+    /// Returns the changes that a watch covers after a revision, up to and including another
+    /// revision.
     pub(super) fn changes_after(
         &self,
         after: u64,
@@ -138,7 +147,7 @@
         Ok(events)
     }
 
-    fn obey(&self, path: &str, body: &[u8]) -> Result<Response, wire::Failure> {
+    fn handle(&self, path: &str, body: &[u8]) -> Result<Response, wire::Failure> {
         let now = self.clock.now();
         match path {
             wire::RANGE => {
@@ -154,22 +163,22 @@
                 self.change(|state| state.txn(now, &request)).map(|response| json(&response))
             }
             wire::LEASE_GRANT => {
-                let request = self.lease(now, body)?;
+                let request = self.parse_lease(now, body)?;
                 Ok(json(&self.change(|state| state.grant(now, &request))))
             }
             wire::LEASE_KEEP_ALIVE => {
-                let request = self.lease(now, body)?;
+                let request = self.parse_lease(now, body)?;
                 let result = Some(self.change(|state| state.keep_alive(now, &request)));
                 Ok(json(&wire::Streamed { result, error: None }))
             }
             wire::LEASE_REVOKE => {
-                let request = self.lease(now, body)?;
+                let request = self.parse_lease(now, body)?;
                 self.change(|state| state.revoke(now, &request))?;
                 Ok(json(&serde_json::json!({})))
             }
             _ => Err(wire::Failure {
                 code: wire::CODE_NOT_FOUND,
-                message: format!("there is no {path}"),
+                message: format!("unknown path {path}"),
             }),
         }
     }
@@ -182,7 +191,7 @@
         Err(wire::Failure { code: wire::CODE_EXHAUSTED, message })
     }
 
-    fn lease(&self, now: Time, body: &[u8]) -> Result<wire::Lease, wire::Failure> {
+    fn parse_lease(&self, now: Time, body: &[u8]) -> Result<wire::Lease, wire::Failure> {
         self.admit(&self.counts.write_rate, now)?;
         self.counts.leases.fetch_add(1, Ordering::Relaxed);
         parse(body)
@@ -190,13 +199,13 @@
 
     fn open_watch(
         self: Arc<Service>,
-        pass: Pass,
+        call: Call,
         peer: Option<SocketAddr>,
         body: &[u8],
     ) -> Result<Response, wire::Failure> {
         self.counts.watches.fetch_add(1, Ordering::Relaxed);
         let request: wire::watch::Request = parse(body)?;
-        let body = stream::open(self, pass, peer, request.create_request);
+        let body = stream::open(self, call, peer, request.create_request);
         Ok(Response::builder().content_type("application/json").body(body))
     }
 
@@ -206,17 +215,17 @@
         let Ok(body) = request.take_body().into_bytes_limit(BODY_LIMIT).await else {
             return Err(Refusal::Break);
         };
-        let pass = self.valve.enter(from).await.inspect_err(|_| {
+        let call = self.injector.before_request(from).await.inspect_err(|_| {
             self.counts.refused.fetch_add(1, Ordering::Relaxed);
         })?;
         let result = match path.as_str() {
-            wire::WATCH => self.clone().open_watch(pass.clone(), peer, &body),
-            path => self.obey(path, &body),
+            wire::WATCH => self.clone().open_watch(call.clone(), peer, &body),
+            path => self.handle(path, &body),
         };
-        self.valve.leave(&pass).await.inspect_err(|_| {
+        self.injector.before_response(&call).await.inspect_err(|_| {
             self.counts.lost.fetch_add(1, Ordering::Relaxed);
         })?;
-        Ok(result.unwrap_or_else(|failure| refuse(&failure)))
+        Ok(result.unwrap_or_else(|failure| failure_response(&failure)))
     }
 }
 
@@ -230,8 +239,9 @@
     Response::builder().content_type("application/json").body(text)
 }
 
-/// Tells a failure as the gateway does: the status that goes with the gRPC code, and the text.
-fn refuse(failure: &wire::Failure) -> Response {
+/// Returns the response to a failed call, as the gateway makes it: the HTTP status of the gRPC
+/// code, and the message.
+fn failure_response(failure: &wire::Failure) -> Response {
     let status = match failure.code {
         wire::CODE_INVALID | wire::CODE_OUT_OF_RANGE => StatusCode::BAD_REQUEST,
         wire::CODE_NOT_FOUND => StatusCode::NOT_FOUND,
@@ -243,27 +253,28 @@
     response
 }
 
-/// The store's HTTP endpoint.
-pub(crate) struct Door {
+/// The store's HTTP handler.
+pub(crate) struct Handler {
     /// The store behind it.
     pub service: Arc<Service>,
 }
 
-impl Endpoint for Door {
+impl Endpoint for Handler {
     type Output = Response;
 
     async fn call(&self, request: Request) -> poem::Result<Response> {
         let peer = host::peer(&request);
-        // A task of its own, since a call that has arrived is obeyed even when its caller is gone.
+        // A separate task, because a call that has arrived is carried out even if its caller has
+        // disconnected.
         let served = tokio::spawn(self.service.clone().serve(request)).await;
         match served.expect("serving doesn't panic") {
             Ok(response) => Ok(response),
-            Err(Refusal::Down) => Ok(refuse(&wire::Failure {
+            Err(Refusal::Down) => Ok(failure_response(&wire::Failure {
                 code: wire::CODE_UNAVAILABLE,
                 message: wire::NO_LEADER.to_owned(),
             })),
             Err(Refusal::Break) => {
-                peer.into_iter().for_each(|peer| self.service.links.cut(peer));
+                peer.into_iter().for_each(|peer| self.service.connections.reset(peer));
                 Ok(Response::default())
             }
         }
--- a/crates/standin/src/kv/span.rs
+++ b/crates/standin/src/kv/span.rs
@@ -1,18 +1,19 @@
-//! A range of keys as the wire tells it.
+//! Key ranges of the wire protocol.
 
 use std::ops::Bound;
 
-/// A key as the wire has it.
+/// A key.
 pub type Key = Vec<u8>;
 
-/// Keys from one key up to but without an end.
+/// A range of keys.
 pub struct Span {
     start: Key,
     end: Bound<Key>,
 }
 
 impl Span {
-    /// Reads the wire's convention: no end for one key, a zero byte for all keys after the first.
+    /// Makes a range from the wire format: an empty end stands for a single key, a zero byte for
+    /// all keys from the first one on.
     pub fn new(key: &[u8], range_end: &[u8]) -> Span {
         let end = match range_end {
             [] => Bound::Included(key.to_vec()),
@@ -22,7 +23,7 @@
         Span { start: key.to_vec(), end }
     }
 
-    /// Tells whether a key is among them.
+    /// Returns `true` if the range contains a key.
     pub fn contains(&self, key: &[u8]) -> bool {
         let before_end = match &self.end {
             Bound::Included(end) => key <= end.as_slice(),
@@ -32,13 +33,13 @@
         key >= self.start.as_slice() && before_end
     }
 
-    /// Tells whether there can be none. An ordered map panics on a range that ends before it
-    /// starts, so this is asked first.
+    /// Returns `true` if the range ends before it starts. An ordered map panics on such a range, so
+    /// callers check this first.
     pub fn is_empty(&self) -> bool {
         matches!(&self.end, Bound::Excluded(end) if *end <= self.start)
     }
 
-    /// Returns the bounds in an ordered map.
+    /// Returns the bounds for a lookup in an ordered map.
     pub fn bounds(&self) -> (Bound<Key>, Bound<Key>) {
         (Bound::Included(self.start.clone()), self.end.clone())
     }
--- a/crates/standin/src/kv/state.rs
+++ b/crates/standin/src/kv/state.rs
@@ -1,4 +1,4 @@
-//! The store's keys, leases and history, without I/O and without a clock.
+//! The store's keys, leases and history. Does no I/O; the caller passes the time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,13 +11,13 @@
 use crate::kv::span::Key;
 use crate::kv::span::Span;
 
-/// Changes kept for watches that start in the past.
-const HISTORY: usize = 65_536;
+/// Changes kept for watches that start at an earlier revision.
+const MAX_HISTORY: usize = 65_536;
 
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
-    until: Time,
+    expires_at: Time,
     keys: BTreeSet<Key>,
 }
 
@@ -28,15 +28,15 @@
     keys: BTreeMap<Key, wire::KeyValue>,
     leases: BTreeMap<i64, Lease>,
     last_lease: i64,
-    /// By rising revision; several changes may share one.
+    /// Changes by ascending revision; several changes may share a revision.
     history: VecDeque<wire::watch::Event>,
-    /// Changes up to this revision are no longer kept.
+    /// The highest revision whose changes are no longer kept.
     compacted: u64,
 }
 
 impl Default for State {
     fn default() -> State {
-        // Like etcd, an empty store is at revision one.
+        // An empty store is at revision 1, like in etcd.
         State {
             revision: 1,
             keys: BTreeMap::new(),
@@ -58,12 +58,12 @@
         self.revision
     }
 
-    /// Returns how many keys there are.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Tells whether there are no keys.
+    /// Returns `true` if there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
@@ -72,11 +72,15 @@
         wire::Header { revision: self.revision }
     }
 
-    /// Lets lapsed leases go, with their keys.
+    /// Removes expired leases and their keys.
     pub fn advance(&mut self, now: Time) {
-        let lapsed: Vec<i64> =
-            self.leases.iter().filter(|(_, lease)| lease.until <= now).map(|(id, _)| *id).collect();
-        for id in lapsed {
+        let expired: Vec<i64> = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.expires_at <= now)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in expired {
             self.end_lease(id);
         }
     }
@@ -90,7 +94,7 @@
         for key in lease.keys {
             self.remove(&key);
         }
-        self.forget_oldest();
+        self.trim_history();
     }
 
     /// Reads a range.
@@ -106,31 +110,31 @@
         self.keys.range(span.bounds()).map(|(_, kv)| kv.clone()).collect()
     }
 
-    /// Decides a transaction and makes its changes in one revision.
+    /// Evaluates a transaction and applies its changes in one revision.
     ///
     /// # Errors
     ///
-    /// When the store refuses it before changing anything.
+    /// Fails if the store refuses the transaction; nothing has been changed then.
     pub fn txn(
         &mut self,
         now: Time,
         request: &wire::txn::Request,
     ) -> Result<wire::txn::Response, wire::Failure> {
         self.advance(now);
-        let succeeded = request.compare.iter().all(|compare| self.holds(compare));
+        let succeeded = request.compare.iter().all(|compare| self.is_satisfied(compare));
         let steps = if succeeded { &request.success } else { &request.failure };
-        // Everything is checked before the first change, so that a transaction is all or nothing.
-        steps.iter().try_for_each(|step| self.check(step))?;
+        // All steps are validated before the first change, so that a transaction is atomic.
+        steps.iter().try_for_each(|step| self.validate(step))?;
         let before = self.revision;
-        let changes = steps.iter().any(|step| self.changes(step));
+        let changes = steps.iter().any(|step| self.would_change(step));
         self.revision += u64::from(changes);
         let responses = steps.iter().map(|step| self.apply(step)).collect();
-        self.forget_oldest();
+        self.trim_history();
         debug_assert!(self.revision - before <= 1, "a transaction is one revision");
         Ok(wire::txn::Response { header: self.header(), succeeded, responses })
     }
 
-    fn holds(&self, compare: &wire::txn::Compare) -> bool {
+    fn is_satisfied(&self, compare: &wire::txn::Compare) -> bool {
         let kv = self.keys.get(&compare.key);
         let (found, wanted) = match compare.target {
             wire::txn::Target::Version => (kv.map(|kv| kv.version), compare.version),
@@ -146,7 +150,7 @@
         }
     }
 
-    fn check(&self, step: &wire::txn::Step) -> Result<(), wire::Failure> {
+    fn validate(&self, step: &wire::txn::Step) -> Result<(), wire::Failure> {
         let Some(put) = &step.request_put else { return Ok(()) };
         if put.value.len() > wire::VALUE_LIMIT {
             return Err(failure(wire::CODE_INVALID, wire::TOO_LARGE));
@@ -157,11 +161,11 @@
         Ok(())
     }
 
-    fn changes(&self, step: &wire::txn::Step) -> bool {
-        let removes = |delete: &wire::txn::Delete| {
+    fn would_change(&self, step: &wire::txn::Step) -> bool {
+        let would_remove = |delete: &wire::txn::Delete| {
             !self.find(&Span::new(&delete.key, &delete.range_end)).is_empty()
         };
-        step.request_put.is_some() || step.request_delete_range.as_ref().is_some_and(removes)
+        step.request_put.is_some() || step.request_delete_range.as_ref().is_some_and(would_remove)
     }
 
     fn apply(&mut self, step: &wire::txn::Step) -> wire::txn::Outcome {
@@ -188,7 +192,7 @@
             lease: put.lease,
         };
         let old_lease = old.map_or(0, |kv| kv.lease);
-        self.unbind(old_lease, &put.key);
+        self.detach_lease(old_lease, &put.key);
         if let Some(lease) = self.leases.get_mut(&put.lease) {
             lease.keys.insert(put.key.clone());
         }
@@ -198,7 +202,7 @@
 
     fn remove(&mut self, key: &[u8]) {
         let Some(old) = self.keys.remove(key) else { return };
-        self.unbind(old.lease, key);
+        self.detach_lease(old.lease, key);
         let kv = wire::KeyValue {
             key: key.to_vec(),
             mod_revision: self.revision,
@@ -207,20 +211,20 @@
         self.history.push_back(wire::watch::Event { kind: wire::watch::Kind::Delete, kv });
     }
 
-    fn unbind(&mut self, lease: i64, key: &[u8]) {
+    fn detach_lease(&mut self, lease: i64, key: &[u8]) {
         if let Some(lease) = self.leases.get_mut(&lease) {
             lease.keys.remove(key);
         }
     }
 
-    fn forget_oldest(&mut self) {
-        while self.history.len() > HISTORY {
-            let oldest = self.history.front().expect("it is longer than its limit");
+    fn trim_history(&mut self) {
+        while self.history.len() > MAX_HISTORY {
+            let oldest = self.history.front().expect("the collection exceeds its limit");
             self.compact(oldest.kv.mod_revision);
         }
     }
 
-    /// Forgets the changes up to and with a revision.
+    /// Removes the changes up to and including a revision from the history.
     pub fn compact(&mut self, revision: u64) {
         let revision = revision.min(self.revision);
         self.compacted = self.compacted.max(revision);
@@ -229,11 +233,11 @@
         }
     }
 
-    /// Returns the changes of a range after a revision, by rising revision.
+    /// Returns the changes of a range after a revision, by ascending revision.
     ///
     /// # Errors
     ///
-    /// The oldest revision that can be asked for, when some of these changes are no longer kept.
+    /// Returns the oldest revision that can still be read if some of these changes are compacted.
     pub fn changes_after(
         &self,
         after: u64,
@@ -255,25 +259,25 @@
         let id = if request.id == 0 { self.last_lease + 1 } else { request.id };
         self.last_lease = self.last_lease.max(id);
         let ttl = Duration::from_secs(request.ttl.max(1) as u64);
-        self.leases.insert(id, Lease { ttl, until: now + ttl, keys: BTreeSet::new() });
+        self.leases.insert(id, Lease { ttl, expires_at: now + ttl, keys: BTreeSet::new() });
         wire::Lease { id, ttl: ttl.as_secs() as i64 }
     }
 
-    /// Renews a lease; one that has lapsed comes back with no time to live.
+    /// Renews a lease. For an expired lease, the response has a time to live of zero.
     pub fn keep_alive(&mut self, now: Time, request: &wire::Lease) -> wire::Lease {
         self.advance(now);
         let Some(lease) = self.leases.get_mut(&request.id) else {
             return wire::Lease { id: request.id, ttl: 0 };
         };
-        lease.until = now + lease.ttl;
+        lease.expires_at = now + lease.ttl;
         wire::Lease { id: request.id, ttl: lease.ttl.as_secs() as i64 }
     }
 
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease and removes its keys.
     ///
     /// # Errors
     ///
-    /// When there is no such lease.
+    /// Fails if there is no such lease.
     pub fn revoke(&mut self, now: Time, request: &wire::Lease) -> Result<(), wire::Failure> {
         self.advance(now);
         if !self.leases.contains_key(&request.id) {
--- a/crates/standin/src/kv/stream.rs
+++ b/crates/standin/src/kv/stream.rs
@@ -1,4 +1,4 @@
-//! The endless answer of a watch.
+//! The streamed response of a watch.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,24 +12,24 @@
 use poem::Body;
 use tokio::sync::watch;
 
+use crate::injector::Call;
 use crate::kv::server::Service;
-use crate::valve::Pass;
 
-/// One watch: what it looks at and how far it has come.
+/// One watch and its progress.
 struct Watch {
     service: Arc<Service>,
-    pass: Pass,
+    call: Call,
     peer: Option<SocketAddr>,
     create: wire::watch::Create,
-    /// Everything up to this revision has been sent.
+    /// All changes up to this revision have been sent.
     sent: u64,
-    revision: watch::Receiver<u64>,
-    opened: bool,
-    ended: bool,
+    revisions: watch::Receiver<u64>,
+    is_opened: bool,
+    is_ended: bool,
     _waiting: Waiting,
 }
 
-/// Counts a watch as waiting for as long as it lives.
+/// Counts a watch as open until it is dropped.
 struct Waiting {
     service: Arc<Service>,
 }
@@ -40,29 +40,29 @@
     }
 }
 
-/// Opens the answer of a watch.
+/// Returns the body of a watch's response.
 pub fn open(
     service: Arc<Service>,
-    pass: Pass,
+    call: Call,
     peer: Option<SocketAddr>,
     create: wire::watch::Create,
 ) -> Body {
-    let revision = service.revisions();
+    let revisions = service.revisions();
     let sent = match create.start_revision {
-        0 => *revision.borrow(),
+        0 => *revisions.borrow(),
         start => start - 1,
     };
     service.watch_opened();
     let waiting = Waiting { service: service.clone() };
     let watch = Watch {
         service,
-        pass,
+        call,
         peer,
         create,
         sent,
-        revision,
-        opened: false,
-        ended: false,
+        revisions,
+        is_opened: false,
+        is_ended: false,
         _waiting: waiting,
     };
     Body::from_bytes_stream(lines(watch))
@@ -70,11 +70,11 @@
 
 fn lines(watch: Watch) -> impl Stream<Item = io::Result<Bytes>> {
     stream::unfold(watch, |mut watch| async move {
-        if watch.ended {
+        if watch.is_ended {
             return None;
         }
         let line = watch.next().await;
-        watch.ended |= line.is_err();
+        watch.is_ended |= line.is_err();
         Some((line, watch))
     })
 }
@@ -82,38 +82,40 @@
 impl Watch {
     async fn next(&mut self) -> io::Result<Bytes> {
         let mut text = String::new();
-        if !self.opened {
-            self.opened = true;
+        if !self.is_opened {
+            self.is_opened = true;
             let created = wire::watch::Response {
                 header: self.header(),
                 created: true,
                 ..Default::default()
             };
             push(&mut text, created);
-            // What is already there goes out with the opening, as etcd sends them back to back.
+            // Existing changes are sent together with the creation message, as etcd sends them back
+            // to back.
             if let Some(response) = self.collect() {
                 push(&mut text, response);
             }
         } else {
             push(&mut text, self.wait().await);
         }
-        if self.service.valve().go_on(&self.pass).await.is_err() {
-            // An error alone is not enough: the HTTP library then ends the body as if it were whole.
-            self.peer.into_iter().for_each(|peer| self.service.links().cut(peer));
+        if self.service.injector().before_chunk(&self.call).await.is_err() {
+            // An error alone isn't enough: the HTTP library would end the body as if it were
+            // complete.
+            self.peer.into_iter().for_each(|peer| self.service.connections().reset(peer));
             return Err(io::ErrorKind::ConnectionReset.into());
         }
         Ok(Bytes::from(text))
     }
 
-    /// Waits for a change of the range, or until it is time to say that there is none.
+    /// Waits for a change of the range, or until a progress message is due.
     async fn wait(&mut self) -> wire::watch::Response {
-        let progress = self.service.progress();
+        let progress = self.service.progress_interval();
         let deadline = tokio::time::Instant::now() + progress;
         loop {
             if let Some(response) = self.collect() {
                 return response;
             }
-            let changed = tokio::time::timeout_at(deadline, self.revision.changed());
+            let changed = tokio::time::timeout_at(deadline, self.revisions.changed());
             if changed.await.is_err() || progress == Duration::ZERO {
                 return self.progress();
             }
@@ -121,17 +123,17 @@
     }
 
     fn header(&self) -> wire::Header {
-        wire::Header { revision: *self.revision.borrow() }
+        wire::Header { revision: *self.revisions.borrow() }
     }
 
-    /// Says how far the watch is, which is no further than what it has looked at.
+    /// Returns a progress message. Its revision is the last one that the watch has covered.
     fn progress(&self) -> wire::watch::Response {
         let header = wire::Header { revision: self.sent };
         wire::watch::Response { header, ..wire::watch::Response::default() }
     }
 
     fn collect(&mut self) -> Option<wire::watch::Response> {
-        let now = *self.revision.borrow_and_update();
+        let now = *self.revisions.borrow_and_update();
         let found = self.service.changes_after(self.sent, now, &self.create);
         match found {
             Ok(events) => {
@@ -141,7 +143,7 @@
                 (!response.events.is_empty()).then_some(response)
             }
             Err(compact_revision) => {
-                self.ended = true;
+                self.is_ended = true;
                 let header = self.header();
                 let canceled = true;
                 let response = wire::watch::Response {
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -1,6 +1,6 @@
-//! The platform's list of instances, which shows what was so a while ago.
+//! The platform's list of instances, which shows its members with a lag.
 //!
-//! [`state`] keeps the views; [`server`] speaks HTTP.
+//! [`state`] keeps the recent snapshots; [`server`] serves HTTP.
 
 pub mod server;
 pub mod state;
--- a/crates/standin/src/list/server.rs
+++ b/crates/standin/src/list/server.rs
@@ -1,4 +1,4 @@
-//! The list over HTTP: read by all, changed by instances that come and go and by tests.
+//! The list over HTTP. Every process reads it; instances that join or leave, and tests, change it.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -22,33 +22,33 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use crate::connection::Connections;
 use crate::host;
-use crate::link::Links;
+use crate::injector::Injector;
+use crate::injector::Refusal;
 use crate::list::state::State;
 use crate::origin;
-use crate::valve::Refusal;
-use crate::valve::Valve;
 
-/// Largest request: one member.
+/// Largest request body, in bytes; it holds one member.
 const BODY_LIMIT: usize = 64 << 10;
-/// Marks a domain in the query of a read.
+/// The prefix of a failure domain in the query string of a read.
 const DOMAIN_PARAMETER: &str = "domain=";
 
-/// Asks for a change of a member's state.
+/// A request to change a member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Change {
-    /// Whether it stays.
+    /// The new state.
     pub state: list::State,
 }
 
-/// The list that all calls share.
+/// The list, shared by all calls.
 #[derive(Debug)]
 pub struct Service {
     state: Mutex<State>,
     clock: Clock,
-    valve: Arc<Valve>,
-    links: Arc<Links>,
+    injector: Arc<Injector>,
+    connections: Arc<Connections>,
     reads: AtomicU64,
     sent: AtomicU64,
 }
@@ -58,50 +58,51 @@
     pub(crate) fn open(
         clock: Clock,
         state: State,
-        valve: Arc<Valve>,
-        links: Arc<Links>,
+        injector: Arc<Injector>,
+        connections: Arc<Connections>,
     ) -> Arc<Service> {
         let state = Mutex::new(state);
         let (reads, sent) = (AtomicU64::new(0), AtomicU64::new(0));
-        Arc::new(Service { state, clock, valve, links, reads, sent })
+        Arc::new(Service { state, clock, injector, connections, reads, sent })
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("no lock holder panics")
     }
 
-    /// Returns how often the list was read.
+    /// Returns the number of reads.
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
-    /// Returns how often the list was sent whole; the other reads found it unchanged.
+    /// Returns the number of reads that were answered with the members; the other reads found the
+    /// list unchanged.
     pub fn sent(&self) -> u64 {
         self.sent.load(Ordering::Relaxed)
     }
 
-    /// Returns a member as it is, however the list shows it.
+    /// Returns the current entry of a member, regardless of the lag.
     pub fn find(&self, instance: &str) -> Option<list::Member> {
         self.lock().find(instance).cloned()
     }
 
-    /// Adds a member or replaces the one of that name.
+    /// Adds a member or replaces the member of that name.
     pub fn put(&self, member: list::Member) {
         self.lock().put(self.clock.now(), member);
     }
 
-    /// Changes whether a member stays; tells whether there is one of that name.
+    /// Changes a member's state. Returns `true` if there is a member of that name.
     pub fn set_state(&self, instance: &Instance, state: list::State) -> bool {
         self.lock().set_state(self.clock.now(), instance, state)
     }
 
-    /// Removes a member; tells whether there was one of that name.
+    /// Removes a member. Returns `true` if there was a member of that name.
     pub fn remove(&self, instance: &Instance) -> bool {
         self.lock().remove(self.clock.now(), instance)
     }
 
-    /// Gives a member a new life.
-    pub fn renew(&self, instance: &Instance, incarnation: u64) {
+    /// Sets a member's incarnation after a restart, and its state to live.
+    pub fn set_incarnation(&self, instance: &Instance, incarnation: u64) {
         let mut state = self.lock();
         if let Some(mut member) = state.find(instance).cloned() {
             member.incarnation = incarnation;
@@ -115,13 +116,13 @@
         let Ok(body) = request.take_body().into_bytes_limit(BODY_LIMIT).await else {
             return Err(Refusal::Break);
         };
-        let pass = self.valve.enter(from).await?;
-        let response = self.obey(&request, &body);
-        self.valve.leave(&pass).await?;
+        let call = self.injector.before_request(from).await?;
+        let response = self.handle(&request, &body);
+        self.injector.before_response(&call).await?;
         Ok(response)
     }
 
-    fn obey(&self, request: &Request, body: &[u8]) -> Response {
+    fn handle(&self, request: &Request, body: &[u8]) -> Response {
         let path = request.uri().path();
         if path == INSTANCES && request.method() == Method::GET {
             return self.read(request);
@@ -130,11 +131,11 @@
         match (request.method(), name) {
             (&Method::PUT, Some(name)) => self.register(name, body),
             (&Method::POST, Some(name)) => match serde_json::from_slice::<Change>(body) {
-                Ok(change) => found(self.set_state(&name.into(), change.state)),
-                Err(error) => bad(&error.to_string()),
+                Ok(change) => found_response(self.set_state(&name.into(), change.state)),
+                Err(error) => bad_request(&error.to_string()),
             },
-            (&Method::DELETE, Some(name)) => found(self.remove(&name.into())),
-            _ => found(false),
+            (&Method::DELETE, Some(name)) => found_response(self.remove(&name.into())),
+            _ => found_response(false),
         }
     }
 
@@ -146,10 +147,10 @@
             .filter_map(|pair| pair.strip_prefix(DOMAIN_PARAMETER))
             .map(Domain::from)
             .collect();
-        // One moment for both, so that the tag is that of the view.
+        // Both are read at the same time, so that the tag belongs to the view.
         let (state, now) = (self.lock(), self.clock.now());
         let tag = tag(state.version(now));
-        if request.header(IF_NONE_MATCH).is_some_and(|known| matches(known, &tag)) {
+        if request.header(IF_NONE_MATCH).is_some_and(|known| contains_tag(known, &tag)) {
             return Response::builder().status(StatusCode::NOT_MODIFIED).header(ETAG, tag).finish();
         }
         let view = state.read(now, &domains);
@@ -163,35 +164,35 @@
         match serde_json::from_slice::<list::Member>(body) {
             Ok(member) if *member.instance == *name => {
                 self.put(member);
-                found(true)
+                found_response(true)
             }
-            Ok(_) => bad("the member has another name than the path"),
-            Err(error) => bad(&error.to_string()),
+            Ok(_) => bad_request("the member's name differs from the name in the path"),
+            Err(error) => bad_request(&error.to_string()),
         }
     }
 }
 
-/// Tells whether a tag is among those of an `If-None-Match` header.
-fn matches(known: &str, tag: &str) -> bool {
+/// Returns `true` if an `If-None-Match` header contains a tag.
+fn contains_tag(known: &str, tag: &str) -> bool {
     known.split(',').any(|known| known.trim().trim_start_matches("W/") == tag)
 }
 
-fn found(found: bool) -> Response {
+fn found_response(found: bool) -> Response {
     let status = if found { StatusCode::NO_CONTENT } else { StatusCode::NOT_FOUND };
     status.into()
 }
 
-fn bad(problem: &str) -> Response {
+fn bad_request(problem: &str) -> Response {
     Response::builder().status(StatusCode::BAD_REQUEST).body(problem.to_owned())
 }
 
-/// The list's HTTP endpoint.
-pub(crate) struct Door {
+/// The list's HTTP handler.
+pub(crate) struct Handler {
     /// The list behind it.
     pub service: Arc<Service>,
 }
 
-impl Endpoint for Door {
+impl Endpoint for Handler {
     type Output = Response;
 
     async fn call(&self, request: Request) -> poem::Result<Response> {
@@ -200,7 +201,7 @@
             Ok(response) => Ok(response),
             Err(Refusal::Down) => Ok(StatusCode::SERVICE_UNAVAILABLE.into()),
             Err(Refusal::Break) => {
-                peer.into_iter().for_each(|peer| self.service.links.cut(peer));
+                peer.into_iter().for_each(|peer| self.service.connections.reset(peer));
                 Ok(Response::default())
             }
         }
--- a/crates/standin/src/list/state.rs
+++ b/crates/standin/src/list/state.rs
@@ -1,4 +1,4 @@
-//! The list and its recent past, without I/O and without a clock.
+//! The list and its recent snapshots. Does no I/O; the caller passes the time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::list;
 
-/// The list as it was from one moment on.
+/// The list as of a point in time.
 #[derive(Clone, Debug)]
-struct Past {
+struct Snapshot {
     since: Time,
     view: list::View,
 }
@@ -19,44 +19,44 @@
 #[derive(Debug)]
 pub struct State {
     lag: Duration,
-    /// By rising time; never empty, and the last is how things are.
-    past: VecDeque<Past>,
+    /// Snapshots by ascending time. Never empty; the last one is the current state.
+    snapshots: VecDeque<Snapshot>,
 }
 
 impl State {
-    /// Opens a list that shows these members at once and later changes after `lag`.
+    /// Opens a list that shows these members at once and every later change after `lag`.
     pub fn open(lag: Duration, mut members: Vec<list::Member>) -> State {
         members.sort_by(|a, b| a.instance.cmp(&b.instance));
         let view = list::View { version: 1, members };
-        State { lag, past: VecDeque::from([Past { since: Time::ZERO, view }]) }
+        State { lag, snapshots: VecDeque::from([Snapshot { since: Time::ZERO, view }]) }
     }
 
-    /// Returns what the list shows now of some domains; of all if none is given.
+    /// Returns the members shown now in some failure domains, or in all if `domains` is empty.
     pub fn read(&self, now: Time, domains: &[Domain]) -> list::View {
-        let view = self.shown(now);
-        let wanted =
+        let view = self.visible(now);
+        let is_requested =
             |member: &&list::Member| domains.is_empty() || domains.contains(&member.domain);
-        let members = view.members.iter().filter(wanted).cloned().collect();
+        let members = view.members.iter().filter(is_requested).cloned().collect();
         list::View { version: view.version, members }
     }
 
-    /// Returns the version of what the list shows now.
+    /// Returns the version of the list shown now.
     pub fn version(&self, now: Time) -> list::Version {
-        self.shown(now).version
+        self.visible(now).version
     }
 
-    fn shown(&self, now: Time) -> &list::View {
-        let shown = self.past.iter().rev().find(|past| past.since + self.lag <= now);
-        &shown.unwrap_or(&self.past[0]).view
+    fn visible(&self, now: Time) -> &list::View {
+        let visible = self.snapshots.iter().rev().find(|snapshot| snapshot.since + self.lag <= now);
+        &visible.unwrap_or(&self.snapshots[0]).view
     }
 
-    /// Returns a member as it is, however the list shows it.
+    /// Returns the current entry of a member, regardless of the lag.
     pub fn find(&self, instance: &str) -> Option<&list::Member> {
-        let members = &self.past.back().expect("it is never empty").view.members;
+        let members = &self.snapshots.back().expect("there is always a snapshot").view.members;
         members.iter().find(|member| *member.instance == *instance)
     }
 
-    /// Adds a member or replaces the one of that name.
+    /// Adds a member or replaces the member of that name.
     pub fn put(&mut self, now: Time, member: list::Member) {
         self.change(now, |members| {
             members.retain(|other| other.instance != member.instance);
@@ -64,7 +64,7 @@
         });
     }
 
-    /// Changes whether a member stays.
+    /// Changes a member's state. Returns `true` if there is a member of that name.
     pub fn set_state(&mut self, now: Time, instance: &Instance, state: list::State) -> bool {
         let known = self.find(instance).is_some();
         self.change(now, |members| {
@@ -75,7 +75,7 @@
         known
     }
 
-    /// Removes a member.
+    /// Removes a member. Returns `true` if there was a member of that name.
     pub fn remove(&mut self, now: Time, instance: &Instance) -> bool {
         let known = self.find(instance).is_some();
         self.change(now, |members| members.retain(|member| member.instance != *instance));
@@ -83,14 +83,14 @@
     }
 
     fn change(&mut self, now: Time, change: impl FnOnce(&mut Vec<list::Member>)) {
-        let mut view = self.past.back().expect("it is never empty").view.clone();
+        let mut view = self.snapshots.back().expect("there is always a snapshot").view.clone();
         change(&mut view.members);
         view.members.sort_by(|a, b| a.instance.cmp(&b.instance));
         view.version += 1;
-        self.past.push_back(Past { since: now, view });
-        // The second oldest is shown already, so the oldest never is again.
-        while self.past.len() > 1 && self.past[1].since + self.lag <= now {
-            self.past.pop_front();
+        self.snapshots.push_back(Snapshot { since: now, view });
+        // Once the second oldest snapshot is visible, the oldest is never needed again.
+        while self.snapshots.len() > 1 && self.snapshots[1].since + self.lag <= now {
+            self.snapshots.pop_front();
         }
     }
 }
--- a/crates/standin/src/plan.rs
+++ b/crates/standin/src/plan.rs
@@ -1,4 +1,4 @@
-//! How the stand-in is laid out.
+//! The configuration of a stand-in.
 
 use std::net::IpAddr;
 use std::net::Ipv4Addr;
@@ -12,7 +12,7 @@
 use cowslipchute_ports::list;
 
 use crate::backend;
-use crate::worker::nature::Nature;
+use crate::worker::behavior::Behavior;
 use crate::worker::timing::Timing;
 
 /// The backend servers of one service.
@@ -22,7 +22,7 @@
     pub name: id::Service,
     /// Backend servers in each failure domain.
     pub per_domain: u16,
-    /// How each is laid out.
+    /// The configuration of each.
     pub backend: backend::plan::Plan,
 }
 
@@ -33,18 +33,18 @@
     pub per_domain: u16,
     /// Workers in each rack.
     pub per_rack: u16,
-    /// What each offers.
+    /// The capacity of each.
     pub capacity: Amount,
-    /// How long each takes for what it does.
+    /// The durations of its operations.
     pub timing: Timing,
 }
 
-/// Calls to the store that are let through in each second; more are refused.
+/// Calls to the store that are admitted in each second; calls beyond that are refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Reads.
     pub reads: u64,
-    /// Transactions and calls about leases.
+    /// Transactions and lease calls.
     pub writes: u64,
 }
 
@@ -54,14 +54,14 @@
     }
 }
 
-/// How the stand-in is laid out.
+/// The configuration of a stand-in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// First of the ports, which follow one on the other; without it the system chooses free ones.
+    /// The first of the consecutive ports. If it is `None`, the system chooses free ports.
     pub base_port: Option<u16>,
-    /// Threads that serve.
+    /// The number of server threads.
     pub threads: usize,
-    /// Seed of all that is drawn.
+    /// The seed of all random draws.
     pub seed: u64,
     /// The failure domains.
     pub domains: Vec<Domain>,
@@ -69,13 +69,13 @@
     pub services: Vec<Service>,
     /// The workers.
     pub workers: Workers,
-    /// The hidden properties of tasks.
-    pub nature: Nature,
-    /// How far the list of instances lags.
+    /// The hidden behavior of tasks.
+    pub behavior: Behavior,
+    /// The lag of the list of instances.
     pub list_lag: Duration,
-    /// How many calls the store takes.
+    /// The rate limits of the store.
     pub store_limits: Limits,
-    /// How often a watch of the store tells its progress when nothing changes.
+    /// The interval between progress messages of a watch when nothing changes.
     pub watch_progress: Duration,
 }
 
@@ -96,7 +96,7 @@
             domains: vec!["a".into(), "b".into()],
             services: vec![service],
             workers,
-            nature: Nature::default(),
+            behavior: Behavior::default(),
             list_lag: Duration::from_millis(200),
             store_limits: Limits::default(),
             watch_progress: Duration::from_secs(1),
@@ -104,19 +104,19 @@
     }
 }
 
-/// Gives out the addresses of a plan.
+/// The addresses of a plan that are still to be assigned.
 #[derive(Debug)]
 pub struct Ports {
     next: Option<u16>,
 }
 
 impl Ports {
-    /// Starts with the first port of a plan.
+    /// Returns the addresses of a plan, from its first port.
     pub fn of(plan: &Plan) -> Ports {
         Ports { next: plan.base_port }
     }
 
-    /// Returns the next address, with port zero where the system chooses.
+    /// Takes the next address, with port zero if the system is to choose one.
     pub fn take(&mut self) -> SocketAddr {
         let port = self.next.unwrap_or(0);
         self.next = self.next.map(|port| port.wrapping_add(1));
@@ -125,7 +125,7 @@
 }
 
 impl Plan {
-    /// Lays out the platform's own services alone, without backend servers or workers.
+    /// Returns a plan without backend servers and workers.
     pub fn bare() -> Plan {
         let plan = Plan::default();
         let workers = Workers { per_domain: 0, ..plan.workers };
@@ -145,8 +145,8 @@
         backends
     }
 
-    fn backend(&self, service: &Service, domain: &Domain, number: u16, place: u64) -> Backend {
-        let seed = backend::plan::mix(self.seed ^ place);
+    fn backend(&self, service: &Service, domain: &Domain, number: u16, ordinal: u64) -> Backend {
+        let seed = backend::plan::mix(self.seed ^ ordinal);
         let plan = backend::plan::Plan { seed, ..service.backend };
         let member = list::Member {
             instance: format!("{}-{domain}-{number}", service.name).into(),
@@ -154,7 +154,7 @@
             service: service.name.clone(),
             slots: plan.slots,
             connections: plan.connections,
-            ..blank(domain)
+            ..empty_member(domain)
         };
         Backend { member, plan }
     }
@@ -177,7 +177,7 @@
             role: list::Role::Worker,
             rack,
             capacity: self.workers.capacity,
-            ..blank(domain)
+            ..empty_member(domain)
         }
     }
 }
@@ -187,11 +187,11 @@
 pub struct Backend {
     /// Its entry in the list.
     pub member: list::Member,
-    /// How it is laid out.
+    /// Its configuration.
     pub plan: backend::plan::Plan,
 }
 
-fn blank(domain: &Domain) -> list::Member {
+fn empty_member(domain: &Domain) -> list::Member {
     list::Member {
         instance: "".into(),
         incarnation: 1,
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! All servers of a stand-in together, and the faults that are switched on at them.
+//! All servers of a stand-in, and the faults that are set on them.
 
 use std::io;
 use std::sync::Arc;
@@ -12,69 +12,69 @@
 
 use crate::backend;
 use crate::backend::runs::Runs;
+use crate::builder::Builder;
 use crate::fault::Fault;
 use crate::fault::State;
 use crate::fault::Target;
 use crate::host::Host;
+use crate::injector::Cuts;
+use crate::injector::Injector;
 use crate::kv;
 use crate::list;
-use crate::opening::Opening;
 use crate::plan::Plan;
 use crate::plan::Ports;
 use crate::report::Report;
-use crate::valve::Cuts;
-use crate::valve::Valve;
 use crate::worker;
 use crate::worker::fleet::Fleet;
 use crate::worker::timing::Health;
 
-/// The store with what its calls pass.
+/// The store's server.
 pub struct Store {
-    /// Its port.
-    pub host: Host<kv::server::Door>,
-    /// What it holds.
+    /// Its HTTP server.
+    pub host: Host<kv::server::Handler>,
+    /// Its state.
     pub service: Arc<kv::server::Service>,
-    /// What its calls pass.
-    pub valve: Arc<Valve>,
+    /// Its fault injector.
+    pub injector: Arc<Injector>,
 }
 
-/// The list with what its calls pass.
+/// The server of the list of instances.
 pub struct List {
-    /// Its port.
-    pub host: Host<list::server::Door>,
-    /// What it holds.
+    /// Its HTTP server.
+    pub host: Host<list::server::Handler>,
+    /// Its state.
     pub service: Arc<list::server::Service>,
-    /// What its calls pass.
-    pub valve: Arc<Valve>,
+    /// Its fault injector.
+    pub injector: Arc<Injector>,
 }
 
-/// A backend server with what its calls pass.
+/// A backend server.
 pub struct Backend {
     /// Its entry in the list when it was started.
     pub member: Member,
-    /// Its port.
-    pub host: Host<backend::server::Door>,
-    /// What it does.
+    /// Its HTTP server.
+    pub host: Host<backend::server::Handler>,
+    /// Its request processing.
     pub server: Arc<backend::server::Server>,
-    /// What its calls pass.
-    pub valve: Arc<Valve>,
-    /// Which life of it this is.
+    /// Its fault injector.
+    pub injector: Arc<Injector>,
+    /// Its current incarnation.
     pub incarnation: Mutex<Incarnation>,
 }
 
-/// A worker with what its calls pass.
+/// A worker.
 pub struct Worker {
     /// Its entry in the list when it was started.
     pub member: Member,
-    /// Its port.
-    pub host: Host<worker::server::Entrance>,
-    /// What its calls pass.
-    pub valve: Arc<Valve>,
+    /// Its HTTP server.
+    pub host: Host<worker::server::Handler>,
+    /// Its fault injector.
+    pub injector: Arc<Injector>,
 }
 
 /// All servers of a stand-in.
 pub struct Platform {
-    /// What is cut off from what.
+    /// The network partitions in force.
     pub cuts: Arc<Cuts>,
     /// The store.
     pub store: Store,
@@ -84,16 +84,16 @@
     pub backends: Vec<Backend>,
     /// The workers.
     pub workers: Vec<Worker>,
-    /// What the workers do.
+    /// The state of all workers.
     pub fleet: Arc<worker::server::Service>,
-    /// How often each request ran.
+    /// The run count of each request.
     pub runs: Arc<Runs>,
-    /// One fault is switched at a time, so that a kill and a revival don't cross.
-    switching: tokio::sync::Mutex<()>,
+    /// Held while a fault is set, so that a kill and a restart don't interleave.
+    fault_lock: tokio::sync::Mutex<()>,
 }
 
 fn open_fleet(plan: &Plan, members: &[Member], clock: Clock) -> Arc<worker::server::Service> {
-    let mut fleet = Fleet::open(plan.nature.clone());
+    let mut fleet = Fleet::open(plan.behavior.clone());
     for member in members {
         let instance = member.instance.clone();
         fleet.add(clock.now(), instance, member.capacity, plan.workers.timing);
@@ -106,104 +106,104 @@
     ///
     /// # Errors
     ///
-    /// When a port can't be bound.
+    /// Fails if a port can't be bound.
     pub fn open(plan: &Plan, runtime: &Handle, ports: Ports) -> io::Result<Platform> {
         let clock = Clock::start();
         let cuts = Arc::<Cuts>::default();
-        let mut opening = Opening { runtime, clock, ports, cuts: cuts.clone() };
-        let store = opening.store(plan)?;
-        let list_address = opening.ports.take();
+        let mut builder = Builder { runtime, clock, ports, cuts: cuts.clone() };
+        let store = builder.store(plan)?;
+        let list_address = builder.ports.take();
         let runs = Arc::<Runs>::default();
         let planned = plan.backends().into_iter();
         let backends: Vec<Backend> =
-            planned.map(|planned| opening.backend(planned, &runs)).collect::<io::Result<_>>()?;
+            planned.map(|planned| builder.backend(planned, &runs)).collect::<io::Result<_>>()?;
         let members = plan.workers();
         let fleet = open_fleet(plan, &members, clock);
         let members = members.into_iter();
         let workers: Vec<Worker> =
-            members.map(|member| opening.worker(member, &fleet)).collect::<io::Result<_>>()?;
-        let listed = backends.iter().map(|backend| &backend.member);
-        let listed = listed.chain(workers.iter().map(|worker| &worker.member)).cloned().collect();
-        let state = list::state::State::open(plan.list_lag, listed);
-        let list = opening.list(list_address, state)?;
-        let switching = tokio::sync::Mutex::new(());
-        Ok(Platform { cuts, store, list, backends, workers, fleet, runs, switching })
+            members.map(|member| builder.worker(member, &fleet)).collect::<io::Result<_>>()?;
+        let members = backends.iter().map(|backend| &backend.member);
+        let members = members.chain(workers.iter().map(|worker| &worker.member)).cloned().collect();
+        let state = list::state::State::open(plan.list_lag, members);
+        let list = builder.list(list_address, state)?;
+        let fault_lock = tokio::sync::Mutex::new(());
+        Ok(Platform { cuts, store, list, backends, workers, fleet, runs, fault_lock })
     }
 
-    /// Finds a backend server.
+    /// Returns a backend server.
     pub fn backend(&self, instance: &str) -> Option<&Backend> {
         self.backends.iter().find(|backend| *backend.member.instance == *instance)
     }
 
-    /// Finds a worker.
+    /// Returns a worker.
     pub fn worker(&self, instance: &str) -> Option<&Worker> {
         self.workers.iter().find(|worker| *worker.member.instance == *instance)
     }
 
-    /// Puts a fault in force at a target, in place of the one before.
+    /// Sets the fault of a target, replacing the previous one.
     ///
     /// # Errors
     ///
-    /// When there is no such target, or a killed server's port has been taken by someone else.
+    /// Fails if there is no such target, or if another process has taken a killed server's port.
     pub async fn set_fault(&self, target: &Target, fault: &Fault) -> io::Result<()> {
-        let _alone = self.switching.lock().await;
+        let _fault_lock = self.fault_lock.lock().await;
         match target {
-            Target::Store => self.switch(&self.store.host, &self.store.valve, fault).await,
-            Target::List => self.switch(&self.list.host, &self.list.valve, fault).await,
+            Target::Store => self.apply_fault(&self.store.host, &self.store.injector, fault).await,
+            Target::List => self.apply_fault(&self.list.host, &self.list.injector, fault).await,
             Target::Backend(instance) => {
-                self.switch_backend(self.backend(instance).ok_or_else(missing)?, fault).await
+                self.apply_backend_fault(self.backend(instance).ok_or_else(not_found)?, fault).await
             }
             Target::Worker(instance) => {
-                self.switch_worker(self.worker(instance).ok_or_else(missing)?, fault).await
+                self.apply_worker_fault(self.worker(instance).ok_or_else(not_found)?, fault).await
             }
             Target::Domain(domain) => {
                 for backend in self.backends.iter().filter(|b| b.member.domain == *domain) {
-                    self.switch_backend(backend, fault).await?;
+                    self.apply_backend_fault(backend, fault).await?;
                 }
                 for worker in self.workers.iter().filter(|w| w.member.domain == *domain) {
-                    self.switch_worker(worker, fault).await?;
+                    self.apply_worker_fault(worker, fault).await?;
                 }
                 Ok(())
             }
         }
     }
 
-    async fn switch<E: poem::Endpoint + 'static>(
+    async fn apply_fault<E: poem::Endpoint + 'static>(
         &self,
         host: &Host<E>,
-        valve: &Valve,
+        injector: &Injector,
         fault: &Fault,
     ) -> io::Result<()> {
         if fault.state == State::Killed {
-            valve.set(fault.clone());
+            injector.set(fault.clone());
             host.kill().await;
             return Ok(());
         }
-        host.revive().await?;
-        valve.set(fault.clone());
+        host.restart().await?;
+        injector.set(fault.clone());
         Ok(())
     }
 
-    async fn switch_backend(&self, backend: &Backend, fault: &Fault) -> io::Result<()> {
-        let revived = self.revives(&backend.valve, fault);
-        self.switch(&backend.host, &backend.valve, fault).await?;
-        if revived {
-            let mut incarnation = backend.incarnation.lock().expect("no holder panics");
+    async fn apply_backend_fault(&self, backend: &Backend, fault: &Fault) -> io::Result<()> {
+        let restarts = self.restarts(&backend.injector, fault);
+        self.apply_fault(&backend.host, &backend.injector, fault).await?;
+        if restarts {
+            let mut incarnation = backend.incarnation.lock().expect("no lock holder panics");
             *incarnation += 1;
-            self.list.service.renew(&backend.member.instance, *incarnation);
+            self.list.service.set_incarnation(&backend.member.instance, *incarnation);
         }
         Ok(())
     }
 
-    async fn switch_worker(&self, worker: &Worker, fault: &Fault) -> io::Result<()> {
+    async fn apply_worker_fault(&self, worker: &Worker, fault: &Fault) -> io::Result<()> {
         let instance = &worker.member.instance;
-        let revived = self.revives(&worker.valve, fault);
-        let killed = fault.state == State::Killed && worker.valve.fault().state != State::Killed;
+        let restarts = self.restarts(&worker.injector, fault);
+        let killed = fault.state == State::Killed && worker.injector.fault().state != State::Killed;
         if killed {
             worker.host.kill().await;
             self.fleet.with(|fleet, now| fleet.reboot(instance, now));
         }
-        self.switch(&worker.host, &worker.valve, fault).await?;
+        self.apply_fault(&worker.host, &worker.injector, fault).await?;
         let health = Health {
             failing: fault.failing,
             slow_permille: fault.slow_permille,
@@ -213,17 +213,17 @@
             fleet.set_health(instance, now, health);
             fleet.worker(instance).map(|worker| worker.incarnation())
         });
-        if let (true, Some(incarnation)) = (revived, incarnation) {
-            self.list.service.renew(instance, incarnation);
+        if let (true, Some(incarnation)) = (restarts, incarnation) {
+            self.list.service.set_incarnation(instance, incarnation);
         }
         Ok(())
     }
 
-    fn revives(&self, valve: &Valve, fault: &Fault) -> bool {
-        valve.fault().state == State::Killed && fault.state != State::Killed
+    fn restarts(&self, injector: &Injector, fault: &Fault) -> bool {
+        injector.fault().state == State::Killed && fault.state != State::Killed
     }
 
-    /// Sums up what all servers did so far.
+    /// Returns the counts of all servers so far.
     pub fn report(&self) -> Report {
         Report {
             store: self.store.service.count(),
@@ -242,6 +242,6 @@
     crate::report::Backend { instance, count: backend.server.count() }
 }
 
-fn missing() -> io::Error {
+fn not_found() -> io::Error {
     io::Error::new(io::ErrorKind::NotFound, "there is no instance of that name")
 }
--- a/crates/standin/src/report.rs
+++ b/crates/standin/src/report.rs
@@ -1,4 +1,4 @@
-//! What a stand-in says about all that it did.
+//! The counts of all servers of a stand-in.
 
 use cowslipchute_base::id::Instance;
 use serde::Deserialize;
@@ -9,33 +9,33 @@
 use crate::kv;
 use crate::worker;
 
-/// What one backend server did.
+/// The counts of one backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Backend {
     /// Its name.
     pub instance: Instance,
-    /// What it did.
+    /// Its counts.
     #[serde(flatten)]
     pub count: backend::server::Count,
 }
 
-/// What all servers did so far.
+/// The counts of all servers so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Report {
     /// Calls to the store.
     pub store: kv::count::Count,
-    /// Reads of the list.
+    /// Reads of the list of instances.
     pub list_reads: u64,
-    /// Reads of the list that were answered with all of it, since it had changed.
+    /// Reads of the list that were answered with its members, because it had changed.
     pub list_sent: u64,
-    /// What each backend server did.
+    /// The counts of each backend server.
     pub backends: Vec<Backend>,
-    /// How often requests with an id ran.
+    /// The run counts of requests with an id.
     pub requests: backend::runs::Summary,
-    /// What became of runs of tasks.
+    /// The runs of tasks, by outcome.
     pub tasks: worker::ledger::Count,
-    /// The cuts in force.
+    /// The network partitions in force.
     pub cuts: Vec<Cut>,
 }
--- a/crates/standin/src/standin.rs
+++ b/crates/standin/src/standin.rs
@@ -1,4 +1,4 @@
-//! A running stand-in, in the process that opened it.
+//! A running stand-in in the process that opened it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,60 +11,60 @@
 use tokio::runtime::Runtime;
 
 use crate::backend::log::Entry;
+use crate::connection::Connections;
 use crate::control;
 use crate::fault::Cut;
 use crate::fault::Fault;
 use crate::fault::Target;
 use crate::host::Host;
-use crate::link::Links;
 use crate::plan::Plan;
 use crate::plan::Ports;
 use crate::platform::Platform;
 use crate::report::Report;
 use crate::worker::ledger::Violation;
 
-/// Connections that the switchboard takes.
-const CONTROL_CONNECTIONS: usize = 64;
+/// Open connections that the control server accepts.
+const MAX_CONTROL_CONNECTIONS: usize = 64;
 
-/// Where one instance is reached.
+/// The address of one instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
-pub struct Listening {
+pub struct Endpoint {
     /// Its name.
     pub instance: Instance,
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
 }
 
-/// Where everything is reached.
+/// The addresses of all servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Addresses {
-    /// The switchboard.
+    /// The control server.
     pub control: SocketAddr,
-    /// The key-value service.
+    /// The key-value store.
     pub store: SocketAddr,
     /// The list of instances.
     pub list: SocketAddr,
     /// The backend servers.
-    pub backends: Vec<Listening>,
+    pub backends: Vec<Endpoint>,
     /// The workers.
-    pub workers: Vec<Listening>,
+    pub workers: Vec<Endpoint>,
 }
 
-/// A running stand-in. Dropping it ends all its servers.
+/// A running stand-in. Dropping it stops all its servers.
 pub struct Standin {
     addresses: Addresses,
     platform: Arc<Platform>,
-    control: Option<Host<control::Door>>,
+    control: Option<Host<control::Handler>>,
     runtime: Option<Runtime>,
 }
 
-/// Opens a stand-in: when this returns, all its servers can be reached.
+/// Opens a stand-in. When this returns, all its servers accept connections.
 ///
 /// # Errors
 ///
-/// When a port can't be bound or the system refuses threads.
+/// Fails if a port can't be bound or the runtime's threads can't be started.
 pub fn open(plan: &Plan) -> io::Result<Standin> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(plan.threads.max(1))
@@ -74,42 +74,42 @@
     let mut ports = Ports::of(plan);
     let control_address = ports.take();
     let platform = Arc::new(Platform::open(plan, runtime.handle(), ports)?);
-    // Bound before the addresses can be shown, since its own is among them.
+    // Bound before the handler is made, because the addresses that it serves include this one.
     let listener = std::net::TcpListener::bind(control_address)?;
     let addresses = addresses(listener.local_addr()?, &platform);
-    let door = control::Door { platform: platform.clone(), addresses: addresses.clone() };
-    let links = Arc::<Links>::default();
+    let handler = control::Handler { platform: platform.clone(), addresses: addresses.clone() };
+    let connections = Arc::<Connections>::default();
     let control = Host::from_listener(
         runtime.handle(),
         listener,
-        links,
-        CONTROL_CONNECTIONS,
-        Arc::new(door),
+        connections,
+        MAX_CONTROL_CONNECTIONS,
+        Arc::new(handler),
     )?;
     Ok(Standin { addresses, platform, control: Some(control), runtime: Some(runtime) })
 }
 
 fn addresses(control: SocketAddr, platform: &Platform) -> Addresses {
-    let listening = |member: &Member| {
+    let endpoint = |member: &Member| {
         let instance = member.instance.clone();
-        Listening { instance, address: member.address }
+        Endpoint { instance, address: member.address }
     };
     Addresses {
         control,
         store: platform.store.host.address(),
         list: platform.list.host.address(),
-        backends: platform.backends.iter().map(|backend| listening(&backend.member)).collect(),
-        workers: platform.workers.iter().map(|worker| listening(&worker.member)).collect(),
+        backends: platform.backends.iter().map(|backend| endpoint(&backend.member)).collect(),
+        workers: platform.workers.iter().map(|worker| endpoint(&worker.member)).collect(),
     }
 }
 
 impl Standin {
-    /// Returns where everything is reached.
+    /// Returns the addresses of all servers.
     pub fn addresses(&self) -> &Addresses {
         &self.addresses
     }
 
-    /// Returns the base URL of the key-value service.
+    /// Returns the base URL of the key-value store.
     pub fn store_url(&self) -> String {
         format!("http://{}", self.addresses.store)
     }
@@ -119,51 +119,51 @@
         format!("http://{}", self.addresses.list)
     }
 
-    /// Puts a fault in force at a target, in place of the one before.
+    /// Sets the fault of a target, replacing the previous one.
     ///
     /// # Errors
     ///
-    /// When there is no such target, or a killed server's port has been taken by someone else.
+    /// Fails if there is no such target, or if another process has taken a killed server's port.
     pub async fn set_fault(&self, target: Target, fault: Fault) -> io::Result<()> {
         self.platform.set_fault(&target, &fault).await
     }
 
-    /// Cuts two sides off from each other.
+    /// Starts a network partition between two sides.
     pub fn cut(&self, cut: Cut) {
         self.platform.cuts.cut(cut);
     }
 
-    /// Joins two sides again.
+    /// Ends a network partition.
     pub fn heal(&self, cut: Cut) {
         self.platform.cuts.heal(cut);
     }
 
-    /// Makes the store forget its changes up to and with a revision.
+    /// Compacts the store's history up to and including a revision.
     pub fn compact(&self, revision: u64) {
         self.platform.store.service.compact(revision);
     }
 
-    /// Adds a member to the list or replaces the one of that name.
+    /// Adds a member to the list or replaces the member of that name.
     pub fn register(&self, member: Member) {
         self.platform.list.service.put(member);
     }
 
-    /// Returns a member as it is, however the list shows it.
+    /// Returns the current entry of a member, regardless of the list's lag.
     pub fn member(&self, instance: &str) -> Option<Member> {
         self.platform.list.service.find(instance)
     }
 
-    /// Sums up what all servers did so far.
+    /// Returns the counts of all servers so far.
     pub fn report(&self) -> Report {
         self.platform.report()
     }
 
-    /// Returns what must never have happened.
+    /// Returns the recorded violations.
     pub fn violations(&self) -> Vec<Violation> {
         self.platform.fleet.with(|fleet, _| fleet.ledger().violations().to_vec())
     }
 
-    /// Returns how often the request with an id ran on all backend servers together.
+    /// Returns how many times the request with an id ran on all backend servers together.
     pub fn runs(&self, id: &str) -> u32 {
         self.platform.runs.of(id)
     }
@@ -177,7 +177,7 @@
 impl Drop for Standin {
     fn drop(&mut self) {
         self.control = None;
-        // A runtime must not be waited for where another one may be running.
+        // Dropping a runtime blocks, which panics inside an async context of another runtime.
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
         }
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -1,15 +1,15 @@
-//! Workers: they keep the rules of `cowslipchute_ports::worker`, and what they did is recorded.
+//! Workers that follow the rules of `cowslipchute_ports::worker` and record their runs.
 //!
-//! [`state`] is one worker without I/O and without a clock; [`fleet`] is all of them with the
-//! [`ledger`] that sees whether a task ever ran in two places; [`server`] speaks HTTP.
+//! [`state`] is one worker, without I/O or a clock; [`fleet`] is all workers with their common
+//! [`ledger`], which detects a task that runs in two places; [`server`] serves HTTP.
 
-mod answer;
+pub mod behavior;
+mod command;
 pub mod fleet;
 mod journal;
 pub mod ledger;
-pub mod nature;
-mod obey;
-mod pace;
+mod progress;
+mod response;
 pub mod server;
 mod slot;
 pub mod state;
--- a/crates/standin/src/worker/nature.rs
+++ b/crates/standin/src/worker/behavior.rs
@@ -1,5 +1,5 @@
-//! What the system is not told about its tasks: what they really take, how long they really run and
-//! how much they slow each other down.
+//! The hidden behavior of tasks, which the system under test has to find out: real resource usage,
+//! real duration and mutual interference.
 
 use std::collections::BTreeSet;
 use std::hash::Hasher as _;
@@ -11,10 +11,10 @@
 
 use crate::backend::plan::mix;
 
-/// Thousandths in a whole.
-const WHOLE: u64 = 1000;
+/// A factor of one, in thousandths.
+const UNIT_PERMILLE: u64 = 1000;
 
-/// What kind of hidden property a number is drawn for.
+/// The hidden property for which a number is drawn.
 #[derive(Clone, Copy, Debug)]
 enum Property {
     Size = 1,
@@ -22,24 +22,27 @@
     Pair = 3,
 }
 
-/// The hidden properties of tasks; the same for the same seed and names.
+/// The hidden behavior of tasks, which is determined by the seed and the names of jobs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Nature {
-    /// Seed of all that is drawn.
+pub struct Behavior {
+    /// The seed of all draws.
     pub seed: u64,
-    /// Most that one task slows another down while it takes the whole worker, in thousandths.
+    /// The maximum slowdown that a task which takes the whole worker adds to another task, in
+    /// thousandths.
     pub pair_permille: u32,
-    /// How many times larger or smaller than declared a job's tasks may be; one for as declared.
+    /// The maximum factor by which the usage of a job's tasks differs from the declared one; 1 for
+    /// none.
     pub size_spread: u32,
-    /// How many times longer or shorter than declared a job's tasks may run; one for as declared.
+    /// The maximum factor by which the duration of a job's tasks differs from the declared one; 1
+    /// for none.
     pub time_spread: u32,
     /// Jobs all of whose runs fail.
     pub failing: BTreeSet<Job>,
 }
 
-impl Default for Nature {
-    fn default() -> Nature {
-        Nature {
+impl Default for Behavior {
+    fn default() -> Behavior {
+        Behavior {
             seed: 1,
             pair_permille: 0,
             size_spread: 1,
@@ -55,7 +58,7 @@
     hasher.finish()
 }
 
-impl Nature {
+impl Behavior {
     fn draw(&self, property: Property, words: [&str; 2]) -> u64 {
         let mut number = mix(self.seed ^ property as u64);
         for word in words {
@@ -64,27 +67,27 @@
         number
     }
 
-    /// Draws a factor between one `spread`th and `spread`, even on a logarithmic scale.
+    /// Draws a factor between `1 / spread` and `spread`, uniformly on a logarithmic scale.
     fn factor(&self, property: Property, spread: u32, job: &str) -> f64 {
         let unit = (self.draw(property, [job, ""]) >> 11) as f64 / (1u64 << 53) as f64;
         f64::from(spread.max(1)).powf(2.0 * unit - 1.0)
     }
 
-    /// Returns what a run takes of what it was granted.
+    /// Returns the amount that a run uses of its granted amount.
     pub fn used(&self, run: &Run, granted: Amount) -> Amount {
         if self.size_spread <= 1 {
             return granted;
         }
         let factor = self.factor(Property::Size, self.size_spread, &run.job);
-        let part = |amount: u32| (f64::from(amount) * factor).min(f64::from(amount)) as u32;
+        let scale = |amount: u32| (f64::from(amount) * factor).min(f64::from(amount)) as u32;
         Amount {
-            cpu_milli: part(granted.cpu_milli),
-            memory_mib: part(granted.memory_mib),
+            cpu_milli: scale(granted.cpu_milli),
+            memory_mib: scale(granted.memory_mib),
             accelerators: granted.accelerators,
         }
     }
 
-    /// Returns how long a run takes at full speed.
+    /// Returns the duration of a run at full speed.
     pub fn duration(&self, run: &Run, declared: Duration) -> Duration {
         if self.time_spread <= 1 {
             return declared;
@@ -92,8 +95,9 @@
         declared.mul_f64(self.factor(Property::Time, self.time_spread, &run.job))
     }
 
-    /// Returns how much slower than alone a run is beside others, in thousandths. Each of them adds
-    /// what the pair is worth, by its share of the worker's processors.
+    /// Returns the slowdown of a run by the others on its worker, in thousandths; 1000 for none.
+    /// Each of them adds the weight drawn for the pair of jobs, times its fraction of the worker's
+    /// processors.
     pub fn slowdown<'a>(
         &self,
         run: &Run,
@@ -101,13 +105,13 @@
         capacity: Amount,
     ) -> u64 {
         if self.pair_permille == 0 || capacity.cpu_milli == 0 {
-            return WHOLE;
+            return UNIT_PERMILLE;
         }
-        let added = |(other, amount): (&Run, Amount)| {
-            let worth = self.draw(Property::Pair, [&run.job, &other.job])
+        let added_slowdown = |(other, amount): (&Run, Amount)| {
+            let weight = self.draw(Property::Pair, [&run.job, &other.job])
                 % (u64::from(self.pair_permille) + 1);
-            worth * u64::from(amount.cpu_milli) / u64::from(capacity.cpu_milli)
+            weight * u64::from(amount.cpu_milli) / u64::from(capacity.cpu_milli)
         };
-        WHOLE + others.filter(|(other, _)| *other != run).map(added).sum::<u64>()
+        UNIT_PERMILLE + others.filter(|(other, _)| *other != run).map(added_slowdown).sum::<u64>()
     }
 }
--- a/crates/standin/src/worker/obey.rs
+++ b/crates/standin/src/worker/command.rs
@@ -1,4 +1,4 @@
-//! What a worker does on each command and acknowledgement.
+//! Execution of commands and acknowledgements by a worker.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 use crate::worker::ledger::Ledger;
 use crate::worker::ledger::Task;
 use crate::worker::ledger::Violation;
-use crate::worker::pace::Pace;
+use crate::worker::progress::Progress;
 use crate::worker::slot::Ending;
 use crate::worker::slot::Planned;
 use crate::worker::slot::Slot;
-use crate::worker::state::Around;
+use crate::worker::state::Environment;
 use crate::worker::state::Worker;
 
-/// A run as it is to be started.
-struct Wanted<'a> {
+/// A request to start a run.
+struct Request<'a> {
     run: &'a Run,
     amount: Amount,
     checkpoint: Option<&'a Checkpoint>,
@@ -27,15 +27,20 @@
 }
 
 impl Worker {
-    /// Obeys one command. `granted` tells whether the exchange's own grant is still valid: only then
-    /// does its sender count a run that it starts as possibly running.
-    pub(super) fn obey(&mut self, command: &Command, granted: bool, around: &mut Around<'_>) {
+    /// Executes one command. `granted` is `true` if the grant of the same exchange is still valid:
+    /// only then does the sender assume that a run started by it may be active.
+    pub(super) fn execute(
+        &mut self,
+        command: &Command,
+        granted: bool,
+        environment: &mut Environment<'_>,
+    ) {
         match command {
             Command::Start { run, amount, checkpoint, duration } => {
                 let (checkpoint, duration) = (checkpoint.as_ref(), *duration);
-                let wanted = Wanted { run, amount: *amount, checkpoint, duration };
-                if self.admit(&wanted, granted, around.ledger) {
-                    self.start(&wanted, around);
+                let request = Request { run, amount: *amount, checkpoint, duration };
+                if self.admit(&request, granted, environment.ledger) {
+                    self.start(&request, environment);
                 }
             }
             Command::Stop { run } => self.stop(run),
@@ -44,64 +49,64 @@
         }
     }
 
-    /// Tells whether a run is to be started; if not, the inventory says why.
-    fn admit(&mut self, wanted: &Wanted<'_>, granted: bool, ledger: &mut Ledger) -> bool {
-        let run = wanted.run;
+    /// Returns `true` if a run is to be started. Otherwise, the inventory holds the reason.
+    fn admit(&mut self, request: &Request<'_>, granted: bool, ledger: &mut Ledger) -> bool {
+        let run = request.run;
         if self.slots.contains_key(run) {
             return false;
         }
         if self.fences.get(&Task::of(run)).is_some_and(|fence| run.attempt <= *fence) {
-            self.journal.forget(run);
+            self.journal.record_forgotten(run);
             return false;
         }
         if !granted {
-            self.hold_result(run, Phase::Stopped);
+            self.store_result(run, Phase::Stopped);
             return false;
         }
-        let taken = self.taken().plus(wanted.amount);
+        let taken = self.reserved().plus(request.amount);
         if !taken.fits(self.capacity) {
-            let reason = String::from("the worker has no room for it");
-            self.hold_result(run, Phase::Failed { reason });
+            let reason = String::from("the worker has insufficient free capacity");
+            self.store_result(run, Phase::Failed { reason });
             let (run, instance) = (run.clone(), self.instance.clone());
             let capacity = self.capacity;
-            ledger.violate(Violation::Overcommitted { run, instance, taken, capacity });
+            ledger.record_violation(Violation::Overcommitted { run, instance, taken, capacity });
             return false;
         }
         true
     }
 
-    fn start(&mut self, wanted: &Wanted<'_>, around: &mut Around<'_>) {
-        let run = wanted.run;
-        let done = around.ledger.resume(run, wanted.checkpoint);
-        around.ledger.start(&self.instance, run);
-        let total = around.nature.duration(run, wanted.duration);
-        let fails = self.health.failing || around.nature.failing.contains(&run.job);
-        let reason = String::from("it exited with an error");
+    fn start(&mut self, request: &Request<'_>, environment: &mut Environment<'_>) {
+        let run = request.run;
+        let resumed = environment.ledger.resume_progress(run, request.checkpoint);
+        environment.ledger.start(&self.instance, run);
+        let total = environment.behavior.duration(run, request.duration);
+        let fails = self.health.failing || environment.behavior.failing.contains(&run.job);
+        let reason = String::from("the task exited with an error");
         let at = self.now + self.timing.fail;
         let planned = fails.then_some(Planned { at, ending: Ending::Fail(reason) });
-        let pace = Pace::start(self.now, done, total);
-        let amount = wanted.amount;
-        let slot = Slot { amount, phase: Phase::Running, permille: 1000, pace, planned };
+        let progress = Progress::start(self.now, resumed, total);
+        let amount = request.amount;
+        let slot = Slot { amount, phase: Phase::Running, permille: 1000, progress, planned };
         self.slots.insert(run.clone(), slot);
-        self.journal.change(run);
+        self.journal.record_change(run);
     }
 
-    /// Holds the result of a run that never ran.
-    fn hold_result(&mut self, run: &Run, phase: Phase) {
-        let pace = Pace::start(self.now, Duration::ZERO, Duration::ZERO);
-        let slot = Slot { amount: Amount::ZERO, phase, permille: 1000, pace, planned: None };
+    /// Stores the result of a run that was never started.
+    fn store_result(&mut self, run: &Run, phase: Phase) {
+        let progress = Progress::start(self.now, Duration::ZERO, Duration::ZERO);
+        let slot = Slot { amount: Amount::ZERO, phase, permille: 1000, progress, planned: None };
         self.slots.insert(run.clone(), slot);
-        self.journal.change(run);
+        self.journal.record_change(run);
     }
 
     fn stop(&mut self, run: &Run) {
         let at = self.now + self.timing.stop;
         match self.slots.get_mut(run) {
-            None => self.forget(run),
-            Some(slot) if slot.live() && !slot.stops() => {
+            None => self.fence(run),
+            Some(slot) if slot.is_live() && !slot.is_stopping() => {
                 slot.phase = Phase::Stopping;
                 slot.planned = Some(Planned { at, ending: Ending::Stop });
-                self.journal.change(run);
+                self.journal.record_change(run);
             }
             Some(_) => {}
         }
@@ -110,12 +115,12 @@
     fn evict(&mut self, run: &Run) {
         let at = self.now + self.timing.checkpoint;
         match self.slots.get_mut(run) {
-            None => self.forget(run),
+            None => self.fence(run),
             Some(slot) if slot.phase == Phase::Running => {
                 slot.phase = Phase::Stopping;
-                slot.pace.set_speed(self.now, 0);
+                slot.progress.set_speed(self.now, 0);
                 slot.planned = Some(Planned { at, ending: Ending::Evict });
-                self.journal.change(run);
+                self.journal.record_change(run);
             }
             Some(_) => {}
         }
@@ -125,25 +130,25 @@
         let Some(slot) = self.slots.get_mut(run) else { return };
         if slot.phase == Phase::Running && slot.permille != permille {
             slot.permille = permille.min(1000);
-            self.journal.change(run);
+            self.journal.record_change(run);
         }
     }
 
-    fn forget(&mut self, run: &Run) {
+    fn fence(&mut self, run: &Run) {
         let fence = self.fences.entry(Task::of(run)).or_insert(run.attempt);
         *fence = run.attempt.max(*fence);
-        self.journal.forget(run);
+        self.journal.record_forgotten(run);
     }
 
     pub(super) fn acknowledge(&mut self, run: &Run, ledger: &mut Ledger) {
         let Some(slot) = self.slots.get(run) else { return };
-        if slot.live() {
+        if slot.is_live() {
             return;
         }
         if slot.phase == Phase::Done {
             ledger.acknowledge(run);
         }
         self.slots.remove(run);
-        self.forget(run);
+        self.fence(run);
     }
 }
--- a/crates/standin/src/worker/fleet.rs
+++ b/crates/standin/src/worker/fleet.rs
@@ -1,4 +1,4 @@
-//! All workers with the record that they share, without I/O and without a clock.
+//! All workers and their common record. Does no I/O; the caller passes the time.
 
 use std::collections::BTreeMap;
 
@@ -10,9 +10,9 @@
 use cowslipchute_ports::worker::Exchange;
 use cowslipchute_ports::worker::Report;
 
+use crate::worker::behavior::Behavior;
 use crate::worker::ledger::Ledger;
-use crate::worker::nature::Nature;
-use crate::worker::state::Around;
+use crate::worker::state::Environment;
 use crate::worker::state::Worker;
 use crate::worker::timing::Health;
 use crate::worker::timing::Timing;
@@ -22,16 +22,16 @@
 pub struct Fleet {
     workers: BTreeMap<Instance, Worker>,
     ledger: Ledger,
-    nature: Nature,
+    behavior: Behavior,
 }
 
 impl Fleet {
     /// Opens a fleet without workers.
-    pub fn open(nature: Nature) -> Fleet {
-        Fleet { workers: BTreeMap::new(), ledger: Ledger::default(), nature }
+    pub fn open(behavior: Behavior) -> Fleet {
+        Fleet { workers: BTreeMap::new(), ledger: Ledger::default(), behavior }
     }
 
-    /// Adds a worker that was just booted in its first life.
+    /// Adds a worker that has just started, in its first incarnation.
     pub fn add(&mut self, now: Time, instance: Instance, capacity: Amount, timing: Timing) {
         let worker = Worker::open(instance.clone(), 1, capacity, timing, now);
         self.workers.insert(instance, worker);
@@ -42,47 +42,50 @@
         &self.ledger
     }
 
-    /// Finds a worker.
+    /// Returns a worker.
     pub fn worker(&self, instance: &Instance) -> Option<&Worker> {
         self.workers.get(instance)
     }
 
-    /// Lets everything happen on every worker that is due by now.
+    /// Carries out everything that is due on any worker by now.
     pub fn advance(&mut self, now: Time) {
         for worker in self.workers.values_mut() {
-            worker.advance(now, &mut Around { ledger: &mut self.ledger, nature: &self.nature });
+            worker.advance(
+                now,
+                &mut Environment { ledger: &mut self.ledger, behavior: &self.behavior },
+            );
         }
     }
 
-    /// Makes one exchange with a worker; nothing when there is none of that name.
+    /// Carries out one exchange with a worker. Returns `None` if there is no worker of that name.
     pub fn exchange(
         &mut self,
         instance: &Instance,
         now: Time,
         exchange: &Exchange,
     ) -> Option<Report> {
-        let starts = |command: &Command| matches!(command, Command::Start { .. });
-        if exchange.commands.iter().any(starts) {
-            // What is over elsewhere by now must be recorded as over before anything starts here.
+        let is_start = |command: &Command| matches!(command, Command::Start { .. });
+        if exchange.commands.iter().any(is_start) {
+            // Runs that have ended on other workers by now must be recorded before a start here.
             self.advance(now);
         }
-        let around = &mut Around { ledger: &mut self.ledger, nature: &self.nature };
-        Some(self.workers.get_mut(instance)?.exchange(now, exchange, around))
+        let environment = &mut Environment { ledger: &mut self.ledger, behavior: &self.behavior };
+        Some(self.workers.get_mut(instance)?.exchange(now, exchange, environment))
     }
 
-    /// Changes what is wrong with a worker.
+    /// Sets the faults of a worker.
     pub fn set_health(&mut self, instance: &Instance, now: Time, health: Health) {
-        let around = &mut Around { ledger: &mut self.ledger, nature: &self.nature };
+        let environment = &mut Environment { ledger: &mut self.ledger, behavior: &self.behavior };
         if let Some(worker) = self.workers.get_mut(instance) {
-            worker.set_health(now, health, around);
+            worker.set_health(now, health, environment);
         }
     }
 
-    /// Kills a worker and returns the number of its next life.
+    /// Kills a worker, restarts it and returns its new incarnation.
     pub fn reboot(&mut self, instance: &Instance, now: Time) -> Option<Incarnation> {
-        let around = &mut Around { ledger: &mut self.ledger, nature: &self.nature };
+        let environment = &mut Environment { ledger: &mut self.ledger, behavior: &self.behavior };
         let worker = self.workers.get_mut(instance)?;
-        worker.reboot(now, around);
+        worker.reboot(now, environment);
         Some(worker.incarnation())
     }
 }
--- a/crates/standin/src/worker/ledger.rs
+++ b/crates/standin/src/worker/ledger.rs
@@ -1,4 +1,4 @@
-//! What ran where, and whether it ever ran twice.
+//! The record of all runs, which detects violations such as a task that runs twice.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -15,10 +15,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Violations that are kept; later ones are only counted.
-const KEPT: usize = 1000;
+/// Violations kept; later ones are only counted.
+const MAX_VIOLATIONS: usize = 1000;
 
-/// Names a task.
+/// The identity of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
 pub struct Task {
@@ -35,57 +35,57 @@
     }
 }
 
-/// Something that must never happen.
+/// A violation of the guarantees for tasks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Violation {
-    /// A task was started while a run of it was going on.
+    /// A task was started while a run of it was active.
     TwoPlaces {
         /// The run that was started.
         run: Run,
-        /// Where it was started.
+        /// The worker that started it.
         instance: Instance,
-        /// The run that was going on.
+        /// The active run.
         other: Run,
-        /// Where that was going on.
+        /// The worker of the active run.
         other_instance: Instance,
     },
-    /// One run was started twice.
+    /// A run was started twice.
     StartedTwice {
         /// The run.
         run: Run,
-        /// Where it was started again.
+        /// The worker that started it again.
         instance: Instance,
     },
-    /// A run was started after a later attempt of its task had been.
+    /// A run was started after a later attempt of its task.
     StaleAttempt {
         /// The run.
         run: Run,
-        /// Where it was started.
+        /// The worker that started it.
         instance: Instance,
         /// The later attempt.
         newer: Attempt,
     },
-    /// A task was started after it had completed and that was acknowledged.
+    /// A task was started after its completion had been acknowledged.
     StartedAfterDone {
         /// The run.
         run: Run,
-        /// Where it was started.
+        /// The worker that started it.
         instance: Instance,
     },
-    /// A start would have taken a worker beyond what it has.
+    /// A start would have exceeded a worker's capacity.
     Overcommitted {
         /// The run, which was refused.
         run: Run,
         /// The worker.
         instance: Instance,
-        /// What would have been taken.
+        /// The amount that would have been reserved.
         taken: Amount,
-        /// What the worker has.
+        /// The worker's capacity.
         capacity: Amount,
     },
-    /// A run was to resume from a checkpoint that nobody wrote, or that another task wrote.
+    /// A run was to resume from a checkpoint that doesn't exist or belongs to another task.
     WrongCheckpoint {
         /// The run.
         run: Run,
@@ -94,7 +94,7 @@
     },
 }
 
-/// How a run ended.
+/// The way in which a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// It completed.
@@ -105,13 +105,13 @@
     Evicted,
     /// It was stopped on command.
     Stopped,
-    /// Its lease lapsed.
-    Lapsed,
+    /// Its lease expired.
+    Expired,
     /// Its worker was killed.
     Killed,
 }
 
-/// How many runs there were, by how they ended.
+/// The number of runs, by the way in which they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Count {
@@ -127,20 +127,21 @@
     pub evicted: u64,
     /// Runs stopped on command.
     pub stopped: u64,
-    /// Runs ended by a lapsed lease.
+    /// Runs ended by an expired lease.
     pub lapsed: u64,
-    /// Runs ended with their worker.
+    /// Runs ended because their worker was killed.
     pub killed: u64,
     /// Tasks completed.
     pub tasks_done: u64,
-    /// Completions of tasks that had completed before, as after a result died with its worker.
+    /// Repeated completions of a task, for example because the first result was lost with its
+    /// worker.
     pub redone: u64,
-    /// Things that must never happen.
+    /// Violations.
     pub violations: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Going {
+struct Active {
     run: Run,
     instance: Instance,
 }
@@ -151,11 +152,11 @@
     progress: Duration,
 }
 
-/// What ran where.
+/// The record of all runs.
 #[derive(Debug, Default)]
 pub struct Ledger {
     count: Count,
-    going: BTreeMap<Task, Vec<Going>>,
+    active: BTreeMap<Task, Vec<Active>>,
     started: BTreeSet<Run>,
     latest: BTreeMap<Task, Attempt>,
     done: BTreeSet<Task>,
@@ -170,15 +171,15 @@
         Count { tasks_done: self.done.len() as u64, ..self.count }
     }
 
-    /// Returns what must never have happened.
+    /// Returns the violations.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// Records something that must never happen.
-    pub fn violate(&mut self, violation: Violation) {
+    /// Records a violation.
+    pub fn record_violation(&mut self, violation: Violation) {
         self.count.violations += 1;
-        if self.violations.len() < KEPT {
+        if self.violations.len() < MAX_VIOLATIONS {
             self.violations.push(violation);
         }
     }
@@ -187,7 +188,10 @@
     pub fn start(&mut self, instance: &Instance, run: &Run) {
         self.count.started += 1;
         if !self.started.insert(run.clone()) {
-            self.violate(Violation::StartedTwice { run: run.clone(), instance: instance.clone() });
+            self.record_violation(Violation::StartedTwice {
+                run: run.clone(),
+                instance: instance.clone(),
+            });
         }
         let task = Task::of(run);
         let latest = self.latest.entry(task.clone()).or_insert(run.attempt);
@@ -195,31 +199,31 @@
         *latest = newer.max(run.attempt);
         if newer > run.attempt {
             let (run, instance) = (run.clone(), instance.clone());
-            self.violate(Violation::StaleAttempt { run, instance, newer });
+            self.record_violation(Violation::StaleAttempt { run, instance, newer });
         }
         if self.acknowledged.contains(&task) {
             let (run, instance) = (run.clone(), instance.clone());
-            self.violate(Violation::StartedAfterDone { run, instance });
+            self.record_violation(Violation::StartedAfterDone { run, instance });
         }
-        for other in self.going.get(&task).cloned().unwrap_or_default() {
-            self.violate(Violation::TwoPlaces {
+        for other in self.active.get(&task).cloned().unwrap_or_default() {
+            self.record_violation(Violation::TwoPlaces {
                 run: run.clone(),
                 instance: instance.clone(),
                 other: other.run,
                 other_instance: other.instance,
             });
         }
-        let going = Going { run: run.clone(), instance: instance.clone() };
-        self.going.entry(task).or_default().push(going);
+        let active = Active { run: run.clone(), instance: instance.clone() };
+        self.active.entry(task).or_default().push(active);
     }
 
     /// Records an end.
     pub fn end(&mut self, instance: &Instance, run: &Run, end: End) {
         let task = Task::of(run);
-        if let Some(going) = self.going.get_mut(&task) {
-            going.retain(|other| other.run != *run || other.instance != *instance);
-            if going.is_empty() {
-                self.going.remove(&task);
+        if let Some(active) = self.active.get_mut(&task) {
+            active.retain(|other| other.run != *run || other.instance != *instance);
+            if active.is_empty() {
+                self.active.remove(&task);
             }
         }
         match end {
@@ -230,47 +234,47 @@
             End::Failed => self.count.failed += 1,
             End::Evicted => self.count.evicted += 1,
             End::Stopped => self.count.stopped += 1,
-            End::Lapsed => self.count.lapsed += 1,
+            End::Expired => self.count.lapsed += 1,
             End::Killed => self.count.killed += 1,
         }
     }
 
-    /// Records that a completion was acknowledged, so it is in the store by the owner's word.
+    /// Records that the owner has acknowledged a completion, which means that it is in the store.
     pub fn acknowledge(&mut self, run: &Run) {
         self.acknowledged.insert(Task::of(run));
     }
 
-    /// Keeps a checkpoint.
-    pub fn save(&mut self, checkpoint: Checkpoint, run: &Run, progress: Duration) {
+    /// Records a checkpoint.
+    pub fn record_checkpoint(&mut self, checkpoint: Checkpoint, run: &Run, progress: Duration) {
         self.checkpoints.insert(checkpoint, Saved { task: Task::of(run), progress });
     }
 
-    /// Returns how far a run starts, which is nothing without a checkpoint.
-    pub fn resume(&mut self, run: &Run, checkpoint: Option<&Checkpoint>) -> Duration {
+    /// Returns the progress at which a run starts, which is zero without a checkpoint.
+    pub fn resume_progress(&mut self, run: &Run, checkpoint: Option<&Checkpoint>) -> Duration {
         let Some(checkpoint) = checkpoint else { return Duration::ZERO };
         self.count.resumed += 1;
         match self.checkpoints.get(checkpoint) {
             Some(saved) if saved.task == Task::of(run) => saved.progress,
             _ => {
                 let (run, checkpoint) = (run.clone(), checkpoint.clone());
-                self.violate(Violation::WrongCheckpoint { run, checkpoint });
+                self.record_violation(Violation::WrongCheckpoint { run, checkpoint });
                 Duration::ZERO
             }
         }
     }
 
-    /// Lists the runs that go on, with where they do.
-    pub fn going(&self) -> impl Iterator<Item = (&Run, &Instance)> {
-        self.going.values().flatten().map(|going| (&going.run, &going.instance))
+    /// Returns the active runs with their workers.
+    pub fn active(&self) -> impl Iterator<Item = (&Run, &Instance)> {
+        self.active.values().flatten().map(|active| (&active.run, &active.instance))
     }
 
-    /// Tells whether a task has completed.
+    /// Returns `true` if a task has completed.
     pub fn is_done(&self, task: &Task) -> bool {
         self.done.contains(task)
     }
 }
 
-/// Returns a time in the whole milliseconds of the wire.
+/// Returns a time in whole milliseconds, as on the wire.
 pub fn millis(time: Time) -> u64 {
     time.as_millis() as u64
 }
--- a/crates/standin/src/worker/answer.rs
+++ b/crates/standin/src/worker/response.rs
@@ -1,4 +1,4 @@
-//! What a worker answers to an exchange.
+//! A worker's responses to exchanges.
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::id::Epoch;
@@ -12,8 +12,9 @@
 use crate::worker::state::Worker;
 
 impl Worker {
-    /// Answers without obeying; the inventory is no business of an owner that has been replaced.
-    pub(super) fn refuse(&self, exchange: &Exchange, epoch: Epoch) -> Report {
+    /// Returns the report of a refused exchange. It holds no inventory, which an owner that has
+    /// been replaced doesn't need.
+    pub(super) fn rejection(&self, exchange: &Exchange, epoch: Epoch) -> Report {
         Report {
             instance: self.instance.clone(),
             incarnation: self.incarnation,
@@ -29,7 +30,7 @@
     }
 
     pub(super) fn report(&mut self, exchange: &Exchange) -> Report {
-        let changes = self.journal.after(exchange.known).map(|runs| {
+        let changes = self.journal.changes_after(exchange.known).map(|runs| {
             let held = runs.map(|run| self.held(run));
             held.collect::<Vec<Held>>()
         });
@@ -61,7 +62,7 @@
 
     fn take_usage(&mut self) -> Vec<Usage> {
         let (now, lag) = (self.now, self.timing.measure_lag);
-        let ripe = self.measured.partition_point(|(at, _)| *at + lag <= now);
-        self.measured.drain(..ripe).map(|(_, usage)| usage).collect()
+        let ready = self.measured.partition_point(|(at, _)| *at + lag <= now);
+        self.measured.drain(..ready).map(|(_, usage)| usage).collect()
     }
 }
--- a/crates/standin/src/worker/server.rs
+++ b/crates/standin/src/worker/server.rs
@@ -1,4 +1,4 @@
-//! Workers over HTTP, each on a port of its own.
+//! Workers over HTTP, each on its own port.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -14,17 +14,17 @@
 use poem::http::Method;
 use poem::http::StatusCode;
 
+use crate::connection::Connections;
 use crate::host;
-use crate::link::Links;
+use crate::injector::Injector;
+use crate::injector::Refusal;
 use crate::origin;
-use crate::valve::Refusal;
-use crate::valve::Valve;
 use crate::worker::fleet::Fleet;
 
-/// Largest exchange.
+/// Largest exchange, in bytes.
 const BODY_LIMIT: usize = 8 << 20;
 
-/// The fleet that all calls share.
+/// The fleet, shared by all calls.
 #[derive(Debug)]
 pub struct Service {
     fleet: Mutex<Fleet>,
@@ -32,21 +32,22 @@
 }
 
 impl Service {
-    /// Opens the fleet to calls.
+    /// Returns a service for a fleet.
     pub(crate) fn open(clock: Clock, fleet: Fleet) -> Arc<Service> {
         Arc::new(Service { fleet: Mutex::new(fleet), clock })
     }
 
-    /// Uses the fleet as it is now. The clock is read under the lock, so that time never goes back.
+    /// Advances the fleet to the current time and calls `f` with it. The clock is read under the
+    /// lock, so that the fleet's time never goes back.
     pub fn with<T>(&self, f: impl FnOnce(&mut Fleet, std::time::Duration) -> T) -> T {
-        let mut fleet: MutexGuard<'_, Fleet> = self.fleet.lock().expect("no holder panics");
+        let mut fleet: MutexGuard<'_, Fleet> = self.fleet.lock().expect("no lock holder panics");
         let now = self.clock.now();
         fleet.advance(now);
         f(&mut fleet, now)
     }
 
     fn exchange(&self, instance: &Instance, exchange: &Exchange) -> Response {
-        let mut fleet = self.fleet.lock().expect("no holder panics");
+        let mut fleet = self.fleet.lock().expect("no lock holder panics");
         let now = self.clock.now();
         let report = fleet.exchange(instance, now, exchange);
         drop(fleet);
@@ -55,19 +56,19 @@
     }
 }
 
-/// One worker's HTTP endpoint.
-pub(crate) struct Door {
+/// The context of one worker's calls.
+pub(crate) struct Context {
     /// The worker.
     pub instance: Instance,
-    /// The fleet behind it.
+    /// The fleet.
     pub service: Arc<Service>,
-    /// What its calls pass.
-    pub valve: Arc<Valve>,
-    /// Its connections.
-    pub links: Arc<Links>,
+    /// The worker's fault injector.
+    pub injector: Arc<Injector>,
+    /// The worker's connections.
+    pub connections: Arc<Connections>,
 }
 
-async fn serve(door: Arc<Door>, mut request: Request) -> Result<Response, Refusal> {
+async fn serve(context: Arc<Context>, mut request: Request) -> Result<Response, Refusal> {
     if request.method() != Method::POST || request.uri().path() != EXCHANGE {
         return Ok(StatusCode::NOT_FOUND.into());
     }
@@ -79,31 +80,31 @@
         Ok(exchange) => exchange,
         Err(error) => return Ok((StatusCode::BAD_REQUEST, error.to_string()).into()),
     };
-    let pass = door.valve.enter(from).await?;
-    let response = door.service.exchange(&door.instance, &exchange);
-    door.valve.leave(&pass).await?;
+    let call = context.injector.before_request(from).await?;
+    let response = context.service.exchange(&context.instance, &exchange);
+    context.injector.before_response(&call).await?;
     Ok(response)
 }
 
-/// A [`Door`] that its calls share.
-pub(crate) struct Entrance {
-    /// The door.
-    pub door: Arc<Door>,
+/// One worker's HTTP handler.
+pub(crate) struct Handler {
+    /// The context, shared by the worker's calls.
+    pub context: Arc<Context>,
 }
 
-impl Endpoint for Entrance {
+impl Endpoint for Handler {
     type Output = Response;
 
     async fn call(&self, request: Request) -> poem::Result<Response> {
         let peer = host::peer(&request);
-        // A task of its own, since an exchange that has arrived is obeyed even when its sender is
-        // gone.
-        let served = tokio::spawn(serve(self.door.clone(), request)).await;
+        // A separate task, because an exchange that has arrived is carried out even if its sender
+        // has disconnected.
+        let served = tokio::spawn(serve(self.context.clone(), request)).await;
         match served.expect("serving doesn't panic") {
             Ok(response) => Ok(response),
             Err(Refusal::Down) => Ok(StatusCode::SERVICE_UNAVAILABLE.into()),
             Err(Refusal::Break) => {
-                peer.into_iter().for_each(|peer| self.door.links.cut(peer));
+                peer.into_iter().for_each(|peer| self.context.connections.reset(peer));
                 Ok(Response::default())
             }
         }
--- a/crates/standin/src/worker/slot.rs
+++ b/crates/standin/src/worker/slot.rs
@@ -1,62 +1,62 @@
-//! One run as a worker holds it, live or ended.
+//! A run in a worker's inventory, live or ended.
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::worker::Phase;
 
-use crate::worker::pace::Pace;
+use crate::worker::progress::Progress;
 
-/// How a live run is about to end.
+/// The way in which a live run is about to end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Ending {
-    /// By a checkpoint.
+    /// It is evicted after a checkpoint.
     Evict,
-    /// On command, with nothing kept.
+    /// It is stopped on command, without a checkpoint.
     Stop,
-    /// By itself, with an error.
+    /// It fails with an error.
     Fail(String),
 }
 
-/// When and how a live run ends, unless it is done before.
+/// The planned end of a live run, unless it completes before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Planned {
-    /// When.
+    /// The time of the end.
     pub at: Time,
-    /// How.
+    /// The way in which it ends.
     pub ending: Ending,
 }
 
 /// One run.
 #[derive(Clone, Debug)]
 pub(super) struct Slot {
-    /// What it takes, which is nothing once it has ended.
+    /// The amount reserved for it, which is zero once it has ended.
     pub amount: Amount,
-    /// How far it has come.
+    /// Its phase.
     pub phase: Phase,
-    /// Its throttle, in thousandths of its processors.
+    /// Its speed limit, in thousandths of its processors.
     pub permille: u16,
-    /// How much of its work is done.
-    pub pace: Pace,
-    /// How it is about to end, if not by being done.
+    /// The progress of its work.
+    pub progress: Progress,
+    /// Its planned end, if other than by completion.
     pub planned: Option<Planned>,
 }
 
 impl Slot {
-    /// Tells whether the run still takes its amount.
-    pub(super) fn live(&self) -> bool {
+    /// Returns `true` if the run still occupies its amount.
+    pub(super) fn is_live(&self) -> bool {
         matches!(self.phase, Phase::Running | Phase::Stopping)
     }
 
-    /// Tells whether it is being stopped on command.
-    pub(super) fn stops(&self) -> bool {
+    /// Returns `true` if the run is being stopped on command.
+    pub(super) fn is_stopping(&self) -> bool {
         self.planned.as_ref().is_some_and(|planned| planned.ending == Ending::Stop)
     }
 
-    /// Returns when it ends, if it does at this pace.
-    pub(super) fn due(&self) -> Option<Time> {
+    /// Returns the time at which the run ends, if it ever does at its current speed.
+    pub(super) fn ends_at(&self) -> Option<Time> {
         match (&self.planned, &self.phase) {
             (Some(planned), _) => Some(planned.at),
-            (None, Phase::Running) => self.pace.due(),
+            (None, Phase::Running) => self.progress.completes_at(),
             _ => None,
         }
     }
--- a/crates/standin/src/worker/state.rs
+++ b/crates/standin/src/worker/state.rs
@@ -1,4 +1,4 @@
-//! One worker: its epochs, its lease and its runs, without I/O and without a clock.
+//! One worker: its epochs, its lease and its runs. Does no I/O; the caller passes the time.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -19,37 +19,37 @@
 use cowslipchute_ports::worker::Run;
 use cowslipchute_ports::worker::Usage;
 
+use crate::worker::behavior::Behavior;
 use crate::worker::journal::Journal;
 use crate::worker::ledger::End;
 use crate::worker::ledger::Ledger;
 use crate::worker::ledger::Task;
 use crate::worker::ledger::millis;
-use crate::worker::nature::Nature;
-use crate::worker::pace::FULL;
+use crate::worker::progress::FULL_PERMILLE;
 use crate::worker::slot::Ending;
 use crate::worker::slot::Slot;
 use crate::worker::timing::Health;
 use crate::worker::timing::Timing;
 
-/// Measurements that wait for their lag or for a report.
-const MEASURED_KEPT: usize = 4096;
+/// Measurements kept until their lag has passed and a report takes them.
+const MAX_PENDING_MEASUREMENTS: usize = 4096;
 
-/// What a worker does beyond itself: the record of all workers, and the nature of tasks.
+/// The environment of a worker: the common record of all workers and the behavior of tasks.
 #[derive(Debug)]
-pub struct Around<'a> {
+pub struct Environment<'a> {
     /// The record of all workers.
     pub ledger: &'a mut Ledger,
-    /// The hidden properties of tasks.
-    pub nature: &'a Nature,
+    /// The hidden behavior of tasks.
+    pub behavior: &'a Behavior,
 }
 
-/// What is due next. The order is that of things due at the same time: a run that ends by itself at
-/// the moment of the lapse has ended by itself.
+/// An event that is due. The order of variants is that of events due at the same time: a run that
+/// completes at the moment of the lease expiry counts as completed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Run(Run),
     Measure,
-    Lapse,
+    LeaseExpiry,
 }
 
 /// One worker.
@@ -60,25 +60,25 @@
     pub(super) capacity: Amount,
     pub(super) timing: Timing,
     pub(super) health: Health,
-    /// Where the worker's own clock began.
+    /// The time at which the worker's own clock started.
     pub(super) booted: Time,
     pub(super) now: Time,
     pub(super) epochs: BTreeMap<Cell, Epoch>,
     pub(super) lease: Option<Time>,
     pub(super) slots: BTreeMap<Run, Slot>,
-    /// The highest attempt of each task that was here and is forgotten, or was stopped before it
-    /// came: a start that was held up on the way is not obeyed after that.
+    /// The highest attempt of each task that is forgotten here, or that was stopped before its
+    /// start arrived. A delayed start of this attempt or an earlier one is refused.
     pub(super) fences: BTreeMap<Task, Attempt>,
     pub(super) journal: Journal,
     pub(super) measured: VecDeque<(Time, Usage)>,
     pub(super) next_measure: Time,
     pub(super) checkpoints: u64,
-    /// The earliest time at which anything is due.
+    /// The time of the earliest event.
     pub(super) due: Option<Time>,
 }
 
 impl Worker {
-    /// Opens a worker that was just booted.
+    /// Opens a worker that has just started.
     pub fn open(
         instance: Instance,
         incarnation: Incarnation,
@@ -111,44 +111,44 @@
         &self.instance
     }
 
-    /// Returns which life of the worker this is.
+    /// Returns the worker's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Reads the worker's own clock, in milliseconds.
+    /// Returns the reading of the worker's own clock, in milliseconds.
     pub fn stamp(&self, now: Time) -> u64 {
         millis(now.saturating_sub(self.booted))
     }
 
-    /// Returns what all runs take that are not surely gone.
-    pub fn taken(&self) -> Amount {
-        let live = self.slots.values().filter(|slot| slot.live());
+    /// Returns the amount reserved for all live runs.
+    pub fn reserved(&self) -> Amount {
+        let live = self.slots.values().filter(|slot| slot.is_live());
         live.fold(Amount::ZERO, |sum, slot| sum.plus(slot.amount))
     }
 
-    /// Changes what is wrong with the worker.
-    pub fn set_health(&mut self, now: Time, health: Health, around: &mut Around<'_>) {
-        self.advance(now, around);
+    /// Sets the worker's faults.
+    pub fn set_health(&mut self, now: Time, health: Health, environment: &mut Environment<'_>) {
+        self.advance(now, environment);
         self.health = health;
-        self.repace(around.nature);
-        self.plan_due();
+        self.update_speeds(environment.behavior);
+        self.update_due();
     }
 
-    /// Ends this life of the worker as a killed machine ends, and begins the next.
-    pub fn reboot(&mut self, now: Time, around: &mut Around<'_>) {
-        self.advance(now, around);
+    /// Ends this incarnation of the worker like a machine that is killed, and starts the next one.
+    pub fn reboot(&mut self, now: Time, environment: &mut Environment<'_>) {
+        self.advance(now, environment);
         for (run, slot) in &self.slots {
-            if slot.live() {
-                around.ledger.end(&self.instance, run, End::Killed);
+            if slot.is_live() {
+                environment.ledger.end(&self.instance, run, End::Killed);
             }
         }
         let instance = self.instance.clone();
         *self = Worker::open(instance, self.incarnation + 1, self.capacity, self.timing, now);
     }
 
-    /// Lets everything happen that is due by now, in the order of its times.
-    pub fn advance(&mut self, now: Time, around: &mut Around<'_>) {
+    /// Carries out all events that are due by now, in the order of their times.
+    pub fn advance(&mut self, now: Time, environment: &mut Environment<'_>) {
         if self.due.is_none_or(|due| due > now) {
             self.now = self.now.max(now);
             return;
@@ -156,30 +156,30 @@
         while let Some((at, due)) = self.next_due().filter(|(at, _)| *at <= now) {
             self.now = self.now.max(at);
             match due {
-                Due::Run(run) => self.finish(&run, around),
-                Due::Measure => self.measure(around.nature),
-                Due::Lapse => self.lapse(around),
+                Due::Run(run) => self.finish(&run, environment),
+                Due::Measure => self.take_measurements(environment.behavior),
+                Due::LeaseExpiry => self.expire_lease(environment),
             }
         }
         self.now = self.now.max(now);
-        self.plan_due();
+        self.update_due();
     }
 
     fn next_due(&self) -> Option<(Time, Due)> {
-        let live = self.slots.iter().filter(|(_, slot)| slot.live());
-        let runs = live.filter_map(|(run, slot)| Some((slot.due()?, Due::Run(run.clone()))));
-        let lapse = self.lease.map(|lease| (lease, Due::Lapse));
+        let live = self.slots.iter().filter(|(_, slot)| slot.is_live());
+        let runs = live.filter_map(|(run, slot)| Some((slot.ends_at()?, Due::Run(run.clone()))));
+        let expiry = self.lease.map(|lease| (lease, Due::LeaseExpiry));
         let running = self.slots.values().any(|slot| slot.phase == Phase::Running);
         let measure = running.then_some((self.next_measure, Due::Measure));
-        runs.chain(lapse).chain(measure).min()
+        runs.chain(expiry).chain(measure).min()
     }
 
-    fn plan_due(&mut self) {
+    fn update_due(&mut self) {
         self.due = self.next_due().map(|(at, _)| at);
     }
 
-    fn finish(&mut self, run: &Run, around: &mut Around<'_>) {
-        let slot = self.slots.get_mut(run).expect("what is due is held");
+    fn finish(&mut self, run: &Run, environment: &mut Environment<'_>) {
+        let slot = self.slots.get_mut(run).expect("a due run is in the inventory");
         let ending = slot.planned.take().map(|planned| planned.ending);
         let (phase, end) = match ending {
             None => (Phase::Done, End::Done),
@@ -190,102 +190,111 @@
                 let number = self.checkpoints;
                 let handle = format!("{}.{}.{number}", self.instance, self.incarnation);
                 let checkpoint = Checkpoint::from(handle);
-                around.ledger.save(checkpoint.clone(), run, slot.pace.progress(self.now));
+                environment.ledger.record_checkpoint(
+                    checkpoint.clone(),
+                    run,
+                    slot.progress.completed(self.now),
+                );
                 (Phase::Evicted { checkpoint: Some(checkpoint) }, End::Evicted)
             }
         };
-        self.end(run, phase, end, around);
-        self.repace(around.nature);
+        self.end(run, phase, end, environment);
+        self.update_speeds(environment.behavior);
     }
 
-    fn lapse(&mut self, around: &mut Around<'_>) {
+    fn expire_lease(&mut self, environment: &mut Environment<'_>) {
         self.lease = None;
-        let live = self.slots.iter().filter(|(_, slot)| slot.live());
+        let live = self.slots.iter().filter(|(_, slot)| slot.is_live());
         let runs: Vec<Run> = live.map(|(run, _)| run.clone()).collect();
         for run in runs {
-            self.end(&run, Phase::Stopped, End::Lapsed, around);
+            self.end(&run, Phase::Stopped, End::Expired, environment);
         }
     }
 
-    fn end(&mut self, run: &Run, phase: Phase, end: End, around: &mut Around<'_>) {
-        let slot = self.slots.get_mut(run).expect("what ends is held");
+    fn end(&mut self, run: &Run, phase: Phase, end: End, environment: &mut Environment<'_>) {
+        let slot = self.slots.get_mut(run).expect("an ending run is in the inventory");
         slot.phase = phase;
         slot.amount = Amount::ZERO;
         slot.planned = None;
-        self.journal.change(run);
-        around.ledger.end(&self.instance, run, end);
+        self.journal.record_change(run);
+        environment.ledger.end(&self.instance, run, end);
     }
 
-    fn measure(&mut self, nature: &Nature) {
+    fn take_measurements(&mut self, behavior: &Behavior) {
         let stamp = self.stamp(self.now);
         self.next_measure = self.now + self.timing.measure;
         for (run, slot) in &self.slots {
             if slot.phase != Phase::Running {
                 continue;
             }
-            let used = nature.used(run, slot.amount);
-            let cpu = u64::from(used.cpu_milli) * u64::from(slot.permille) / FULL;
+            let used = behavior.used(run, slot.amount);
+            let cpu = u64::from(used.cpu_milli) * u64::from(slot.permille) / FULL_PERMILLE;
             let usage = Usage {
                 run: run.clone(),
                 amount: Amount { cpu_milli: cpu as u32, ..used },
                 measured: stamp,
-                slowdown_permille: self.slowdown(run, nature) as u32,
+                slowdown_permille: self.slowdown(run, behavior) as u32,
             };
             self.measured.push_back((self.now, usage));
         }
-        while self.measured.len() > MEASURED_KEPT {
+        while self.measured.len() > MAX_PENDING_MEASUREMENTS {
             self.measured.pop_front();
         }
     }
 
-    fn slowdown(&self, run: &Run, nature: &Nature) -> u64 {
+    fn slowdown(&self, run: &Run, behavior: &Behavior) -> u64 {
         let running = self.slots.iter().filter(|(_, slot)| slot.phase == Phase::Running);
         let others = running.map(|(other, slot)| {
-            let cpu = u64::from(slot.amount.cpu_milli) * u64::from(slot.permille) / FULL;
+            let cpu = u64::from(slot.amount.cpu_milli) * u64::from(slot.permille) / FULL_PERMILLE;
             (other, Amount { cpu_milli: cpu as u32, ..slot.amount })
         });
-        let beside = nature.slowdown(run, others, self.capacity);
-        beside * u64::from(self.health.slow_permille) / FULL
+        let slowdown = behavior.slowdown(run, others, self.capacity);
+        slowdown * u64::from(self.health.slow_permille) / FULL_PERMILLE
     }
 
-    /// Gives each run the speed that goes with what runs beside it now.
-    fn repace(&mut self, nature: &Nature) {
+    /// Sets the speed of each run according to its speed limit and its current slowdown.
+    fn update_speeds(&mut self, behavior: &Behavior) {
         let running = self.slots.iter().filter(|(_, slot)| slot.phase == Phase::Running);
         let speeds: Vec<(Run, u64)> = running
             .map(|(run, slot)| {
-                let slowdown = self.slowdown(run, nature).max(1);
-                (run.clone(), u64::from(slot.permille) * FULL / slowdown)
+                let slowdown = self.slowdown(run, behavior).max(1);
+                (run.clone(), u64::from(slot.permille) * FULL_PERMILLE / slowdown)
             })
             .collect();
         for (run, speed) in speeds {
-            let slot = self.slots.get_mut(&run).expect("it was just found");
-            slot.pace.set_speed(self.now, speed);
+            let slot = self.slots.get_mut(&run).expect("the run is in the inventory");
+            slot.progress.set_speed(self.now, speed);
         }
     }
 
-    /// Makes one exchange.
-    pub fn exchange(&mut self, now: Time, exchange: &Exchange, around: &mut Around<'_>) -> Report {
-        self.advance(now, around);
+    /// Carries out one exchange.
+    pub fn exchange(
+        &mut self,
+        now: Time,
+        exchange: &Exchange,
+        environment: &mut Environment<'_>,
+    ) -> Report {
+        self.advance(now, environment);
         let highest = self.epochs.get(&exchange.cell).copied().unwrap_or(0);
         if exchange.incarnation != self.incarnation || exchange.epoch < highest {
-            return self.refuse(exchange, highest);
+            return self.rejection(exchange, highest);
         }
         self.epochs.insert(exchange.cell.clone(), exchange.epoch);
         let granted = exchange.grant.is_some_and(|grant| self.extend(grant));
         for command in &exchange.commands {
-            self.obey(command, granted, around);
+            self.execute(command, granted, environment);
         }
         for run in &exchange.acks {
-            self.acknowledge(run, around.ledger);
+            self.acknowledge(run, environment.ledger);
         }
-        self.repace(around.nature);
-        self.plan_due();
-        // What takes no time is over before the report.
-        self.advance(now, around);
+        self.update_speeds(environment.behavior);
+        self.update_due();
+        // Runs that take no time have ended before the report.
+        self.advance(now, environment);
         self.report(exchange)
     }
 
-    /// Extends the lease and tells whether the grant is still worth anything. A stamp that this
+    /// Extends the lease and returns `true` if the grant is still valid. A stamp that this worker's
     /// clock has not reached can't be from one of its reports.
     fn extend(&mut self, grant: Grant) -> bool {
         let stamp = self.booted + Duration::from_millis(grant.stamp);
--- a/crates/standin/src/worker/timing.rs
+++ b/crates/standin/src/worker/timing.rs
@@ -1,19 +1,19 @@
-//! How long a worker takes for what it does, and what is wrong with it.
+//! The durations of a worker's operations, and its faults.
 
 use std::time::Duration;
 
-/// How long a worker takes for what it does.
+/// The durations of a worker's operations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// To write a checkpoint.
+    /// The time to write a checkpoint.
     pub checkpoint: Duration,
-    /// To stop a run.
+    /// The time to stop a run.
     pub stop: Duration,
-    /// Until a run fails on a worker, or of a job, that fails everything.
+    /// The time from start to failure of a run on a failing worker or of a failing job.
     pub fail: Duration,
-    /// Between two measurements.
+    /// The interval between two measurements.
     pub measure: Duration,
-    /// Between a measurement and the first report that may hold it.
+    /// The time between a measurement and the first report that may hold it.
     pub measure_lag: Duration,
 }
 
@@ -29,12 +29,12 @@
     }
 }
 
-/// Faults that a worker's runs show.
+/// The faults of a worker that its runs and reports show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Health {
     /// Whether every run fails shortly after its start.
     pub failing: bool,
-    /// How long runs take, in thousandths of their usual time.
+    /// The duration of runs, in thousandths of their usual duration.
     pub slow_permille: u32,
     /// Whether the worker is about to leave.
     pub leaving: bool,
--- a/crates/standin/tests/backend.rs
+++ b/crates/standin/tests/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers over HTTP: answers that are whole or broken on command, and the record of runs.
+//! Backend servers over HTTP: complete and deliberately broken responses, and the record of runs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -43,7 +43,7 @@
     standin.set_fault(target, fault).await.expect("the fault is switched");
 }
 
-async fn whole(response: Result<Response, reqwest::Error>) -> Result<Vec<u8>, reqwest::Error> {
+async fn read_body(response: Result<Response, reqwest::Error>) -> Result<Vec<u8>, reqwest::Error> {
     Ok(response?.bytes().await?.to_vec())
 }
 
@@ -52,7 +52,7 @@
     let (standin, address) = open();
     let client = client();
     let long = get(&client, address, "long").header(backend::order::BODY_BYTES_HEADER, "100000");
-    assert_eq!(whole(long.send().await).await.expect("whole"), pattern("long", 100_000));
+    assert_eq!(read_body(long.send().await).await.expect("whole"), pattern("long", 100_000));
     let post =
         client.post(format!("http://{address}/shop")).header(backend::order::ID_HEADER, "post");
     let post = post.header("idempotency-key", "k1").body("render 4").send().await;
@@ -78,11 +78,15 @@
     let client = client();
     let request = get(&client, address, "r").header(backend::order::BREAK_HEADER, broken);
     let request = request.header(backend::order::BODY_BYTES_HEADER, "50000");
-    let answer = whole(request.send().await).await;
-    assert!(answer.is_err(), "{} bytes passed for the whole answer", answer.unwrap().len());
+    let answer = read_body(request.send().await).await;
+    assert!(
+        answer.is_err(),
+        "{} bytes were accepted as the complete response",
+        answer.unwrap().len()
+    );
     assert_eq!(standin.runs("r"), runs);
     let next = get(&client, address, "next").send().await;
-    whole(next).await.expect("only that connection was broken");
+    read_body(next).await.expect("only that connection was broken");
 }
 
 #[tokio::test]
@@ -90,7 +94,7 @@
     let (standin, address) = open();
     let client = client();
     for id in ["once", "twice", "twice"] {
-        whole(get(&client, address, id).send().await).await.expect("it is answered");
+        read_body(get(&client, address, id).send().await).await.expect("it is answered");
     }
     let summary = standin.report().requests;
     assert_eq!((summary.requests, summary.runs, summary.doubled), (2, 3, 1));
@@ -123,7 +127,7 @@
     let (standin, address) = open_with(plan);
     let held = [client(), client()];
     for client in &held {
-        whole(get(client, address, "held").send().await).await.expect("it is answered");
+        read_body(get(client, address, "held").send().await).await.expect("it is answered");
     }
     get(&client(), address, "third").send().await.expect_err("its connection is closed");
     assert_eq!((standin.runs("third"), standin.report().backends[0].count.connections), (0, 2));
@@ -177,7 +181,7 @@
     let gone = get(&client, address, "gone").send().await.expect_err("nobody listens");
     assert!(gone.is_connect());
     set(&standin, Fault::default()).await;
-    whole(get(&client, address, "back").send().await).await.expect("it is answered");
+    read_body(get(&client, address, "back").send().await).await.expect("it is answered");
     assert_eq!(standin.member("web-a-0").map(|member| member.incarnation), Some(2));
 }
 
@@ -188,8 +192,8 @@
     let first =
         get(&client, address, "first").header(backend::order::CLOSE_HEADER, "0").send().await;
     let first = first.expect("it is answered");
-    assert!(!first.headers().contains_key("connection"), "nothing announces it");
-    whole(Ok(first)).await.expect("whole");
+    assert!(!first.headers().contains_key("connection"), "the close is not announced");
+    read_body(Ok(first)).await.expect("whole");
     while standin.report().backends[0].count.connections > 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of two workers in virtual time, and one owner that talks to them.
+//! A fleet of two workers in virtual time, with one owner.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use cowslipchute_ports::worker::Phase;
 use cowslipchute_ports::worker::Report;
 use cowslipchute_ports::worker::Run;
+use cowslipchute_standin::worker::behavior::Behavior;
 use cowslipchute_standin::worker::fleet::Fleet;
 use cowslipchute_standin::worker::ledger::Count;
 use cowslipchute_standin::worker::ledger::Violation;
-use cowslipchute_standin::worker::nature::Nature;
 use cowslipchute_standin::worker::timing::Health;
 use cowslipchute_standin::worker::timing::Timing;
 
@@ -23,15 +23,15 @@
 /// A fleet and its owner.
 pub struct Bench {
     fleet: Fleet,
-    /// The worker that is talked to.
+    /// The index of the worker that receives the exchanges.
     pub worker: usize,
     /// The owner's epoch.
     pub epoch: u64,
-    /// The life of the worker that the owner means.
-    pub life: u64,
+    /// The incarnation of the worker that the owner addresses.
+    pub incarnation: u64,
     /// The inventory version that the owner holds.
     pub known: u64,
-    /// The grant that goes with each start.
+    /// The grant sent with each start.
     pub grant: Option<Grant>,
 }
 
@@ -58,23 +58,23 @@
 
 impl Bench {
     pub fn open() -> Bench {
-        Bench::open_with(Nature::default())
+        Bench::open_with(Behavior::default())
     }
 
-    pub fn open_with(nature: Nature) -> Bench {
-        let mut fleet = Fleet::open(nature);
+    pub fn open_with(behavior: Behavior) -> Bench {
+        let mut fleet = Fleet::open(behavior);
         for worker in 0..2 {
             let (capacity, timing) = (amount(CPU_MILLI), Timing::default());
             fleet.add(Duration::ZERO, name(worker), capacity, timing);
         }
-        Bench { fleet, worker: 0, epoch: 1, life: 1, known: 0, grant: None }
+        Bench { fleet, worker: 0, epoch: 1, incarnation: 1, known: 0, grant: None }
     }
 
     pub fn exchange(&self) -> Exchange {
         Exchange {
             cell: "a/0".into(),
             epoch: self.epoch,
-            incarnation: self.life,
+            incarnation: self.incarnation,
             grant: None,
             commands: vec![],
             acks: vec![],
@@ -82,10 +82,10 @@
         }
     }
 
-    /// Sends one exchange at a time in milliseconds.
-    pub fn send(&mut self, at: u64, fill: impl FnOnce(&mut Exchange)) -> Report {
+    /// Sends one exchange at `at`, in milliseconds.
+    pub fn send(&mut self, at: u64, edit: impl FnOnce(&mut Exchange)) -> Report {
         let mut exchange = self.exchange();
-        fill(&mut exchange);
+        edit(&mut exchange);
         let report = self.send_as(at, &exchange);
         if report.obeyed {
             self.known = report.version;
@@ -99,7 +99,7 @@
         report.expect("there is such a worker")
     }
 
-    /// Grants a lease from a time on.
+    /// Grants a lease of `valid` milliseconds from `at` on.
     pub fn lease(&mut self, at: u64, valid: u64) -> Report {
         let grant = Grant { stamp: at, valid: millis(valid) };
         self.grant = Some(grant);
@@ -123,14 +123,14 @@
         self.fleet.reboot(&name(self.worker), millis(at));
     }
 
-    /// The phase of a job's first task in a report, if it is there.
+    /// Returns the phase of a job's first task in a report, if the report holds it.
     pub fn phase(&self, report: &Report, job: &str, attempt: u32) -> Option<Phase> {
         let held = report.held.iter().find(|held| held.run == run(job, attempt))?;
         Some(held.phase.clone())
     }
 
-    pub fn going(&self) -> u64 {
-        self.fleet.ledger().going().count() as u64
+    pub fn active(&self) -> u64 {
+        self.fleet.ledger().active().count() as u64
     }
 
     pub fn count(&self) -> Count {
--- a/crates/standin/tests/control.rs
+++ b/crates/standin/tests/control.rs
@@ -1,4 +1,4 @@
-//! The switchboard over HTTP.
+//! The control server over HTTP.
 
 use cowslipchute_standin::Plan;
 use cowslipchute_standin::Standin;
--- a/crates/standin/tests/list.rs
+++ b/crates/standin/tests/list.rs
@@ -1,4 +1,4 @@
-//! The list in virtual time: it shows what was so a while ago.
+//! The list in virtual time: it shows changes after its lag.
 
 use std::time::Duration;
 
