--- a/crates/standin/tests/worker.rs
+++ b/crates/standin/tests/worker.rs
@@ -12,8 +12,8 @@
 use cowslipchute_ports::worker::Exchange;
 use cowslipchute_ports::worker::Grant;
 use cowslipchute_ports::worker::Phase;
+use cowslipchute_standin::worker::behavior::Behavior;
 use cowslipchute_standin::worker::ledger::Violation;
-use cowslipchute_standin::worker::nature::Nature;
 use cowslipchute_standin::worker::timing::Health;
 use yare::parameterized;
 
@@ -23,16 +23,16 @@
     lower = { 4, 1, false },
     another_life = { 6, 2, false },
 )]
-fn an_exchange_is_obeyed_only_under_its_epoch_and_life(epoch: u64, life: u64, obeyed: bool) {
+fn an_exchange_is_obeyed_only_under_its_epoch_and_life(epoch: u64, incarnation: u64, obeyed: bool) {
     let mut bench = Bench::open();
     bench.epoch = 5;
     bench.lease(0, 10_000);
     bench.epoch = epoch;
-    bench.life = life;
+    bench.incarnation = incarnation;
     let report = bench.start(10, "j", 1, 1000);
     assert_eq!(report.obeyed, obeyed);
-    assert_eq!(report.epoch, if obeyed { epoch } else { 5 }, "the highest epoch is told");
-    assert_eq!(bench.going(), u64::from(obeyed));
+    assert_eq!(report.epoch, if obeyed { epoch } else { 5 }, "the highest epoch is reported");
+    assert_eq!(bench.active(), u64::from(obeyed));
 }
 
 #[test]
@@ -113,10 +113,11 @@
 fn a_start_is_obeyed_only_under_its_own_grant(arrives: u64, phase: Phase) {
     let mut bench = Bench::open();
     bench.lease(0, 1000);
-    let held_up = bench.grant;
-    // Its owner has given the held-up start up by now, heard of the worker again and gone on.
+    let delayed_grant = bench.grant;
+    // By now the owner has given up the delayed start, received a report again and renewed the
+    // lease.
     bench.lease(500, 60_000);
-    bench.grant = held_up;
+    bench.grant = delayed_grant;
     let report = bench.start(arrives, "j", 1, 0);
     assert_eq!(bench.phase(&report, "j", 1), Some(phase));
 }
@@ -190,7 +191,7 @@
     assert_eq!((report.whole, report.held.len()), (true, 2));
     bench.known = report.version + 1;
     let report = bench.send(30, |_| {});
-    assert!(report.whole, "a version that never was is answered by the whole inventory");
+    assert!(report.whole, "the response to an unknown version is the whole inventory");
 }
 
 #[test]
@@ -201,7 +202,7 @@
     let evict = Command::Evict { run: run("j", 1) };
     let report = bench.send(4000, |exchange| exchange.commands.push(evict));
     assert_eq!(bench.phase(&report, "j", 1), Some(Phase::Stopping));
-    assert_eq!(report.held[0].amount, amount(1000), "it takes its amount until it is gone");
+    assert_eq!(report.held[0].amount, amount(1000), "it occupies its amount until it has stopped");
     let report = bench.send(4200, |_| {});
     let Some(Phase::Evicted { checkpoint }) = bench.phase(&report, "j", 1) else {
         panic!("{report:?} holds no checkpoint");
@@ -304,12 +305,12 @@
     bench.start(0, "j", 1, 0);
     bench.reboot(500);
     let old: Exchange = bench.exchange();
-    assert!(!bench.send_as(600, &old).obeyed, "it meant the former life");
-    bench.life = 2;
+    assert!(!bench.send_as(600, &old).obeyed, "it was addressed to the previous incarnation");
+    bench.incarnation = 2;
     bench.known = 0;
     let report = bench.send(600, |_| {});
     assert_eq!((report.incarnation, report.held.len()), (2, 0));
-    assert_eq!(report.stamp, 100, "its clock began again");
+    assert_eq!(report.stamp, 100, "its clock was reset");
     assert_eq!(bench.count().killed, 1);
 }
 
@@ -326,7 +327,7 @@
 
 #[test]
 fn tasks_that_share_a_worker_slow_each_other_down_by_pair() {
-    let mut bench = Bench::open_with(Nature { pair_permille: 4000, ..Nature::default() });
+    let mut bench = Bench::open_with(Behavior { pair_permille: 4000, ..Behavior::default() });
     bench.lease(0, 600_000);
     bench.start(0, "alone", 1, 0);
     let usage = bench.send(4000, |_| {}).usage;
@@ -341,26 +342,26 @@
         .filter(|usage| usage.measured == last)
         .map(|usage| usage.slowdown_permille)
         .collect();
-    assert!(slowdowns.len() > 1, "not every pair is alike: {slowdowns:?}");
+    assert!(slowdowns.len() > 1, "pairs have different slowdowns: {slowdowns:?}");
     assert!(slowdowns.last() > Some(&1000), "{slowdowns:?}");
 }
 
 #[test]
 fn a_slowed_run_ends_later() {
-    let nature = Nature { pair_permille: 4000, ..Nature::default() };
-    let mut bench = Bench::open_with(nature);
+    let behavior = Behavior { pair_permille: 4000, ..Behavior::default() };
+    let mut bench = Bench::open_with(behavior);
     bench.lease(0, 600_000);
     bench.start(0, "a", 1, 10_000);
     bench.start(0, "b", 1, 0);
     bench.start(0, "c", 1, 0);
     let slowdown = bench.send(3000, |_| {}).usage[0].slowdown_permille;
-    assert!(slowdown > 1000, "the seed draws a pair that matters");
+    assert!(slowdown > 1000, "the seed gives the pair a slowdown");
     let ends = 10 * u64::from(slowdown);
-    assert_eq!(bench.going(), 3);
+    assert_eq!(bench.active(), 3);
     bench.send(ends - 100, |_| {});
-    assert_eq!(bench.going(), 3);
+    assert_eq!(bench.active(), 3);
     bench.send(ends + 100, |_| {});
-    assert_eq!(bench.going(), 2);
+    assert_eq!(bench.active(), 2);
 }
 
 #[parameterized(
@@ -368,8 +369,8 @@
     of_a_failing_job = { false, "faulty" },
 )]
 fn runs_fail_shortly_after_their_start(failing: bool, job: &str) {
-    let nature = Nature { failing: ["faulty".into()].into(), ..Nature::default() };
-    let mut bench = Bench::open_with(nature);
+    let behavior = Behavior { failing: ["faulty".into()].into(), ..Behavior::default() };
+    let mut bench = Bench::open_with(behavior);
     bench.set_health(Health { failing, ..Health::default() });
     bench.lease(0, 60_000);
     let report = bench.start(0, job, 1, 10_000);
@@ -386,8 +387,8 @@
     let (evict, stop) = (Command::Evict { run: run("j", 1) }, Command::Stop { run: run("j", 1) });
     bench.send(100, |exchange| exchange.commands.extend([evict.clone(), stop]));
     let report = bench.send(110, |exchange| exchange.commands.push(evict));
-    assert_eq!(bench.going(), 1, "it takes its amount until it is gone");
-    assert_eq!(report.held.len(), 0, "an eviction of what is being stopped changes nothing");
+    assert_eq!(bench.active(), 1, "it occupies its amount until it has stopped");
+    assert_eq!(report.held.len(), 0, "evicting a run that is being stopped changes nothing");
     let report = bench.send(120, |_| {});
     assert_eq!(bench.phase(&report, "j", 1), Some(Phase::Stopped));
 }
