--- a/crates/base/src/amount.rs
+++ b/crates/base/src/amount.rs
@@ -1,36 +1,36 @@
-//! Amounts of a worker's capacity.
+//! Amounts of worker resources.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Processors, memory and accelerators, as taken by a task or offered by a worker.
+/// Processors, memory and accelerators that a task uses or a worker offers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Amount {
-    /// Thousandths of a processor.
+    /// Processor time in thousandths of a core.
     #[serde(default)]
     pub cpu_milli: u32,
-    /// Mebibytes of memory.
+    /// Memory in mebibytes.
     #[serde(default)]
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// Number of accelerators.
     #[serde(default)]
     pub accelerators: u16,
 }
 
 impl Amount {
-    /// Nothing at all.
+    /// The empty amount.
     pub const ZERO: Amount = Amount { cpu_milli: 0, memory_mib: 0, accelerators: 0 };
 
-    /// Tells whether `self` is within `limit` in every dimension.
+    /// Returns `true` if `self` is within `limit` in every dimension.
     pub fn fits(self, limit: Amount) -> bool {
         self.cpu_milli <= limit.cpu_milli
             && self.memory_mib <= limit.memory_mib
             && self.accelerators <= limit.accelerators
     }
 
-    /// Adds in every dimension, stopping at the largest value instead of wrapping.
+    /// Adds in every dimension and saturates at the largest value.
     pub fn plus(self, other: Amount) -> Amount {
         Amount {
             cpu_milli: self.cpu_milli.saturating_add(other.cpu_milli),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Subtracts in every dimension, stopping at zero.
+    /// Subtracts in every dimension and saturates at zero.
     pub fn minus(self, other: Amount) -> Amount {
         Amount {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
--- a/crates/base/src/class.rs
+++ b/crates/base/src/class.rs
@@ -1,9 +1,9 @@
-//! Classes of work, in the order in which they give way.
+//! Priority classes of work.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How much a piece of work matters when there is not enough for all.
+/// Priority class of a request or task when capacity is short.
 ///
 /// The order is the order of admission: an earlier class is served before a later one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -13,17 +13,17 @@
     /// Latency-critical work of paying clients.
     #[default]
     Paying,
-    /// Free trials, which use what paying work leaves.
+    /// Free trials, which use the capacity that paying work leaves.
     Trial,
-    /// Batch work without a waiting caller, which uses what is left after trials.
+    /// Batch work without a waiting caller, which uses the capacity that trials leave.
     Batch,
 }
 
 impl Class {
-    /// All classes, first served first.
+    /// All classes in the order of admission.
     pub const ALL: [Class; 3] = [Class::Paying, Class::Trial, Class::Batch];
 
-    /// Returns the word used in settings, metrics and output.
+    /// Returns the name used in settings, metrics and output.
     pub fn as_str(self) -> &'static str {
         match self {
             Class::Paying => "paying",
--- a/crates/base/src/code.rs
+++ b/crates/base/src/code.rs
@@ -1,29 +1,29 @@
-//! Numbered result codes, as told to callers and operators.
+//! Numbered result codes for callers and operators.
 //!
-//! Every final answer that one of our processes makes itself carries one of these numbers in its
-//! body and in the [`HEADER`]. A number keeps its meaning for ever; a new meaning takes a new
-//! number. The table stands in `docs/RESULTS.md` and a test holds it to this file.
+//! Every final answer that one of our processes generates itself carries one of these numbers in
+//! its body and in the [`HEADER`]. A number never changes its meaning; a new meaning gets a new
+//! number. `docs/RESULTS.md` lists the codes and a test compares it with this file.
 
 use crate::table::Row;
 
-/// Response header that carries the number of the result code.
+/// Response header with the number of the result code.
 pub const HEADER: &str = "cowslipchute-code";
-/// Response header that carries the [`Outcome`].
+/// Response header with the [`Outcome`].
 pub const OUTCOME_HEADER: &str = "cowslipchute-outcome";
 
-/// What became of a request, as far as its caller may rely on it.
+/// Outcome of a request, as far as its caller may rely on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The whole answer of the backend server follows.
+    /// The backend server's whole answer follows.
     Answered,
-    /// The request surely did not run.
+    /// The request certainly did not run.
     NotRun,
-    /// The request may have run, wholly or in part, or may still run.
+    /// The request may have run, completely or partially, or may still run.
     Unknown,
 }
 
 impl Outcome {
-    /// Returns the word used in headers, bodies and metrics.
+    /// Returns the name used in headers, bodies and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::Answered => "answered",
@@ -35,48 +35,48 @@
 
 macro_rules! codes {
     ($($number:literal $name:ident $outcome:ident $status:literal $text:literal;)*) => {
-        /// A numbered result.
+        /// A numbered result code.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Code {
             $(#[doc = $text] $name,)*
         }
 
         impl Code {
-            /// All codes, by rising number.
+            /// All codes in ascending order of their numbers.
             pub const ALL: &[Code] = &[$(Code::$name,)*];
 
-            /// Returns the number, which never changes its meaning.
+            /// Returns the stable number.
             pub fn number(self) -> u16 {
                 match self { $(Code::$name => $number,)* }
             }
 
-            /// Returns what the caller may rely on.
+            /// Returns the outcome that the caller may rely on.
             pub fn outcome(self) -> Outcome {
                 match self { $(Code::$name => Outcome::$outcome,)* }
             }
 
-            /// Returns the HTTP status that goes with the code.
+            /// Returns the HTTP status sent with the code.
             pub fn status(self) -> u16 {
                 match self { $(Code::$name => $status,)* }
             }
 
-            /// Returns the explanation for a reader.
+            /// Returns the explanation for people.
             pub fn text(self) -> &'static str {
                 match self { $(Code::$name => $text,)* }
             }
 
-            /// Returns the name in the code.
+            /// Returns the variant's name.
             pub fn name(self) -> &'static str {
                 match self { $(Code::$name => stringify!($name),)* }
             }
 
-            /// Finds the code with a number.
+            /// Returns the code with the given number.
             pub fn from_number(number: u16) -> Option<Code> {
                 match number { $($number => Some(Code::$name),)* _ => None }
             }
         }
 
-        /// The table as it stands in `docs/RESULTS.md`.
+        /// Rows of the table in `docs/RESULTS.md`.
         pub const ROWS: &[Row] = &[
             $(Row {
                 number: $number,
--- a/crates/base/src/entity.rs
+++ b/crates/base/src/entity.rs
@@ -1,15 +1,15 @@
 //! Dense ids and the tables they index.
 //!
-//! A decision crate keeps each kind of thing in one [`Table`] and refers to it by [`Id`], so that
-//! state is linear in the number of things and a reference is four bytes. Slots are reused; the
-//! generation in the id makes a stale id miss instead of finding a stranger.
+//! A decision crate keeps each kind of entity in one [`Table`] and refers to it by [`Id`], so that
+//! state is linear in the number of entities and a slot index is four bytes. Slots are reused; the
+//! generation in the id makes a lookup with a stale id fail instead of returning another entry.
 
 use std::fmt;
 use std::hash::Hash;
 use std::hash::Hasher;
 use std::marker::PhantomData;
 
-/// Reference to one entry of a [`Table`] of `T`.
+/// Reference to an entry of a [`Table`] of `T`.
 pub struct Id<T> {
     index: u32,
     generation: u32,
@@ -17,7 +17,7 @@
 }
 
 impl<T> Id<T> {
-    /// Returns the slot, for use as an index of side tables.
+    /// Returns the slot, for use as an index into parallel tables.
     pub fn index(self) -> usize {
         self.index as usize
     }
@@ -70,7 +70,7 @@
     value: Option<T>,
 }
 
-/// Entries of one kind, found by [`Id`] in constant time and walked in slot order.
+/// Entries of one kind, looked up by [`Id`] in constant time and iterated in slot order.
 #[derive(Clone, Debug)]
 pub struct Table<T> {
     slots: Vec<Slot<T>>,
@@ -84,7 +84,7 @@
 }
 
 impl<T> Table<T> {
-    /// Stores `value` and returns the id under which it is found until removed.
+    /// Stores `value` and returns its id, which is valid until the entry is removed.
     pub fn insert(&mut self, value: T) -> Id<T> {
         let index = match self.free.pop() {
             Some(index) => index,
@@ -102,7 +102,7 @@
         index
     }
 
-    /// Takes the entry out; its id and every copy of it miss from now on.
+    /// Removes and returns the entry; every copy of its id is stale from now on.
     pub fn remove(&mut self, id: Id<T>) -> Option<T> {
         let slot = self.slots.get_mut(id.index())?;
         if slot.generation != id.generation {
@@ -114,19 +114,19 @@
         Some(value)
     }
 
-    /// Finds an entry, or nothing when it was removed.
+    /// Returns an entry, or `None` if it was removed.
     pub fn get(&self, id: Id<T>) -> Option<&T> {
         let slot = self.slots.get(id.index())?;
         if slot.generation == id.generation { slot.value.as_ref() } else { None }
     }
 
-    /// Finds an entry to change it, or nothing when it was removed.
+    /// Returns an entry for modification, or `None` if it was removed.
     pub fn get_mut(&mut self, id: Id<T>) -> Option<&mut T> {
         let slot = self.slots.get_mut(id.index())?;
         if slot.generation == id.generation { slot.value.as_mut() } else { None }
     }
 
-    /// Walks the entries in slot order, which is the same for the same history.
+    /// Iterates over the entries in slot order, which is deterministic for a given history.
     pub fn iter(&self) -> impl Iterator<Item = (Id<T>, &T)> {
         self.slots.iter().enumerate().filter_map(|(index, slot)| {
             let id = Id { index: index as u32, generation: slot.generation, kind: PhantomData };
@@ -134,7 +134,7 @@
         })
     }
 
-    /// Walks the entries in slot order to change them.
+    /// Iterates mutably over the entries in slot order.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (Id<T>, &mut T)> {
         self.slots.iter_mut().enumerate().filter_map(|(index, slot)| {
             let id = Id { index: index as u32, generation: slot.generation, kind: PhantomData };
@@ -142,12 +142,12 @@
         })
     }
 
-    /// Counts the entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.slots.len() - self.free.len()
     }
 
-    /// Tells whether there is no entry.
+    /// Returns `true` if there is no entry.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -156,19 +156,19 @@
 impl<T> std::ops::Index<Id<T>> for Table<T> {
     type Output = T;
 
-    /// Finds an entry that is known to exist.
+    /// Returns an entry that is known to exist.
     ///
     /// # Panics
     ///
-    /// Panics when the entry was removed: the caller then broke the invariant that an id held in
-    /// one table is dropped together with the entry it points at.
+    /// Panics if the entry was removed: the caller then violated the invariant that an id held in
+    /// one table is dropped together with the entry it refers to.
     fn index(&self, id: Id<T>) -> &T {
         self.get(id).expect("an id in use points at a live entry")
     }
 }
 
 impl<T> std::ops::IndexMut<Id<T>> for Table<T> {
-    /// Finds an entry that is known to exist, to change it. Panics like `index`.
+    /// Returns an entry that is known to exist, for modification. Panics like `index`.
     fn index_mut(&mut self, id: Id<T>) -> &mut T {
         self.get_mut(id).expect("an id in use points at a live entry")
     }
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -1,17 +1,17 @@
-//! Aliases for the ids that travel between crates and processes.
+//! Aliases for the ids that crates and processes exchange.
 //!
-//! Names are shared strings because one name is held by many tables; numbers that only order
-//! things are plain integers. Ids that index a table inside one decision crate are
+//! Names are shared strings because many tables hold the same name; numbers that only define an
+//! order are plain integers. Ids that index a table inside one decision crate are
 //! [`crate::entity::Id`]s instead and never leave that crate.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Name of a failure domain, unique over all regions.
+/// Name of a failure domain, unique across all regions.
 pub type Domain = Arc<str>;
 /// Name of a rack, unique within its failure domain.
 pub type Rack = Arc<str>;
-/// Name of an instance (a worker, a backend server or one of our own processes).
+/// Name of an instance: a worker, a backend server or one of our own processes.
 pub type Instance = Arc<str>;
 /// Name of a service.
 pub type Service = Arc<str>;
@@ -23,25 +23,25 @@
 pub type Cell = Arc<str>;
 /// Handle of a checkpoint, chosen by the worker that wrote it.
 pub type Checkpoint = Arc<str>;
-/// Key under which a client repeats a non-idempotent request.
+/// Key that identifies a non-idempotent request when its client repeats it.
 pub type IdempotencyKey = Arc<str>;
 
-/// One life of an instance: a replaced or restarted instance keeps its name, never this number.
+/// Number of an instance's incarnation: a replaced or restarted instance keeps its name and gets a new number.
 pub type Incarnation = u64;
-/// Rank of a cell's ownership; a higher epoch fences every lower one.
+/// Epoch of a cell's ownership; a higher epoch fences every lower one.
 pub type Epoch = u64;
-/// Rank of one run of a task; rises with each start and never repeats for the same task.
+/// Number of one run of a task; increases with each start and never repeats for the same task.
 pub type Attempt = u32;
-/// Place of a task within its job, from zero.
+/// Index of a task within its job, from zero.
 pub type TaskIndex = u32;
 /// Number of a request within one entry process.
 pub type Request = u64;
 /// Revision of the key-value store or of a resource kept there.
 pub type Revision = u64;
-/// Identity of one write, kept in the written value so that a lost answer can be settled.
+/// Id of one write, stored in the written value so that the outcome of a write without an answer can be determined.
 pub type Operation = u128;
 
 /// Monotonic time since the start of the process (or of the scenario, under virtual time).
 ///
-/// Decision crates never read a clock; the time comes in with each event.
+/// Decision crates never read a clock; each event carries the time.
 pub type Time = Duration;
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,9 +1,9 @@
-//! The vocabulary every other crate shares: ids, classes of work, amounts of capacity, numbered
-//! result codes and numbered log events.
+//! Types shared by all other crates: ids, priority classes, resource amounts, numbered result codes
+//! and numbered log events.
 //!
-//! Nothing here decides, waits or talks to anyone. A type belongs in this crate only when two
-//! crates that must not depend on each other both need it. The words are explained in
-//! `docs/GLOSSARY.md`; the tables of numbers stand in `docs/RESULTS.md` and `docs/EVENTS.md`.
+//! Nothing here makes decisions, waits or does I/O. A type belongs in this crate only if two crates
+//! that must not depend on each other both need it. `docs/GLOSSARY.md` defines the terms;
+//! `docs/RESULTS.md` and `docs/EVENTS.md` list the numbers.
 
 pub mod amount;
 pub mod class;
--- a/crates/base/src/name.rs
+++ b/crates/base/src/name.rs
@@ -1,35 +1,35 @@
-//! The one rule for names: of resources, instances and failure domains.
+//! Validation of the names of resources, instances and failure domains.
 //!
-//! Names stand in keys, paths, headers and metric labels, so they hold nothing that any of those
-//! would have to escape.
+//! Names are used in keys, paths, headers and metric labels, so they contain no character that any
+//! of these would have to escape.
 
 use thiserror::Error;
 
-/// Longest name.
+/// Maximum length of a name in bytes.
 pub const LENGTH_MAX: usize = 63;
-/// What to write instead of a name that is refused.
+/// Description of valid names, for error messages.
 pub const REMEDY: &str = "use 1 to 63 of a-z, 0-9 and -, not starting or ending with -";
 
-/// Why a name is refused.
+/// Reason why a name is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Error {
-    /// Empty or too long.
+    /// The name is empty or too long.
     #[error("has {0} characters")]
     Length(usize),
-    /// Holds a character that is not allowed.
+    /// The name contains a character that is not allowed.
     #[error("holds {0:?}")]
     Character(char),
-    /// Starts or ends with a hyphen.
+    /// The name starts or ends with a hyphen.
     #[error("starts or ends with -")]
     Edge,
 }
 
-/// Checks that a name is 1 to 63 of `a-z`, `0-9` and inner `-`.
+/// Checks that a name consists of 1 to 63 characters of `a-z`, `0-9` and inner `-`.
 ///
 /// # Errors
 ///
-/// The first thing that is wrong with it.
+/// Returns the first rule that the name violates.
 pub fn check(name: &str) -> Result<(), Error> {
     if name.is_empty() || name.len() > LENGTH_MAX {
         return Err(Error::Length(name.len()));
--- a/crates/base/src/size.rs
+++ b/crates/base/src/size.rs
@@ -1,30 +1,30 @@
-//! How large a job is, as one line of a log tells it.
+//! Size of a job, in the form of a log field.
 //!
-//! Who is served badly often depends on size: by work, by what one task demands, by the count of tasks or by
-//! length. The owner writes it when it learns of a job, and reports read it back from there.
+//! Which jobs finish late often depends on their size: total work, demand of a single task, number of
+//! tasks or critical path. The owner logs the size when it receives a job, and reports parse it from the log.
 
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Up to this many times its objective a job that is done counts as late; afterwards it is lost (the users' page on
-/// payoff).
+/// Multiple of its objective up to which a finished job counts as late; after that it counts as lost (the users'
+/// page on payoff).
 pub const LATE_LIMIT: f64 = 3.0;
 
-/// The size of a job.
+/// Size of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Size {
-    /// The queue.
+    /// Name of the queue.
     pub queue: String,
-    /// Its tasks, of all steps.
+    /// Number of tasks in all steps.
     pub tasks: u32,
-    /// Core-seconds, by its client's estimate.
+    /// Total work in core-seconds, as estimated by the client.
     pub work: f64,
-    /// Thousandths of a processor that its most demanding task needs.
+    /// Demand of the most demanding task in thousandths of a core.
     pub widest_milli: u32,
-    /// Its longest chain of work, by its client's estimate.
+    /// Length of the critical path, as estimated by the client.
     pub chain: Duration,
-    /// How soon it should be done.
+    /// Target time to completion.
     pub objective: Duration,
 }
 
@@ -54,10 +54,10 @@
     }
 }
 
-/// A text that tells no size.
+/// Error for text that is not a job size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
-#[error("no size of a job")]
+#[error("invalid job size")]
 pub struct Malformed;
 
 fn field<T: FromStr>(word: Option<&str>, name: &str) -> Result<T, Malformed> {
--- a/crates/base/src/table.rs
+++ b/crates/base/src/table.rs
@@ -1,29 +1,30 @@
-//! Renders the numbered tables that the docs carry, so that a test can hold the docs to the code.
+//! Renders the numbered tables of the docs, so that a test can compare the docs with the code.
 
 use std::fmt::Write as _;
 
-/// One line of a numbered table.
+/// Row of a numbered table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// The number that never changes its meaning.
+    /// Stable number.
     pub number: u16,
-    /// The name in the code.
+    /// Name of the variant.
     pub name: &'static str,
-    /// What stands between the name and the text, such as an outcome and a status.
+    /// Column between name and text, such as the outcome and the status.
     pub kind: &'static str,
-    /// What it means to the reader.
+    /// Explanation for people.
     pub text: &'static str,
 }
 
-/// Renders rows as a Markdown table with the given headings.
+/// Returns rows as a Markdown table with the given headings.
 pub fn markdown(headings: [&str; 4], rows: &[Row]) -> String {
     let mut out = String::new();
     let [number, name, kind, text] = headings;
-    writeln!(out, "| {number} | {name} | {kind} | {text} |").expect("a string takes any text");
+    writeln!(out, "| {number} | {name} | {kind} | {text} |")
+        .expect("writing to a string can't fail");
     out.push_str("|---|---|---|---|\n");
     for row in rows {
         writeln!(out, "| {} | {} | {} | {} |", row.number, row.name, row.kind, row.text)
-            .expect("a string takes any text");
+            .expect("writing to a string can't fail");
     }
     out
 }
--- a/crates/base/src/unit.rs
+++ b/crates/base/src/unit.rs
@@ -1,4 +1,4 @@
-//! `serde_with` adapters for units in files and messages.
+//! `serde_with` adapters for units of values in files and messages.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use serde_with::DeserializeAs;
 use serde_with::SerializeAs;
 
-/// Writes a [`Duration`] as whole milliseconds, the unit of every message and settings file.
+/// Serializes a [`Duration`] as whole milliseconds, the unit of all messages and settings files.
 pub struct Millis;
 
 impl SerializeAs<Duration> for Millis {
--- a/crates/base/tests/proofs.rs
+++ b/crates/base/tests/proofs.rs
@@ -1,4 +1,4 @@
-//! Holds every reference of `docs/PROOFS.md` to a scenario or test that exists.
+//! Checks that every reference in `docs/PROOFS.md` names an existing scenario or test.
 
 use std::fs;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Returns what stands between backquotes and looks like a path.
+/// Returns the words between backquotes that look like a path.
 fn references(text: &str) -> Vec<&str> {
     let quoted = text.split('`').skip(1).step_by(2);
     quoted.filter(|word| word.starts_with("crates/") || word.starts_with("bin/")).collect()
@@ -17,7 +17,7 @@
 fn every_reference_is_to_a_scenario_or_test_that_exists() {
     let text = fs::read_to_string(root().join("docs/PROOFS.md")).expect("the page can be read");
     let references = references(&text);
-    assert!(references.len() > 40, "the page refers to its proofs");
+    assert!(references.len() > 40, "the page refers to its tests");
     let mut missing = Vec::new();
     for reference in references {
         let (path, name) = reference.split_once('#').unwrap_or((reference, ""));
@@ -26,5 +26,5 @@
             missing.push(reference);
         }
     }
-    assert!(missing.is_empty(), "no such proof: {missing:#?}");
+    assert!(missing.is_empty(), "no such scenario or test: {missing:#?}");
 }
--- a/crates/base/tests/tables.rs
+++ b/crates/base/tests/tables.rs
@@ -1,6 +1,6 @@
-//! Holds the numbered tables of the docs to the code.
+//! Compares the numbered tables of the docs with the code.
 //!
-//! `COWSLIPCHUTE_UPDATE_DOCS=1 cargo test -p cowslipchute-base --test tables` rewrites them.
+//! `COWSLIPCHUTE_UPDATE_DOCS=1 cargo test -p cowslipchute-base --test tables` rewrites the tables.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -38,12 +38,12 @@
         fs::write(page(name), updated).expect("the page can be written");
         return;
     }
-    assert_eq!(found, expected, "docs/{name} lags behind the code");
+    assert_eq!(found, expected, "docs/{name} is out of date");
 }
 
 #[parameterized(codes = { code::ROWS }, events = { event::ROWS })]
 fn numbers_rise_and_names_are_unique(rows: &[Row]) {
-    assert!(rows.is_sorted_by(|a, b| a.number < b.number), "numbers rise without repeating");
+    assert!(rows.is_sorted_by(|a, b| a.number < b.number), "numbers are strictly ascending");
     let names: BTreeSet<_> = rows.iter().map(|row| row.name).collect();
-    assert_eq!(names.len(), rows.len(), "no name stands for two numbers");
+    assert_eq!(names.len(), rows.len(), "no two numbers have the same name");
 }
