--- a/crates/ports/src/deployment.rs
+++ b/crates/ports/src/deployment.rs
@@ -1,91 +1,92 @@
-//! What the operator of a deployment has laid down: queues, services and limits.
+//! The operator's configuration of a deployment: queues, services and limits.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use cowslipchute_base::id;
 
-/// Version of a configuration; a later one is higher.
+/// Version of a configuration; increases with each change.
 pub type Version = u64;
 
-/// How the advisory service answers for a queue.
+/// Timing of the advisory service's answers for a queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Advice {
-    /// What an answer takes at least.
+    /// Minimum latency of an answer.
     pub decision: Duration,
-    /// What it takes more for each worker that is asked about.
+    /// Additional latency for each worker in the query.
     pub each: Duration,
-    /// How long a ticket is valid.
+    /// Validity of a ticket.
     pub validity: Duration,
 }
 
-/// A queue through which jobs come.
+/// A queue to which clients submit jobs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: Arc<str>,
-    /// Host under which clients address it.
+    /// Host under which clients address the queue.
     pub host: Arc<str>,
-    /// Path prefix under which clients address it.
+    /// Path prefix under which clients address the queue.
     pub prefix: Arc<str>,
-    /// The service whose workers run its jobs.
+    /// Service whose workers run the queue's jobs.
     pub service: id::Service,
-    /// Zero comes first and may preempt others.
+    /// Priority of the jobs; zero is the highest and may preempt the others.
     pub priority: u8,
-    /// Failed runs of one task after which its job has failed.
+    /// Number of failed runs of one task after which its job fails.
     pub max_attempts: u32,
-    /// A job is in time within its chain of work times this, and `allowance` more.
+    /// Factor of the objective: a job is in time if it ends within its critical path times this
+    /// factor, plus `allowance`.
     pub slack: f64,
-    /// What a job may take beyond its chain of work.
+    /// Time that the objective adds to the critical path times the factor.
     pub allowance: Duration,
-    /// How the advisory service answers, where starts need its leave.
+    /// Timing of the advisory service, if starts need its permit.
     pub advice: Option<Advice>,
 }
 
 /// A service: a pool of workers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: id::Service,
-    /// Whether its workers refuse what doesn't fit them.
+    /// Whether workers refuse tasks that exceed their free capacity.
     pub guarded: bool,
-    /// Whether its workers are switched off and stand by.
+    /// Whether the workers are switched off and on standby.
     pub standby: bool,
 }
 
-/// Limits on what clients send.
+/// Limits on client requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head of a request, bytes.
+    /// Maximum size of a request head.
     pub head: usize,
-    /// Largest body of a request, bytes.
+    /// Maximum size of a request body.
     pub body: usize,
-    /// How long a head may take to arrive.
+    /// Time within which a request head must arrive.
     pub head_time: Duration,
-    /// How long a connection may stay idle.
+    /// Time after which an idle connection may be closed.
     pub idle_time: Duration,
 }
 
-/// One version of the operator's configuration, in full.
+/// One complete version of the operator's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Its version.
+    /// Version of the configuration.
     pub version: Version,
-    /// The queues.
+    /// All queues.
     pub queues: Vec<Queue>,
-    /// The services.
+    /// All services.
     pub services: Vec<Service>,
-    /// The limits.
+    /// Limits on clients.
     pub limits: Limits,
 }
 
 impl Config {
-    /// Finds a queue by name.
+    /// Returns the queue with the given name.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.queues.iter().find(|queue| &*queue.name == name)
     }
 
-    /// Finds the queue that a request addresses: the host's, with the longest prefix of the path.
+    /// Returns the queue that a request addresses: the one of the host with the longest prefix of the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Queue> {
         self.queues
             .iter()
--- a/crates/ports/src/executor.rs
+++ b/crates/ports/src/executor.rs
@@ -1,9 +1,9 @@
-//! Port to workers that are called once for each order.
+//! Port to workers that get one call per command.
 //!
-//! A worker keeps the highest epoch that it has seen and ignores orders of lower ones. Everything
-//! it runs is held by one deadline on its own clock, which only ever moves on. Ends are numbered
-//! and listed again until they are acknowledged. An order without an answer may be carried out,
-//! also seconds later.
+//! A worker remembers the highest epoch that it has seen and refuses commands of lower ones. All of
+//! its runs share one lease: a deadline on the worker's own clock that only moves forward. Ended
+//! runs are numbered and reported until they are acknowledged. A command without an answer may be
+//! carried out, even seconds later.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -19,202 +19,203 @@
 use crate::job::StepId;
 use crate::job::TaskId;
 
-/// Milliseconds on a worker's own clock, which may run two percent slow.
+/// Time on a worker's own clock in milliseconds; the clock may run two percent slow.
 pub type Stamp = u64;
-/// Leave to run a step on a worker, as the advisory service words it.
+/// Permit of the advisory service to run a step on a worker, in that service's own format.
 pub type Ticket = Arc<str>;
-/// Number of an end within one incarnation of a worker, from one.
+/// Number of an ended run within one incarnation of a worker, from one.
 pub type EndNumber = u64;
 
-/// What a worker says of itself in the platform's directory.
+/// A worker's entry in the platform's directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Registration {
-    /// The worker's name, which it keeps when it starts again.
+    /// Name of the worker, which survives a restart.
     pub name: id::Instance,
-    /// Which of its starts wrote the entry, by the Unix time in milliseconds, where it tells.
+    /// Start time of the incarnation that wrote the entry, as Unix time in milliseconds, if the
+    /// worker provides it.
     pub born: Option<id::Incarnation>,
-    /// Where orders go.
+    /// Address for commands.
     pub address: SocketAddr,
-    /// The service whose tasks it runs.
+    /// Service whose tasks the worker runs.
     pub service: id::Service,
-    /// Its failure domain.
+    /// Failure domain of the worker.
     pub domain: id::Domain,
-    /// Whether it is about to leave.
+    /// Whether the worker is draining and will leave.
     pub draining: bool,
-    /// All that it has.
+    /// Total capacity.
     pub capacity: Amount,
-    /// All that a step may require: its kind, its rack and maybe more.
+    /// Labels that a step may require: the worker's kind, its rack and possibly others.
     pub labels: SmallVec<[Arc<str>; 2]>,
-    /// Its rack.
+    /// Rack of the worker.
     pub rack: Option<id::Rack>,
-    /// How much longer it is slow after its start.
+    /// Remaining time for which the worker is slow after its start.
     pub cold: Duration,
 }
 
-/// One start of a worker. A worker may start again under its name; it then holds and knows nothing of
-/// before, its ends are numbered from one again, and its clock starts anew.
+/// Incarnation of a worker. A worker that restarts keeps its name but none of its state: its runs
+/// are gone, its ended runs are numbered from one again, and its clock starts anew.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Incarnation {
-    /// The worker's name.
+    /// Name of the worker.
     pub name: id::Instance,
-    /// Unix time of the start in milliseconds, where the worker tells it.
+    /// Start time as Unix time in milliseconds, if the worker provides it.
     pub born: Option<id::Incarnation>,
 }
 
-/// The incarnation of a worker that an order is meant for, and where it is reached.
+/// Recipient of a command: an incarnation of a worker and its address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The worker's name; a worker of another name refuses the order.
+    /// Name of the worker; a worker of another name refuses the command.
     pub name: id::Instance,
-    /// Where it is reached.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// Ranks the order above those of earlier owners and those to earlier incarnations, which the
-    /// worker refuses from then on. No two incarnations of a name share one.
+    /// Fencing token of the command, above those of previous owners and of commands to previous
+    /// incarnations, which the worker refuses from then on. No two incarnations of a name share one.
     pub epoch: id::Epoch,
 }
 
-/// One run of a task.
+/// Id of one run of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Run {
     /// The task.
     pub task: TaskId,
-    /// Which of its runs, from one.
+    /// Number of the run, from one.
     pub attempt: id::Attempt,
 }
 
-/// Asks a worker to start a run.
+/// Command to start a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Start {
     /// The run.
     pub run: Run,
     /// The job's payload.
     pub payload: Arc<str>,
-    /// The deadline for all that runs there, on the worker's clock.
+    /// New lease deadline of all runs on the worker, on its clock.
     pub deadline: Stamp,
-    /// Resumes from here.
+    /// Checkpoint to resume from.
     pub checkpoint: Option<id::Checkpoint>,
-    /// Leave of the advisory service, where the queue needs one.
+    /// Permit of the advisory service, if the queue needs one.
     pub ticket: Option<Ticket>,
 }
 
-/// Extends a worker's deadline and asks what has become of its runs.
+/// Command that extends a worker's lease and requests its report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Hold {
-    /// The deadline for all that runs there; none leaves it as it is.
+    /// New lease deadline of all runs on the worker; `None` leaves it unchanged.
     pub deadline: Option<Stamp>,
-    /// Ends up to here need not be listed again.
+    /// Number of the last ended run that the worker may forget.
     pub acknowledged: EndNumber,
-    /// How long the answer may wait for an end.
+    /// Maximum time that the worker may delay its answer until a run ends.
     pub wait: Duration,
 }
 
-/// Why a worker did not carry an order out.
+/// Reason for which a worker refused a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has seen a higher epoch.
+    /// The worker has seen a higher epoch.
     Fenced,
-    /// This run, or a higher one of the task, has ended or was stopped there.
+    /// This run or a later one of the task has ended or was stopped on the worker.
     Old,
-    /// The deadline has passed on its clock.
+    /// The lease deadline has passed on the worker's clock.
     Late,
-    /// It has no room.
+    /// The worker has no free capacity.
     Room,
-    /// The queue's policy doesn't allow it.
+    /// The queue's policy doesn't allow the run: it needs a valid ticket.
     Ticket,
-    /// It says that it is not healthy.
+    /// The worker reports that it is unhealthy.
     Unhealthy,
-    /// A worker of another name answers at the address; the one meant is over.
+    /// A worker of another name answers at the address; the intended one has ended.
     OtherWorker,
-    /// It understands the order otherwise than we do.
+    /// The worker can't interpret the command.
     Malformed,
 }
 
-/// Why an order brought no report.
+/// Reason for which a command failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The worker answered that it did nothing, and its clock where it said so.
+    /// The worker refused the command and did nothing; with the time on its clock if it sent one.
     Refused(Refusal, Option<Stamp>),
-    /// The order never left.
+    /// The command was never sent.
     Unsent,
-    /// The order may have been carried out, or may yet be.
+    /// The command may have been carried out, or may still be.
     Unknown,
 }
 
-/// How a run ended.
+/// Reason for which a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum How {
-    /// It finished its work.
+    /// The run finished its work.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// The run failed, through its own fault or the worker's.
     Failed,
-    /// It was stopped as ordered.
+    /// The run was stopped by a command.
     Stopped,
-    /// The deadline passed.
+    /// The worker's lease expired.
     Lapsed,
-    /// Another member of its gang ended.
+    /// Another member of the gang ended.
     Broken,
-    /// It waited in vain for the rest of its gang.
+    /// The rest of the gang did not start in time.
     Alone,
 }
 
 /// A run in progress.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Running {
-    /// The run.
+    /// Id of the run.
     pub run: Run,
-    /// The newest checkpoint.
+    /// Newest checkpoint.
     pub checkpoint: Option<id::Checkpoint>,
-    /// How much of its work is done; for a task that lasts, 100 when it is at work.
+    /// Completed part of the work in percent; for a service task, 100 once it is up.
     pub percent: u8,
-    /// For a task that serves, the tail of its response times in milliseconds; for any other, the
-    /// thousandths of a processor in use. Over the last half second, roughly.
+    /// Tail latency in milliseconds for a latency-critical task, processor use in thousandths of a
+    /// core for any other task. Covers about the last half second.
     pub figure: u32,
 }
 
 /// A run that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ended {
-    /// Its number.
+    /// Number of the ended run.
     pub number: EndNumber,
-    /// The run.
+    /// Id of the run.
     pub run: Run,
-    /// How it ended.
+    /// Reason for which it ended.
     pub how: How,
-    /// The newest checkpoint.
+    /// Newest checkpoint.
     pub checkpoint: Option<id::Checkpoint>,
 }
 
-/// A worker's account of its runs.
+/// A worker's report on its runs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Which of the worker's starts answers, by the Unix time in milliseconds, where it tells.
+    /// Start time of the answering incarnation, as Unix time in milliseconds, if the worker provides it.
     pub born: Option<id::Incarnation>,
-    /// Its clock as it answered.
+    /// Time on the worker's clock when it answered.
     pub clock: Stamp,
-    /// All that runs.
+    /// All runs in progress.
     pub running: Vec<Running>,
-    /// Ends by rising number; the oldest where there are many.
+    /// Unacknowledged ended runs in ascending order of their numbers; only the oldest if there are many.
     pub ended: Vec<Ended>,
 }
 
-/// The workers.
+/// Commands to workers.
 pub trait Fleet: Clone + Send + Sync + 'static {
-    /// Starts a run; also succeeds if that run is already there. Returns the worker's clock.
+    /// Starts a run; succeeds also if the worker already has that run. Returns the time on the worker's clock.
     fn start(
         &self,
         target: &Target,
         start: Start,
     ) -> impl Future<Output = Result<Stamp, Failure>> + Send;
 
-    /// Stops a run, or keeps it from ever starting. The end is listed once it is gone.
+    /// Stops a run, or prevents it from ever starting. The run is reported as ended once it has stopped.
     fn stop(
         &self,
         target: &Target,
         run: Run,
     ) -> impl Future<Output = Result<Stamp, Failure>> + Send;
 
-    /// Lets a run work at a share of its speed, in percent.
+    /// Throttles a run to a percentage of its full speed.
     fn pace(
         &self,
         target: &Target,
@@ -222,7 +223,7 @@
         percent: u8,
     ) -> impl Future<Output = Result<Stamp, Failure>> + Send;
 
-    /// Extends the deadline and lists the runs.
+    /// Extends the lease and returns the worker's report.
     fn hold(
         &self,
         target: &Target,
@@ -230,9 +231,9 @@
     ) -> impl Future<Output = Result<Report, Failure>> + Send;
 }
 
-/// The service that knows which workers a queue's policy allows.
+/// The advisory service, which decides which workers a queue's policy allows.
 pub trait Advisor: Clone + Send + Sync + 'static {
-    /// Asks which of some workers may run a step. It takes a while for each worker named.
+    /// Queries which of the given workers may run a step. The latency grows with the number of workers.
     fn advise(
         &self,
         step: StepId,
--- a/crates/ports/src/job.rs
+++ b/crates/ports/src/job.rs
@@ -1,7 +1,7 @@
-//! Port for clients that hand in jobs: what a job is and what its client may ask.
+//! Port for clients that submit jobs: the job model and the client API.
 //!
-//! A job is a list of steps, each of equal tasks; a step begins when the steps it names are done.
-//! The types say what holds for a task. Where they come from is an adapter's business.
+//! A job is a list of steps, each with a number of equal tasks; a step begins when the steps that it
+//! depends on are done. Adapters translate between these types and a wire format.
 
 use std::fmt;
 use std::future::Future;
@@ -20,26 +20,26 @@
 use crate::deployment::Config;
 use crate::deployment::Queue;
 
-/// Number of a job, chosen by its client.
+/// Id of a job, chosen by its client.
 pub type JobId = u64;
-/// Place of a step within its job, from zero.
+/// Index of a step within its job, from zero.
 pub type StepIndex = u16;
-/// Which run of a repeated job a task belongs to, from zero.
+/// Number of an occurrence of a repeated job, from zero.
 pub type Occurrence = u32;
 
-/// Identity of a step of one occurrence of a job.
+/// Id of a step of one occurrence of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StepId {
     /// The job.
     pub job: JobId,
-    /// Which occurrence of the job.
+    /// Occurrence of the job.
     pub occurrence: Occurrence,
-    /// Which step.
+    /// Index of the step.
     pub step: StepIndex,
 }
 
 impl StepId {
-    /// Returns a task of the step.
+    /// Returns the id of a task of the step.
     pub fn task(self, index: id::TaskIndex) -> TaskId {
         TaskId { job: self.job, occurrence: self.occurrence, step: self.step, index }
     }
@@ -51,22 +51,22 @@
     }
 }
 
-/// Identity of a task, the same over all its attempts.
+/// Id of a task, the same for all its runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// Which occurrence of the job.
+    /// Occurrence of the job.
     pub occurrence: Occurrence,
-    /// Which step.
+    /// Index of the step.
     pub step: StepIndex,
-    /// Which task of the step.
+    /// Index of the task within the step.
     pub index: id::TaskIndex,
 }
 
 impl TaskId {
-    /// Returns the step that the task is of.
+    /// Returns the id of the task's step.
     pub fn step_id(self) -> StepId {
         StepId { job: self.job, occurrence: self.occurrence, step: self.step }
     }
@@ -78,89 +78,90 @@
     }
 }
 
-/// What the tasks of one step need and how they behave.
+/// Requirements and behavior of the tasks of one step.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Step {
-    /// How many tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// What each takes.
+    /// Resources that each task needs.
     pub demand: Amount,
-    /// Roughly how long a task works; may be far off.
+    /// Estimated run time of a task; may be inaccurate.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub estimate: Duration,
-    /// Earlier steps that must be done first.
+    /// Earlier steps that this step depends on.
     pub after: SmallVec<[StepIndex; 2]>,
-    /// All tasks work together or not at all.
+    /// Whether the tasks are gang-scheduled: all run together or none does.
     pub gang: bool,
-    /// The tasks are slower when spread over racks.
+    /// Whether the tasks are slower when spread over several racks.
     pub same_rack: bool,
     /// Label that the worker must carry.
     pub required_label: Option<Arc<str>>,
-    /// Rack on which the task's data lies; elsewhere it is slower.
+    /// Rack that holds the tasks' data; tasks are slower on other racks.
     pub data_rack: Option<Arc<str>>,
-    /// At most so many tasks of the step on one worker; zero for no limit.
+    /// Maximum number of the step's tasks on one worker; zero for no limit.
     pub max_per_worker: u32,
-    /// Copies may run side by side and the first to finish counts.
+    /// Whether copies of a task may run concurrently, of which the first to finish counts.
     pub speculative: bool,
-    /// The tasks run until the job is cancelled and are restarted however they end.
+    /// Whether these are service tasks, which run until the job is cancelled and are restarted whenever they end.
     pub long_running: bool,
-    /// The tasks write checkpoints.
+    /// Whether the tasks write checkpoints.
     pub checkpointing: bool,
-    /// What the tasks run; those of one image behave alike.
+    /// Image that the tasks run; tasks of the same image behave alike.
     pub image: Option<Arc<str>>,
-    /// Bound on the tail of response times of a task that serves users of its own.
+    /// Upper bound on the tail latency of a latency-critical task.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     pub target: Option<Duration>,
-    /// The tasks take the processor time that others leave and reserve none.
+    /// Whether these are best-effort tasks, which use the processor time that others leave and reserve none.
     pub fills: bool,
-    /// How many tasks of a step that lasts the system may take away at once; none for no limit.
+    /// Disruption budget of a step of service tasks: the number of its tasks that the scheduler may
+    /// make unavailable at once; `None` for no limit.
     pub max_unavailable: Option<u32>,
 }
 
-/// When a repeated job's occurrences are due.
+/// Schedule of a repeated job's occurrences.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Schedule {
-    /// How many occurrences.
+    /// Number of occurrences.
     pub count: u32,
-    /// When the first is due, since 1970.
+    /// Due time of the first occurrence as Unix time (since 1970).
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub start: Duration,
-    /// From one to the next.
+    /// Time between the due times of two occurrences.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub interval: Duration,
 }
 
-/// What a client hands in.
+/// Job as submitted by a client.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Spec {
-    /// Handed to each task as it is.
+    /// Opaque payload that each task receives.
     pub payload: Arc<str>,
-    /// The steps; a step names only earlier ones in [`Step::after`].
+    /// Steps in an order in which [`Step::after`] refers only to earlier ones.
     pub steps: Vec<Step>,
-    /// When it runs, if not once and at once.
+    /// Schedule of a repeated or delayed job; `None` if it runs once, immediately.
     pub schedule: Option<Schedule>,
 }
 
-/// A job as the store holds it from its acceptance until it ends.
+/// Job as stored from its acceptance until it ends.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Accepted {
-    /// The queue through which it came.
+    /// Queue to which the job was submitted.
     pub queue: Arc<str>,
-    /// The service whose workers run it.
+    /// Service whose workers run the job.
     pub service: id::Service,
-    /// What was handed in.
+    /// Job as submitted.
     pub spec: Spec,
-    /// Whether its client has cancelled it.
+    /// Whether the client has cancelled the job.
     pub cancelled: bool,
 }
 
-/// How far a job has come, as its client sees it.
+/// State of a job as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum State {
@@ -170,21 +171,21 @@
     Active,
     /// Every task is done.
     Completed,
-    /// A task has failed as often as its queue allows.
+    /// A task has used up the failed runs that its queue allows.
     Failed,
     /// The client has cancelled it.
     Cancelled,
-    /// A task has crashed more workers than one may. Stored by its place, so it comes last.
+    /// A task has crashed more workers than the limit allows. Comes last because states are stored by position.
     Crashed,
 }
 
 impl State {
-    /// Tells whether the job has ended and its state changes no more.
+    /// Returns `true` if the job has ended, so that its state no longer changes.
     pub fn is_final(self) -> bool {
         !matches!(self, State::Queued | State::Active)
     }
 
-    /// Tells why the job failed, if it did.
+    /// Returns the reason for which the job failed, if it did.
     pub fn failure(self) -> Option<&'static str> {
         match self {
             State::Failed => Some("a task failed as often as its queue allows"),
@@ -194,47 +195,47 @@
     }
 }
 
-/// Why a client did not get what it asked for.
+/// Negative answer to a client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rejection {
-    /// The numbered result.
+    /// Numbered result code.
     pub code: Code,
-    /// The cause, for a reader.
+    /// Reason for people.
     pub reason: String,
-    /// When to come back, if that helps.
+    /// Delay after which the client may retry, if a retry can help.
     pub retry_after: Option<Duration>,
 }
 
 impl Rejection {
-    /// Makes a rejection after which coming back doesn't help.
+    /// Creates a rejection without a retry delay.
     pub fn new(code: Code, reason: impl Into<String>) -> Rejection {
         Rejection { code, reason: reason.into(), retry_after: None }
     }
 
-    /// Says when to come back.
+    /// Sets the retry delay.
     pub fn retry_after(mut self, pause: Duration) -> Rejection {
         self.retry_after = Some(pause);
         self
     }
 }
 
-/// What a client asked for.
+/// Operation that a client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Asked {
-    /// To take a job in.
+    /// Submits a job.
     Submit,
-    /// How far a job is.
+    /// Returns the state of a job.
     State,
-    /// To cancel a job.
+    /// Cancels a job.
     Cancel,
-    /// How many jobs of a queue wait.
+    /// Returns the number of waiting jobs of a queue.
     Pending,
-    /// Something that isn't served.
+    /// An unsupported operation.
     Other,
 }
 
 impl Asked {
-    /// Returns its word in metrics and logs.
+    /// Returns the name used in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Asked::Submit => "submit",
@@ -246,25 +247,25 @@
     }
 }
 
-/// A client's request.
+/// Summary of a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// What was asked for.
+    /// Requested operation.
     pub asked: Asked,
-    /// The job that it named, if it named one.
+    /// Job in the request path, if there is one.
     pub job: Option<JobId>,
 }
 
-/// What clients may ask of a process.
+/// Client API of a scheduler process.
 pub trait Desk: Clone + Send + Sync + 'static {
     /// Returns the configuration in force, if one is known yet.
     fn config(&self) -> Option<Arc<Config>>;
 
-    /// Takes a job in. Success means that the store holds it.
+    /// Accepts a job. Success means that the job is stored.
     ///
     /// # Errors
     ///
-    /// A code whose outcome is `NotRun` only if the job is not stored and never will be.
+    /// Returns a code whose outcome is `NotRun` only if the job is not stored and never will be.
     fn submit(
         &self,
         job: JobId,
@@ -273,16 +274,15 @@
         within: Duration,
     ) -> impl Future<Output = Result<(), Rejection>> + Send;
 
-    /// Tells how far a job has come.
+    /// Returns the state of a job.
     fn state(&self, job: JobId) -> impl Future<Output = Result<State, Rejection>> + Send;
 
-    /// Cancels a job. Success means that the store holds the cancelling, or that the job had
-    /// ended before.
+    /// Cancels a job. Success means that the cancellation is stored or that the job had already ended.
     fn cancel(&self, job: JobId) -> impl Future<Output = Result<(), Rejection>> + Send;
 
-    /// Counts the jobs of a queue of which no task has started.
+    /// Returns the number of the queue's jobs of which no task has started.
     fn pending(&self, queue: &Queue) -> impl Future<Output = Result<u32, Rejection>> + Send;
 
-    /// Is told of each answer, also to requests that reached none of the other methods.
+    /// Records each answer in metrics and logs, including answers to requests that reached none of the other methods.
     fn answered(&self, request: Request, outcome: Result<(), &Rejection>, took: Duration);
 }
--- a/crates/ports/src/kv.rs
+++ b/crates/ports/src/kv.rs
@@ -1,8 +1,8 @@
 //! Port to the platform's key-value service: compare-and-swap, leases and watches.
 //!
-//! Every call is counted by the platform, a waiting watch as one, so callers batch writes and share
-//! watches (`docs/CAPACITY.md` has the budget). Revisions are the store's own: they rise with each
-//! change and never repeat.
+//! The platform limits the number of calls, and a waiting watch counts as one, so callers batch
+//! writes and share watches (`docs/CAPACITY.md` has the budget). The store assigns revisions, which
+//! increase with each change and never repeat.
 
 use std::future::Future;
 use std::time::Duration;
@@ -11,53 +11,53 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Number of a lease, chosen by the store.
+/// Id of a lease, assigned by the store.
 pub type LeaseId = i64;
 
-/// Why a call brought no result.
+/// Error of a store call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Error {
-    /// The call surely changed nothing: it never left, or the store said so.
+    /// The call certainly changed nothing: it was never sent, or the store refused it.
     #[error("the store is unavailable: {0}")]
     Unavailable(String),
-    /// The call may have taken effect; its writer has to settle it by a read.
+    /// The call may have taken effect; the writer must determine that by a read.
     #[error("the store's answer was lost: {0}")]
     Unknown(String),
-    /// The revision to watch from has been compacted away; read again and watch from there.
+    /// The revision to watch from has been compacted; read again and watch from the new revision.
     #[error("revision {0} is no longer kept")]
     Compacted(Revision),
-    /// The lease has lapsed or was revoked.
+    /// The lease has expired or was revoked.
     #[error("the lease has lapsed")]
     LeaseGone,
-    /// The store answered something that is not its protocol.
+    /// The store's answer violates its protocol.
     #[error("the store's answer can't be read: {0}")]
     Protocol(String),
 }
 
-/// One key as the store holds it.
+/// Key and value as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The whole key.
+    /// Complete key.
     pub key: String,
-    /// The value, at most a megabyte.
+    /// Value of at most one megabyte.
     pub value: Vec<u8>,
-    /// Revision of the last change of this key.
+    /// Revision of the last change to this key.
     pub revision: Revision,
-    /// Lease that the key goes with, or zero.
+    /// Lease to which the key is bound, or zero.
     pub lease: LeaseId,
 }
 
-/// What a read found, all as of one revision.
+/// Result of a read at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The store's revision at the time of the read.
+    /// Revision of the store at the time of the read.
     pub revision: Revision,
-    /// The entries by rising key.
+    /// Entries in ascending order of their keys.
     pub entries: Vec<Entry>,
 }
 
-/// What must hold for a transaction to change anything.
+/// Condition under which a transaction is applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Guard {
     /// The key doesn't exist.
@@ -68,98 +68,98 @@
     Present(String),
 }
 
-/// One change of a transaction.
+/// Change made by a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// Writes the value, bound to the lease if it is not zero.
     Put {
-        /// The whole key.
+        /// Complete key.
         key: String,
-        /// The value, at most a megabyte.
+        /// Value of at most one megabyte.
         value: Vec<u8>,
-        /// Lease that the key goes with, or zero.
+        /// Lease to which the key is bound, or zero.
         lease: LeaseId,
     },
     /// Removes the key.
     Delete {
-        /// The whole key.
+        /// Complete key.
         key: String,
     },
 }
 
-/// A transaction: all changes if all guards hold, else none.
+/// Transaction that makes all of its changes if all preconditions hold, and none otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
-    /// All of these must hold.
+    /// Conditions that must all hold.
     pub guards: Vec<Guard>,
-    /// Made together, in one revision.
+    /// Changes made together in one revision.
     pub changes: Vec<Change>,
 }
 
-/// The store's verdict on a transaction that it surely decided.
+/// Outcome of a transaction that the store has decided.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// Whether the guards held and the changes were made.
+    /// Whether the preconditions held and the changes were made.
     pub applied: bool,
-    /// The store's revision after the transaction.
+    /// Revision of the store after the transaction.
     pub revision: Revision,
-    /// When not applied: the guarded keys as they are now, missing ones left out.
+    /// Current entries of the keys in the preconditions if the transaction was not applied, without missing keys.
     pub current: Vec<Entry>,
 }
 
-/// One step of a watched prefix.
+/// Message from a watch of a prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Update {
     /// A key was written.
     Put(Entry),
     /// A key was removed at this revision.
     Deleted {
-        /// The whole key.
+        /// Complete key.
         key: String,
         /// Revision of the removal.
         revision: Revision,
     },
-    /// Nothing changed up to this revision; the watch is alive.
+    /// All changes up to this revision were delivered; the watch is alive.
     Progress(Revision),
-    /// The watch ended; the sender is closed after this.
+    /// The watch has ended; no further updates follow.
     Ended(Error),
 }
 
 /// The key-value service.
 pub trait Store: Clone + Send + Sync + 'static {
-    /// Reads every key that starts with `prefix` (a whole key names just itself and longer ones).
+    /// Reads every key that starts with `prefix`; a complete key as the prefix matches itself and longer keys.
     ///
     /// # Errors
     ///
-    /// Any [`Error`] but `Unknown`, since a read changes nothing.
+    /// Returns any [`Error`] except `Unknown`, since a read changes nothing.
     fn read(&self, prefix: &str) -> impl Future<Output = Result<Snapshot, Error>> + Send;
 
-    /// Decides a transaction. The adapter never sends it twice.
+    /// Commits a transaction. The adapter never sends it twice.
     ///
     /// # Errors
     ///
-    /// `Unknown` when the transaction may have been applied.
+    /// Returns `Unknown` if the transaction may have been applied.
     fn commit(&self, txn: Txn) -> impl Future<Output = Result<Verdict, Error>> + Send;
 
-    /// Grants a lease that lapses unless kept alive.
+    /// Grants a lease that expires unless it is renewed.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId, Error>> + Send;
 
-    /// Renews a lease for its whole time to live, which it returns.
+    /// Renews a lease for its full time to live, which it returns.
     ///
     /// # Errors
     ///
-    /// `LeaseGone` when it has lapsed.
+    /// Fails if the lease has expired.
     fn keep_alive(&self, lease: LeaseId) -> impl Future<Output = Result<Duration, Error>> + Send;
 
-    /// Ends a lease and removes the keys bound to it.
+    /// Revokes a lease and removes the keys bound to it.
     fn revoke(&self, lease: LeaseId) -> impl Future<Output = Result<(), Error>> + Send;
 
-    /// Watches a prefix from just after a revision until the receiver is dropped or the watch
-    /// ends. Updates arrive by rising revision.
+    /// Watches a prefix for changes after a revision until the receiver is dropped or the watch
+    /// ends. Updates arrive in ascending order of their revisions.
     ///
     /// # Errors
     ///
-    /// `Compacted` when the revision is no longer kept.
+    /// Returns `Compacted` if the store no longer keeps the revision.
     fn watch(
         &self,
         prefix: &str,
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -1,9 +1,9 @@
-//! The ports: what our processes need from the platform, from backend servers and from each other,
-//! as traits and plain messages.
+//! Ports: traits and message types for communication with the platform, with backend servers and
+//! between our processes.
 //!
-//! An outside protocol is one adapter behind a trait of this crate. Decision crates use only the
-//! message types; they never await anything. Adapters live in `cowslipchute-gateway` and
-//! `cowslipchute-peer`, the stand-ins in `cowslipchute-standin`.
+//! Each external protocol is implemented by one adapter behind a trait of this crate. Decision crates
+//! use only the message types; they never await anything. Adapters are in `cowslipchute-gateway` and
+//! `cowslipchute-peer`, test doubles of the platform in `cowslipchute-standin`.
 
 pub mod backend;
 pub mod deployment;
--- a/crates/ports/src/list.rs
+++ b/crates/ports/src/list.rs
@@ -1,4 +1,4 @@
-//! Port to the platform's list of instances, which lags behind what is so.
+//! Port to the platform's list of instances, which lags behind the actual state.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,87 +13,87 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// What an instance is there for.
+/// Role of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Runs one of a service's executors.
+    /// Backend server of a service.
     Backend,
-    /// Runs tasks.
+    /// Worker, which runs tasks.
     Worker,
-    /// Our entry process, which callers reach through the platform's balancer.
+    /// Entry process, which callers reach through the platform's load balancer.
     Entry,
-    /// Our placer process.
+    /// Placer process.
     Placer,
-    /// Our operator process.
+    /// Operator process.
     Operator,
 }
 
-/// Whether an instance stays.
+/// Lifecycle state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Up, as far as the platform knows.
+    /// Running, as far as the platform knows.
     Live,
-    /// About to be taken away; it finishes what it has and gets nothing new.
+    /// About to be removed; it finishes the work that it has and gets no new work.
     Leaving,
 }
 
-/// One instance as listed. An instance that is listed no more has been ended by the platform.
+/// Listed instance. An instance that is no longer listed has been ended by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Member {
-    /// The instance's name.
+    /// Name of the instance.
     pub instance: Instance,
-    /// Which life of that name this is.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// What it is there for.
+    /// Role of the instance.
     pub role: Role,
-    /// Whether it stays.
+    /// Lifecycle state of the instance.
     pub state: State,
-    /// Where it is.
+    /// Failure domain of the instance.
     pub domain: Domain,
-    /// Its rack; empty where racks don't matter.
+    /// Rack of the instance; empty if racks don't matter.
     pub rack: Rack,
-    /// Where it is reached: HTTP for backend servers and workers, QUIC for our own processes.
+    /// Address of the instance: HTTP for backend servers and workers, QUIC for our own processes.
     pub address: SocketAddr,
-    /// The service of a backend server; empty for other roles.
+    /// Service of a backend server; empty for other roles.
     pub service: Service,
-    /// Requests that a backend server runs at once; zero for other roles.
+    /// Number of requests that a backend server runs concurrently; zero for other roles.
     pub slots: u16,
-    /// Connections that a backend server accepts in all; zero for other roles.
+    /// Number of connections that a backend server accepts; zero for other roles.
     pub connections: u16,
-    /// What a worker offers to tasks.
+    /// Capacity that a worker offers to tasks.
     pub capacity: Amount,
 }
 
 /// Version of the list.
 pub type Version = u64;
 
-/// The list at one moment of the platform's view.
+/// The list of instances at one moment, as the platform sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct View {
-    /// Rises with each change of the list; an older view never replaces a newer one.
+    /// Version, which increases with each change; an older view never replaces a newer one.
     pub version: Version,
-    /// The instances by rising name.
+    /// Instances in ascending order of their names.
     pub members: Vec<Member>,
 }
 
-/// The list could not be read; the last view stays in use.
+/// Error of a read of the list; the last view stays in use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[error("the list of instances can't be read: {0}")]
 pub struct Error(pub String);
 
-/// The list of instances.
+/// The platform's list of instances.
 pub trait List: Clone + Send + Sync + 'static {
     /// Reads the instances of the given domains; all domains if none is given.
     ///
-    /// `known` is the version of the view of the same domains that the caller has. Nothing comes
-    /// back if the list still has that version: the caller's view is the list's.
+    /// `known` is the version of the caller's view of the same domains. Returns `None` if the list
+    /// still has that version, so that the caller's view is current.
     fn read(
         &self,
         domains: &[Domain],
--- a/crates/ports/src/machine.rs
+++ b/crates/ports/src/machine.rs
@@ -1,4 +1,4 @@
-//! Port to whoever runs the machines that workers run on: which there are, and their upkeep.
+//! Port to the provider of the machines that workers run on: the list of machines and their maintenance.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -9,65 +9,65 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Names a machine, whichever worker it runs.
+/// Name of a machine, independent of the worker that it runs.
 pub type Name = Arc<str>;
-/// Number of a wave of upkeep.
+/// Number of a maintenance rollout.
 pub type WaveNumber = u64;
 
-/// A machine as it is now.
+/// Current state of a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Machine {
-    /// Its name.
+    /// Name of the machine.
     pub name: Name,
-    /// Whether it is up, and neither moving nor in its upkeep.
+    /// Whether the machine is up, and neither being moved nor under maintenance.
     pub up: bool,
-    /// The name of its worker, if it has one.
+    /// Name of the machine's worker, if it has one.
     pub worker: Option<id::Instance>,
 }
 
-/// An operator's demand that machines have their upkeep.
+/// Maintenance rollout: an operator's request for maintenance of several machines.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Wave {
-    /// Its number.
+    /// Number of the rollout.
     pub number: WaveNumber,
-    /// The machines.
+    /// Machines to maintain.
     pub machines: Vec<Name>,
-    /// How long it may take in all.
+    /// Time limit of the whole rollout.
     pub duration: Duration,
-    /// At most so many of them may be down at once.
+    /// Maximum number of the machines that may be unavailable at once.
     pub cap: usize,
 }
 
-/// How far a wave is, as its operator sees it.
+/// Progress of a maintenance rollout, as reported to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Progress {
-    /// Machines are left.
+    /// The maintenance of some machines has not begun.
     Active,
-    /// The upkeep of every machine that is still there has begun.
+    /// The maintenance of every machine that still exists has begun.
     Completed,
 }
 
-/// Why an upkeep did not begin, or may not have.
+/// Reason for which a machine's maintenance did not begin or may not have begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Failure {
-    /// A later owner has given orders for the machine.
-    #[error("a later owner has given orders for the machine")]
+    /// A later owner has sent commands for the machine.
+    #[error("a later owner has sent commands for the machine")]
     Fenced,
     /// The machine isn't up, or is leaving.
     #[error("the machine isn't up")]
     Busy,
-    /// The wave doesn't hold the machine.
-    #[error("the wave doesn't hold the machine")]
+    /// The rollout doesn't include the machine.
+    #[error("the rollout doesn't include the machine")]
     NotOfWave,
     /// There is no such machine.
     #[error("there is no such machine")]
     Missing,
-    /// Nothing was done; it may be asked again.
+    /// Nothing was done; the request may be repeated.
     #[error("nothing was done")]
     Unavailable,
-    /// It may have begun, or may yet; asking again is harmless.
+    /// The maintenance may have begun or may still begin; repeating the request is safe.
     #[error("there was no answer")]
     Unknown,
 }
@@ -78,15 +78,15 @@
     ///
     /// # Errors
     ///
-    /// Any [`Failure`]; a list changes nothing.
+    /// Returns any [`Failure`]; the call changes nothing.
     fn list(&self) -> impl Future<Output = Result<Vec<Machine>, Failure>> + Send;
 
-    /// Begins a machine's upkeep, which ends all that runs there. Succeeds too if it was begun for
-    /// this wave before.
+    /// Begins a machine's maintenance, which ends everything that runs there. Succeeds also if the
+    /// maintenance was begun earlier for the same rollout.
     ///
     /// # Errors
     ///
-    /// Why it did not begin; `Unknown` if it may have.
+    /// Returns the reason for which it did not begin; `Unknown` if it may have begun.
     fn upkeep(
         &self,
         machine: &Name,
--- a/crates/ports/src/peer.rs
+++ b/crates/ports/src/peer.rs
@@ -1,7 +1,7 @@
 //! Messages between our own processes.
 //!
-//! A call is one request and one reply on a stream of its own. The bytes are chosen by
-//! `cowslipchute-peer`; here is only what they mean.
+//! A call is one request and one reply on its own stream. `cowslipchute-peer` defines the encoding;
+//! this module defines the messages.
 
 use cowslipchute_base::id::Cell;
 use cowslipchute_base::id::Domain;
@@ -15,174 +15,175 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One stored resource as it is passed on between peers: the store's bytes, untouched.
+/// Stored resource as peers forward it: the unchanged bytes from the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Item {
-    /// The whole key in the store.
+    /// Complete key in the store.
     pub key: String,
-    /// The value, or nothing when the key was removed at `revision`.
+    /// Value, or `None` if the key was removed at `revision`.
     pub value: Option<Vec<u8>>,
     /// Revision of the change.
     pub revision: Revision,
 }
 
-/// What one process asks of another.
+/// Request of one process to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Call {
-    /// Who are you, and how far is your configuration?
+    /// Asks for the identity of the receiver and the revision of its configuration.
     Hello {
-        /// The asker.
+        /// Name of the sender.
         instance: Instance,
-        /// Which life of it.
+        /// Incarnation of the sender.
         incarnation: Incarnation,
-        /// Where it is.
+        /// Failure domain of the sender.
         domain: Domain,
-        /// The highest revision that it has in force.
+        /// Highest revision in force at the sender.
         revision: Revision,
     },
-    /// Give me what changed after a revision.
+    /// Asks for the changes after a revision.
     Pull {
-        /// Only changes above this are wanted; zero asks for all.
+        /// Revision after which changes are wanted; zero asks for all.
         after: Revision,
     },
-    /// Here is what changed.
+    /// Sends changes.
     Push {
-        /// By rising revision.
+        /// Changes in ascending order of their revisions.
         items: Vec<Item>,
-        /// Everything up to this revision is contained, if `after` was in force at the receiver.
+        /// Revision up to which the items are complete, provided that `after` was in force at the receiver.
         revision: Revision,
-        /// The revision that the items continue from.
+        /// Revision after which the items begin.
         after: Revision,
     },
-    /// This backend server or instance is leaving.
+    /// Reports that a backend server or another instance is leaving.
     Leaving {
-        /// The instance.
+        /// Name of the instance.
         instance: Instance,
-        /// Which life of it; another one isn't leaving.
+        /// Incarnation that is leaving; other incarnations aren't.
         incarnation: Incarnation,
     },
-    /// May I run the request with this key?
+    /// Asks for permission to run the request with this idempotency key.
     Claim {
-        /// The service, within which keys are unique.
+        /// Service within which keys are unique.
         service: Service,
-        /// The key.
+        /// Idempotency key.
         key: IdempotencyKey,
-        /// Who asks.
+        /// Request that claims the key.
         claimant: Claimant,
-        /// The version of the key owners' roster that the asker went by.
+        /// Version of the key owners' roster that the sender used.
         roster: u64,
     },
-    /// What became of the request with this key.
+    /// Reports the outcome of the request with this key.
     Settle {
-        /// The service.
+        /// Service within which keys are unique.
         service: Service,
-        /// The key.
+        /// Idempotency key.
         key: IdempotencyKey,
-        /// Who was granted it; nobody else's grant is touched.
+        /// Request to which the key was granted; grants to other requests are not affected.
         claimant: Claimant,
-        /// What became of it.
+        /// Outcome of the request.
         settlement: Settlement,
-        /// The version of the key owners' roster that the asker went by.
+        /// Version of the key owners' roster that the sender used.
         roster: u64,
     },
-    /// Do you still own this cell, and if so, will you stop?
+    /// Asks the receiver to give up the cell if it still owns it.
     Release {
-        /// The cell.
+        /// Name of the cell.
         cell: Cell,
-        /// The epoch that the asker has taken.
+        /// Epoch under which the sender has taken the cell.
         epoch: Epoch,
     },
-    /// Here is what I know of key slots that I am about to give up to you. `Noted` if it is held
-    /// until the roster says whether they were given up, `Misdirected` if not.
+    /// Hands over the state of key slots that the sender is about to give up to the receiver. The
+    /// reply is `Noted` if the receiver holds the state until the roster shows whether the slots
+    /// were given up, and `Misdirected` otherwise.
     Adopt {
-        /// The handover in the form of `cowslipchute-claim`, so that only owners have to read it.
+        /// Handover in the encoding of `cowslipchute-claim`, so that only owners need to decode it.
         handover: Vec<u8>,
     },
 }
 
-/// One request of one entry process that claims a key.
+/// Request of an entry process that claims a key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Claimant {
-    /// The entry's instance.
+    /// Instance of the entry process.
     pub instance: Instance,
-    /// Which life of it.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Which start of the process, since each start counts its requests anew.
+    /// Start time of the process in Unix microseconds; each start numbers its requests anew.
     pub life: u64,
-    /// Number of the request within that entry, so that two requests with one key are told apart.
+    /// Number of the request within the process, which distinguishes two requests with the same key.
     pub request: Request,
 }
 
-/// What became of a claimed request.
+/// Outcome of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Settlement {
-    /// It ran; the answer is kept for repeats if it is small enough.
+    /// The request ran; the answer is kept for repeated requests if it is small enough.
     Ran(Option<Answer>),
-    /// It surely did not run, so the key is free again.
+    /// The request certainly did not run, so the key is free again.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// An answer kept for a repeated key.
+/// Answer kept for repeated requests with the same key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Answer {
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The content type, if there was one.
+    /// Content type, if there was one.
     pub content_type: Option<String>,
-    /// The whole body.
+    /// Complete body.
     pub body: Vec<u8>,
 }
 
-/// The owner's verdict on a claim.
+/// The owner's answer to a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Claimed {
-    /// Run it, once.
+    /// The claimant may run the request once.
     Granted,
-    /// It ran before; here is its answer if it is still kept.
+    /// The request has already run; with its answer if it is still kept.
     Ran(Option<Answer>),
-    /// It is running, or may have run.
+    /// The request is running or may have run.
     InDoubt,
-    /// I don't own that key, or can't tell whether it ran.
+    /// The receiver doesn't own the key, or doesn't know whether the request ran.
     NotOwner,
 }
 
-/// The answer to a [`Call`].
+/// Answer to a [`Call`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub enum Reply {
     /// Answers `Hello`.
     Hello {
-        /// The answerer.
+        /// Name of the sender.
         instance: Instance,
-        /// Which life of it.
+        /// Incarnation of the sender.
         incarnation: Incarnation,
-        /// Where it is.
+        /// Failure domain of the sender.
         domain: Domain,
-        /// The highest revision that it has in force.
+        /// Highest revision in force at the sender.
         revision: Revision,
     },
     /// Answers `Pull`.
     Items {
-        /// By rising revision.
+        /// Changes in ascending order of their revisions.
         items: Vec<Item>,
-        /// Everything up to this revision is contained.
+        /// Revision up to which the items are complete.
         revision: Revision,
-        /// Whether the items are all there is rather than what changed after the one asked for.
+        /// Whether the items are the complete configuration rather than the changes after the requested revision.
         whole: bool,
     },
     /// Answers `Claim`.
     Claimed(Claimed),
-    /// Answers `Release`: I send nothing more under lower epochs.
+    /// Answers `Release`: the sender sends nothing more under lower epochs.
     Released,
-    /// Done, or noted.
+    /// The call was carried out or its contents were recorded.
     Noted,
     /// The call is not for this process.
     Misdirected,
--- a/crates/ports/src/worker.rs
+++ b/crates/ports/src/worker.rs
@@ -1,19 +1,19 @@
-//! Port to a worker: one exchange carries commands and acknowledgements there, and results,
-//! changes of the inventory and usage back.
+//! Port to a worker: one exchange carries commands and acknowledgements to the worker, and results,
+//! inventory changes and usage back.
 //!
-//! Safety rests on four rules that every worker keeps:
+//! Safety rests on four rules that every worker follows:
 //!
-//! - It refuses an exchange whose epoch is lower than the highest it has seen for its cell, before
-//!   obeying any of it.
-//! - It runs tasks only until its lease lapses on its own monotonic clock. A lease is granted as
-//!   "until `stamp` + `valid`", where `stamp` is a reading of the worker's own clock that it gave
-//!   in an earlier report. So a grant that is delayed on the way extends nothing, and the granter
-//!   knows that the lease lapses at the latest `valid` after it *received* that report.
+//! - It refuses an exchange whose epoch is lower than the highest that it has seen for its cell,
+//!   before executing any of its commands.
+//! - It runs tasks only until its lease expires on its own monotonic clock. A lease is granted as
+//!   "until `stamp` + `valid`", where `stamp` is a reading of the worker's own clock from an earlier
+//!   report. So a delayed grant extends nothing, and the granter knows that the lease expires at the
+//!   latest `valid` after it *received* that report.
 //! - It keeps a finished run's result (completion, failure, checkpoint) until it is acknowledged.
-//! - It starts a run only by an exchange whose own grant has not lapsed, and none that it holds or of
-//!   which it holds a result: an exchange that its sender has given up as lost may yet arrive.
+//! - It starts a run only on an exchange whose own grant has not expired, and never a run that it
+//!   holds or whose result it holds: an exchange that its sender considers lost may still arrive.
 //!
-//! The granter's part is in `docs/design/tasks.md`: which workers and leases it has to record before it uses
+//! `docs/design/tasks.md` describes the granter's side: which workers and leases it has to record before it uses
 //! them, so that its successor knows what to fence and how long to wait.
 
 use std::future::Future;
@@ -35,187 +35,187 @@
 use serde_with::serde_as;
 use thiserror::Error;
 
-/// Names one run of one task.
+/// Id of one run of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 pub struct Run {
     /// The job.
     pub job: Job,
-    /// The task within the job.
+    /// Index of the task within the job.
     pub task: TaskIndex,
-    /// Which run of the task.
+    /// Number of the run.
     pub attempt: Attempt,
 }
 
-/// A lease on the worker's own clock.
+/// Lease on the worker's own clock.
 #[serde_as]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Grant {
-    /// The worker's own monotonic clock in milliseconds, as given in a report.
+    /// Reading of the worker's monotonic clock from a report, in milliseconds.
     pub stamp: u64,
-    /// How long after the stamp the lease lasts, in milliseconds.
+    /// Duration of the lease after the reading, in milliseconds.
     #[serde_as(as = "Millis")]
     pub valid: Duration,
 }
 
-/// What a worker is told to do with one run.
+/// Command that concerns one run.
 #[serde_as]
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Command {
-    /// Start a run. A worker that already holds the run, or a result of it, does nothing.
+    /// Starts a run. A worker that already holds the run or its result does nothing.
     Start {
         /// The run.
         run: Run,
-        /// What it may take; the worker enforces it.
+        /// Resources that the run may use, enforced by the worker.
         amount: Amount,
-        /// Where to resume from, if not from the beginning.
+        /// Checkpoint to resume from, if not from the beginning.
         checkpoint: Option<Checkpoint>,
-        /// How long the job declares a run to take; the stand-in runs it that long.
+        /// Declared duration of a run; the test double of a worker runs it for that time.
         #[serde_as(as = "Millis")]
         duration: Duration,
     },
-    /// End a run without keeping anything.
+    /// Stops a run without a checkpoint.
     Stop {
         /// The run.
         run: Run,
     },
-    /// Checkpoint a run, then end it.
+    /// Checkpoints a run, then stops it.
     Evict {
         /// The run.
         run: Run,
     },
-    /// Let a run have only this share of its processors.
+    /// Limits a run to a fraction of its processors.
     Throttle {
         /// The run.
         run: Run,
-        /// Thousandths of its processors.
+        /// Fraction of its processors in thousandths.
         permille: u16,
     },
 }
 
-/// What the owner of a cell sends to one of its workers.
+/// Message from the owner of a cell to one of its workers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Exchange {
-    /// The cell that the sender owns.
+    /// Cell that the sender owns.
     pub cell: Cell,
-    /// The epoch of that ownership.
+    /// Epoch of that ownership.
     pub epoch: Epoch,
-    /// The incarnation that the sender means; another one refuses.
+    /// Incarnation of the intended recipient; another incarnation refuses the exchange.
     pub incarnation: Incarnation,
-    /// Extends the lease; without one the worker only answers.
+    /// New lease; without one the worker only answers.
     pub grant: Option<Grant>,
-    /// Obeyed in order.
+    /// Commands, executed in order.
     pub commands: Vec<Command>,
-    /// Results that are in the store and may be forgotten.
+    /// Runs whose results are in the store, so that the worker may forget them.
     pub acks: Vec<Run>,
-    /// The inventory version that the sender holds; zero asks for the whole inventory.
+    /// Inventory version that the sender has; zero asks for the whole inventory.
     pub known: u64,
 }
 
-/// How far a run has come on its worker.
+/// Phase of a run on its worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// Runs.
+    /// In progress.
     Running,
-    /// Is being checkpointed or stopped; still takes its amount.
+    /// Being checkpointed or stopped; still uses its resources.
     Stopping,
     /// Completed; kept until acknowledged.
     Done,
-    /// Failed by itself; kept until acknowledged.
+    /// Failed on its own; kept until acknowledged.
     Failed {
-        /// Why, for a reader.
+        /// Reason for people.
         reason: String,
     },
-    /// Ended on command; its checkpoint is kept by the platform. Kept until acknowledged.
+    /// Stopped by a command after a checkpoint, which the platform keeps. Kept until acknowledged.
     Evicted {
-        /// Where to resume from; nothing was worth keeping if absent.
+        /// Checkpoint to resume from; `None` if there was no progress to keep.
         checkpoint: Option<Checkpoint>,
     },
-    /// Ended on command or with its lease, and nothing was kept. Kept until acknowledged.
+    /// Stopped by a command or by lease expiry, without a checkpoint. Kept until acknowledged.
     Stopped,
-    /// Gone from the worker (acknowledged, or never held when it was to be stopped).
+    /// No longer on the worker: acknowledged, or never held when a command to stop it arrived.
     Forgotten,
 }
 
-/// One run as a worker holds it.
+/// Run in a worker's inventory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Held {
     /// The run.
     pub run: Run,
-    /// What it takes.
+    /// Resources that the run uses.
     pub amount: Amount,
-    /// How far it has come.
+    /// Phase of the run.
     pub phase: Phase,
-    /// The throttle in force, in thousandths of its processors.
+    /// Current limit in thousandths of the run's processors.
     pub permille: u16,
 }
 
-/// A lagging measurement of one run.
+/// Measurement of one run, which lags behind the report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Usage {
     /// The run.
     pub run: Run,
-    /// What it really took.
+    /// Resources actually used.
     pub amount: Amount,
-    /// The worker's clock in milliseconds when it was measured, which is before the report.
+    /// Time of the measurement on the worker's clock in milliseconds, before the report.
     pub measured: u64,
-    /// How much slower than alone it ran, in thousandths (1000 is as fast as alone).
+    /// Slowdown against running alone, in thousandths (1000 is as fast as alone).
     pub slowdown_permille: u32,
 }
 
-/// What a worker answers.
+/// A worker's answer to an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Report {
-    /// The worker.
+    /// Name of the worker.
     pub instance: Instance,
-    /// Which life of it; a new one holds nothing of the old.
+    /// Incarnation of the worker; a new incarnation has nothing of the previous one.
     pub incarnation: Incarnation,
-    /// The worker's monotonic clock in milliseconds.
+    /// Time on the worker's monotonic clock in milliseconds.
     pub stamp: u64,
-    /// The highest epoch it has seen. If above the exchange's, nothing of the exchange was obeyed.
+    /// Highest epoch that the worker has seen. If it is above the exchange's, the exchange was refused.
     pub epoch: Epoch,
-    /// Whether the exchange was obeyed.
+    /// Whether the worker executed the exchange.
     pub obeyed: bool,
     /// Version of the inventory after the exchange.
     pub version: u64,
     /// Whether `held` is the whole inventory rather than the changes since `known`.
     pub whole: bool,
-    /// The inventory or its changes.
+    /// Inventory or its changes.
     pub held: Vec<Held>,
     /// Measurements since the last report.
     pub usage: Vec<Usage>,
-    /// Whether the worker is about to leave.
+    /// Whether the worker is leaving.
     pub leaving: bool,
 }
 
-/// Why an exchange brought no report.
+/// Error of an exchange without a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Error {
-    /// Nothing of it reached the worker.
+    /// The exchange certainly did not reach the worker.
     #[error("the worker can't be reached: {0}")]
     Unsent(String),
-    /// It may have been obeyed.
+    /// The worker may have executed the exchange.
     #[error("the worker's answer was lost: {0}")]
     Unknown(String),
 }
 
-/// The workers.
+/// Exchanges with workers.
 pub trait Worker: Clone + Send + Sync + 'static {
     /// Makes one exchange; never sends it twice.
     ///
     /// # Errors
     ///
-    /// `Unknown` when the worker may have obeyed.
+    /// Returns `Unknown` if the worker may have executed it.
     fn exchange(
         &self,
         address: SocketAddr,
