--- a/crates/resource/src/check.rs
+++ b/crates/resource/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of single fields, so that nothing out of range is ever accepted.
+//! Validation of resource fields.
 
 use cowslipchute_base::code::Code;
 use cowslipchute_base::name;
@@ -7,21 +7,21 @@
 use crate::Resource;
 use crate::Spec;
 
-/// A field is out of range, with what to do about it.
+/// Invalid field, with its remedy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[error("{field}: {problem}; {remedy}")]
 pub struct Error {
     /// Path of the field, such as `job.tasks`.
     pub field: String,
-    /// What is wrong with it.
+    /// Problem with the value.
     pub problem: String,
-    /// What to write instead.
+    /// Description of valid values.
     pub remedy: String,
 }
 
 impl Error {
-    /// Returns the result code for operators.
+    /// Returns the result code of the error.
     pub fn code(&self) -> Code {
         Code::BadResource
     }
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// The first field that is out of range.
+/// Returns the first invalid field.
 pub fn resource(resource: &Resource) -> Result<(), Error> {
     name("name", &resource.name)?;
     match &resource.spec {
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// When it breaks the rule of [`name::check`].
+/// Fails if the name is invalid according to [`name::check`].
 pub fn name(field: &str, name: &str) -> Result<(), Error> {
     name::check(name).map_err(|error| Error::new(field, error.to_string(), name::REMEDY))
 }
--- a/crates/resource/src/document.rs
+++ b/crates/resource/src/document.rs
@@ -1,4 +1,4 @@
-//! Resource files: TOML, one or more `[[resource]]` tables, each with `kind`, `name` and fields.
+//! Resource files: TOML with one or more `[[resource]]` tables, each with `kind`, `name` and fields.
 
 use serde::Deserialize;
 use thiserror::Error;
@@ -6,21 +6,21 @@
 use crate::Resource;
 use crate::check;
 
-/// Why a file was not accepted. Nothing of it is then used.
+/// Error in a resource file. A file with an error is rejected as a whole.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum Error {
-    /// Not TOML, an unknown field or a value of the wrong type; the text names line and field.
+    /// Invalid TOML, an unknown field or a value of the wrong type; the message names line and field.
     #[error("{0}")]
     Syntax(#[from] toml::de::Error),
-    /// A value out of range.
+    /// Invalid value.
     #[error("resource {number} ({name}): {error}")]
     Range {
-        /// Which `[[resource]]` table, from one.
+        /// Position of the `[[resource]]` table in the file, from one.
         number: usize,
-        /// Its name.
+        /// Name of the resource.
         name: String,
-        /// What is wrong.
+        /// Problem with the value.
         error: check::Error,
     },
 }
@@ -31,11 +31,11 @@
     resource: Vec<Resource>,
 }
 
-/// Reads and checks the resources of a file.
+/// Parses and validates the resources of a file.
 ///
 /// # Errors
 ///
-/// The first thing that is wrong with it.
+/// Returns the first error in the file.
 pub fn parse(text: &str) -> Result<Vec<Resource>, Error> {
     let file: File = toml::from_str(text)?;
     for (index, resource) in file.resource.iter().enumerate() {
--- a/crates/resource/src/job.rs
+++ b/crates/resource/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs: tasks that use the capacity left over, or latency-critical tasks on shared workers.
+//! Jobs: batch and trial tasks, which use leftover capacity, and latency-critical tasks on shared workers.
 
 use std::time::Duration;
 
@@ -15,24 +15,24 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Spec {
-    /// The team whose quota it counts against.
+    /// Team whose quota the job uses.
     pub team: String,
-    /// Paying tasks are latency-critical and never evicted; trial and batch tasks give way.
+    /// Class of the tasks: paying tasks are latency-critical and never evicted; trial and batch tasks may be.
     pub class: Class,
-    /// How many tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What each task is declared to take.
+    /// Declared resources of each task.
     pub amount: Amount,
-    /// How long each task is declared to run; zero means until cancelled.
+    /// Declared duration of each task; zero means until cancelled.
     #[serde_as(as = "Millis")]
     pub duration: Duration,
-    /// Starts before other work and may evict trials and batch.
+    /// Whether the job starts before other work and may evict trial and batch tasks.
     pub urgent: bool,
-    /// Runs of a task that may fail before the task is parked.
+    /// Number of failed runs after which a task is parked.
     pub failures_max: u32,
-    /// The failure domain in which it has to run; empty for any.
+    /// Failure domain in which the job must run; empty for any.
     pub domain: String,
-    /// An operator's request to end it.
+    /// Whether an operator has cancelled the job.
     pub cancelled: bool,
 }
 
--- a/crates/resource/src/key.rs
+++ b/crates/resource/src/key.rs
@@ -1,23 +1,24 @@
-//! Keys in the platform's store. Every key of ours stands below [`ROOT`].
+//! Keys in the platform's store. All of our keys start with [`ROOT`].
 
 use crate::Kind;
 
-/// All keys of ours start with this.
+/// Prefix of all our keys.
 pub const ROOT: &str = "/cowslipchute/";
-/// All resources start with this; one watch on it carries the whole configuration.
+/// Prefix of all resources; one watch on it covers the whole configuration.
 pub const CONFIG: &str = "/cowslipchute/config/";
-/// Written with every change that makes a resource refer to another, so that a removal can be
-/// guarded against a reference made meanwhile. It is no resource and nobody watches it.
+/// Key written with every change that makes a resource refer to another, so that the transaction of
+/// a removal fails if a reference was added concurrently. It holds no resource and is not watched.
 pub const REFERENCES: &str = "/cowslipchute/references";
-/// The last write of each lane of each operator process, by which lost answers are settled.
+/// Prefix of the last write of each lane of each operator process, which shows whether a write
+/// without an answer was made.
 pub const OPERATOR: &str = "/cowslipchute/operator/";
-/// Owners of cells.
+/// Prefix of the owners of cells.
 pub const CELL: &str = "/cowslipchute/cell/";
-/// Durable progress of tasks, written in batches by the owner of their cell.
+/// Prefix of the durable progress of tasks, written in batches by the owner of their cell.
 pub const RECORD: &str = "/cowslipchute/record/";
-/// The cell in which each job's tasks have their home.
+/// Prefix of the assignments of jobs to cells.
 pub const HOME: &str = "/cowslipchute/home/";
-/// The roster of key owners.
+/// Key of the roster of idempotency key owners.
 pub const ROSTER: &str = "/cowslipchute/roster";
 
 /// Returns the key of a resource.
@@ -30,7 +31,7 @@
     format!("{CONFIG}{}/", kind.as_str())
 }
 
-/// Takes a resource's key apart; nothing if it is not one.
+/// Splits a resource's key into kind and name; returns `None` for any other key.
 pub fn parse_config(key: &str) -> Option<(Kind, &str)> {
     let (word, name) = key.strip_prefix(CONFIG)?.split_once('/')?;
     Some((Kind::from_word(word)?, name))
--- a/crates/resource/src/lib.rs
+++ b/crates/resource/src/lib.rs
@@ -1,8 +1,7 @@
-//! The resources that operators declare, their checks, their file format and their keys in the store.
+//! Resources that operators declare: their validation, file format and keys in the store.
 //!
-//! A resource is desired state: what an operator wants, never what the system found. This crate
-//! reads no file and talks to no store; it turns bytes into checked values and back. The file
-//! format is described in `docs/OPERATING.md`.
+//! A resource is desired state as set by an operator, never observed state. This crate does no I/O;
+//! it converts bytes to validated values and back. `docs/OPERATING.md` describes the file format.
 
 pub mod check;
 pub mod document;
@@ -18,7 +17,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What kind of resource.
+/// Kind of a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
@@ -29,7 +28,7 @@
     Job,
     /// A team with quotas.
     Team,
-    /// Weights and limits of the decisions.
+    /// Weights and limits for scheduling decisions.
     Policy,
 }
 
@@ -37,7 +36,7 @@
     /// All kinds.
     pub const ALL: [Kind; 4] = [Kind::Service, Kind::Job, Kind::Team, Kind::Policy];
 
-    /// Returns the word used in keys, paths and files.
+    /// Returns the name used in keys, paths and files.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Service => "service",
@@ -47,13 +46,13 @@
         }
     }
 
-    /// Finds the kind with a word.
+    /// Returns the kind with the given name.
     pub fn from_word(word: &str) -> Option<Kind> {
         Kind::ALL.into_iter().find(|kind| kind.as_str() == word)
     }
 }
 
-/// The desired state of one resource.
+/// Desired state of a resource.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
@@ -64,7 +63,7 @@
     Job(job::Spec),
     /// A team with quotas.
     Team(team::Spec),
-    /// Weights and limits of the decisions.
+    /// Weights and limits for scheduling decisions.
     Policy(policy::Spec),
 }
 
@@ -80,13 +79,13 @@
     }
 }
 
-/// A resource: its name and its desired state.
+/// Name and desired state of a resource.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize, Deserialize)]
 pub struct Resource {
-    /// Unique within the kind.
+    /// Name, unique within the kind.
     pub name: id::Service,
-    /// The desired state.
+    /// Desired state.
     #[serde(flatten)]
     pub spec: Spec,
 }
--- a/crates/resource/src/policy.rs
+++ b/crates/resource/src/policy.rs
@@ -1,8 +1,8 @@
-//! The policy: what the decisions weigh against each other, and their limits.
+//! The policy: weights and limits of the scheduling decisions.
 //!
-//! Deployments weigh differently: [`Spec::latency_first`] is the profile of one to which the tail
-//! latency of its services matters most, [`Spec::evictions_first`] of one to which evictions do.
-//! `docs/OPERATING.md` shows both as resources.
+//! [`Spec::latency_first`] is a profile for deployments that give priority to the tail latency of
+//! their services, [`Spec::evictions_first`] one for deployments that give priority to few
+//! evictions. `docs/OPERATING.md` shows both as resources.
 
 use std::time::Duration;
 
@@ -19,23 +19,23 @@
 pub struct Spec {
     /// Weight of the tail latency of paying tasks.
     pub latency_weight: f64,
-    /// Weight of evictions and the work lost to them.
+    /// Weight of evictions and of the work lost to them.
     pub eviction_weight: f64,
     /// Weight of batch throughput.
     pub throughput_weight: f64,
-    /// Slowdown of a paying task, in thousandths, above which relief starts.
+    /// Slowdown of a paying task, in thousandths, above which other tasks are throttled or evicted.
     pub slowdown_permille: u32,
-    /// Evictions allowed for each cell within ten minutes, per thousand tasks placed there.
+    /// Maximum number of evictions in a cell within ten minutes, per thousand tasks placed there.
     pub eviction_permille: u32,
-    /// Thousandths of a cell that only urgent and paying work may take.
+    /// Fraction of a cell, in thousandths, that is reserved for urgent and paying work.
     pub urgent_reserve_permille: u16,
-    /// How long a worker's lease lasts after the reading of its clock.
+    /// Duration of a worker's lease after the reading of its clock.
     #[serde_as(as = "Millis")]
     pub lease: Duration,
-    /// How often each worker is exchanged with when nothing else is to be said.
+    /// Interval of exchanges with a worker when there is nothing else to send.
     #[serde_as(as = "Millis")]
     pub heartbeat: Duration,
-    /// Whether paying tasks are guarded against interference at all.
+    /// Whether paying tasks are protected against interference.
     pub guard: bool,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Spec {
-    /// The profile of a deployment that weighs tail latency most.
+    /// Returns the profile that gives the highest weight to tail latency.
     pub fn latency_first() -> Self {
         Spec {
             latency_weight: 4.0,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The profile of a deployment that weighs evictions most.
+    /// Returns the profile that gives the highest weight to avoiding evictions.
     pub fn evictions_first() -> Self {
         Spec {
             eviction_weight: 4.0,
--- a/crates/resource/src/reference.rs
+++ b/crates/resource/src/reference.rs
@@ -1,4 +1,4 @@
-//! What a resource refers to, so that nothing refers to what doesn't exist.
+//! References between resources, which are checked so that none refers to a missing resource.
 
 use smallvec::SmallVec;
 
@@ -6,13 +6,13 @@
 use crate::Resource;
 use crate::Spec;
 
-/// The team that every job may name without its being declared.
+/// Team that jobs may name even if it is not declared.
 pub const DEFAULT_TEAM: &str = "default";
 
-/// A resource's field that names another resource.
+/// Reference from a field to another resource.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reference {
-    /// Path of the field.
+    /// Path of the referring field.
     pub field: &'static str,
     /// Kind of the other resource.
     pub kind: Kind,
@@ -20,7 +20,7 @@
     pub name: String,
 }
 
-/// Returns what a resource refers to.
+/// Returns the references of a resource.
 pub fn of(resource: &Resource) -> SmallVec<[Reference; 1]> {
     match &resource.spec {
         Spec::Service(spec) => {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Returns the kind whose resources may refer to one of `kind`.
+/// Returns the kind whose resources may refer to resources of `kind`.
 pub fn referrers(kind: Kind) -> Option<Kind> {
     match kind {
         Kind::Service => Some(Kind::Service),
--- a/crates/resource/src/service.rs
+++ b/crates/resource/src/service.rs
@@ -1,4 +1,4 @@
-//! Services: latency-critical backend servers, or the trial of one.
+//! Services: latency-critical backend servers, or a trial that uses another service's backend servers.
 
 use std::time::Duration;
 
@@ -14,29 +14,29 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Spec {
-    /// The class of its requests, unless a request names a lower one.
+    /// Class of the requests, unless a request names a lower one.
     pub class: Class,
-    /// The service whose backend servers answer, if not the service's own: a trial names the
-    /// paying service beside which it runs.
+    /// Service whose backend servers answer, if not the service's own: a trial names the paying
+    /// service with which it shares backend servers.
     pub backends_of: Option<String>,
-    /// The deadline of a request that names none.
+    /// Deadline of a request that names none.
     #[serde_as(as = "Millis")]
     pub deadline: Duration,
-    /// The longest deadline that a request may name.
+    /// Maximum deadline that a request may name.
     #[serde_as(as = "Millis")]
     pub deadline_max: Duration,
-    /// Requests that may wait for a slot at one entry instance.
+    /// Maximum number of requests that wait for a slot at one entry instance.
     pub queue: u32,
-    /// How long a request may wait for a slot.
+    /// Maximum time for which a request waits for a slot.
     #[serde_as(as = "Millis")]
     pub queue_wait: Duration,
-    /// Thousandths of the slots that only paying requests may take.
+    /// Fraction of the slots, in thousandths, that is reserved for paying requests.
     pub reserve_permille: u16,
-    /// Retries and hedges allowed for each thousand requests.
+    /// Maximum number of retries and hedged requests per thousand requests.
     pub retry_permille: u16,
-    /// Attempts for one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub attempts: u8,
-    /// Whether an idempotent paying request may be sent to a second backend server when it is late.
+    /// Whether an idempotent paying request may be hedged: sent to a second backend server when it is late.
     pub hedge: bool,
 }
 
--- a/crates/resource/src/team.rs
+++ b/crates/resource/src/team.rs
@@ -11,9 +11,9 @@
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Spec {
-    /// The most that all its tasks together may take, over all failure domains.
+    /// Maximum resources of all the team's tasks together, over all failure domains.
     pub quota: Amount,
-    /// How the quota is split over failure domains. The sum never passes the quota, so that a
-    /// cut-off domain can use its share without asking.
+    /// Shares of the quota per failure domain. Their sum never exceeds the quota, so that a domain
+    /// that is cut off from the others can use its share without coordination.
     pub shares: BTreeMap<String, Amount>,
 }
--- a/crates/resource/tests/document.rs
+++ b/crates/resource/tests/document.rs
@@ -1,4 +1,4 @@
-//! Resource files are read whole or refused with the place and the remedy.
+//! Resource files are accepted as a whole, or rejected with the invalid field and a remedy.
 
 use cowslipchute_resource::Spec;
 use cowslipchute_resource::document;
