--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin address: metrics, health and readiness.
+//! HTTP server for metrics, health and readiness.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,29 +21,29 @@
 use crate::duty;
 use crate::duty::Duty;
 
-/// Whether the process wants work, shared between its duties.
+/// Readiness of the process for work, shared between its event loops.
 #[derive(Clone, Debug, Default)]
 pub struct Readiness {
     ready: Arc<AtomicBool>,
 }
 
 impl Readiness {
-    /// Sets whether the process wants work.
+    /// Sets whether the process is ready for work.
     pub fn set(&self, ready: bool) {
         self.ready.store(ready, Ordering::Release);
     }
 
-    /// Tells whether the process wants work.
+    /// Returns `true` if the process is ready for work.
     pub fn get(&self) -> bool {
         self.ready.load(Ordering::Acquire)
     }
 }
 
-/// Starts the admin duty on an address. `extra` is mounted beside the standard paths.
+/// Starts the event loop that serves metrics, health and readiness on an address, and the routes of `extra`.
 ///
 /// # Errors
 ///
-/// When the address can't be bound.
+/// Fails if the address can't be bound or the thread can't be started.
 pub fn spawn(
     address: SocketAddr,
     registry: Registry,
--- a/crates/daemon/src/clock.rs
+++ b/crates/daemon/src/clock.rs
@@ -1,27 +1,27 @@
-//! The one place where our processes read the monotonic clock.
+//! The monotonic clock. No other module of our processes reads it.
 
 use std::time::Instant;
 
 use cowslipchute_base::id::Time;
 
-/// Monotonic time since the process took its first reading.
+/// Monotonic clock that counts from its own start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// Starts counting now.
+    /// Starts a clock at zero.
     pub fn start() -> Clock {
         Clock { start: Instant::now() }
     }
 
-    /// Reads the time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Time {
         self.start.elapsed()
     }
 
-    /// Turns a time of this clock into the runtime's own type, for sleeping until then.
+    /// Converts a time of this clock to the runtime's type, for timers.
     pub fn at(&self, time: Time) -> tokio::time::Instant {
         tokio::time::Instant::from_std(self.start + time)
     }
--- a/crates/daemon/src/duty.rs
+++ b/crates/daemon/src/duty.rs
@@ -1,39 +1,40 @@
-//! Duty threads: one thread, one current-thread runtime, one job.
+//! Event loops: threads that each run one current-thread runtime with one main future.
 
 use std::future::Future;
 use std::io;
 use std::thread;
 use std::thread::JoinHandle;
 
-/// A running duty. Dropping the handle leaves the duty running; [`Duty::join`] waits for its end.
+/// Handle of a running event loop. Dropping the handle leaves the event loop running;
+/// [`Self::join`] waits for its end.
 #[derive(Debug)]
 pub struct Duty {
     thread: JoinHandle<()>,
 }
 
 impl Duty {
-    /// Waits until the duty has ended by itself, which it does when the rings it reads are closed.
+    /// Waits for the event loop to end, which happens when the rings that it reads are closed.
     ///
     /// # Panics
     ///
-    /// Panics when the duty panicked, so that no process lives on without one of its duties.
+    /// Panics if the event loop panicked, so that no process continues without one of its event loops.
     pub fn join(self) {
         if let Err(panic) = self.thread.join() {
             std::panic::resume_unwind(panic);
         }
     }
 
-    /// Tells whether the duty has ended.
+    /// Returns `true` if the event loop has ended.
     pub fn is_finished(&self) -> bool {
         self.thread.is_finished()
     }
 }
 
-/// Starts a duty. `main` runs on the new thread, so what it makes need not be `Send`.
+/// Starts an event loop. `main` runs on the new thread, so the future that it returns need not be `Send`.
 ///
 /// # Errors
 ///
-/// When the system refuses a thread or the runtime can't be built.
+/// Fails if the operating system refuses a thread or the runtime can't be built.
 pub fn spawn<F, Fut>(name: &str, main: F) -> io::Result<Duty>
 where
     F: FnOnce() -> Fut + Send + 'static,
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,9 +1,9 @@
-//! What every process of ours does around its own job: settings, logs, metrics, health, duty
-//! threads with bounded rings between them, and an orderly stop.
+//! Infrastructure shared by our processes: settings, logs, metrics, health checks, event loops
+//! connected by bounded rings, and graceful shutdown.
 //!
-//! A duty is one thread with one current-thread runtime and one job. Duties share nothing but
-//! [`ring`]s; closing a ring ends the duty that reads it. Nothing here knows what a request or a
-//! task is.
+//! An event loop is one thread with one current-thread runtime. Event loops communicate only through
+//! [`ring`]s; closing a ring ends the event loop that reads it. Nothing here depends on requests or
+//! tasks.
 
 pub mod admin;
 pub mod clock;
--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -1,7 +1,7 @@
-//! Logs: one JSON object a line on standard error, each with the number of its event.
+//! Logs: one JSON object per line on standard error, each with the number of its event.
 //!
-//! The catalogue of numbers is `docs/EVENTS.md`. A full log queue drops lines rather than hold up a
-//! duty, and says how many it dropped.
+//! `docs/EVENTS.md` lists the numbers. A full log queue drops lines instead of blocking an event loop,
+//! and logs the number of dropped lines.
 
 use std::io;
 
@@ -14,10 +14,10 @@
 use slog::SendSyncRefUnwindSafeKV;
 use slog::o;
 
-/// Lines that may wait for standard error.
+/// Maximum number of lines that wait to be written to standard error.
 const QUEUE: usize = 4096;
 
-/// Opens the log of this process; the handle flushes when the last clone is dropped.
+/// Opens the log of this process, which is flushed when the last clone of the handle is dropped.
 pub fn open(process: &'static str, instance: &str, level: slog::Level) -> Logger {
     let json = slog_json::Json::new(io::stderr())
         .add_default_keys()
@@ -29,12 +29,12 @@
     Logger::root(queue, o!("process" => process, "instance" => instance.to_owned()))
 }
 
-/// Opens a log that goes nowhere, for tests.
+/// Opens a log that discards all lines, for tests.
 pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
 
-/// Writes one numbered event with its fields.
+/// Logs a numbered event with its fields.
 pub fn emit<T>(logger: &Logger, event: Event, fields: OwnedKV<T>)
 where
     T: SendSyncRefUnwindSafeKV + KV + 'static,
--- a/crates/daemon/src/ring.rs
+++ b/crates/daemon/src/ring.rs
@@ -1,8 +1,8 @@
-//! Bounded rings between duty threads.
+//! Bounded ring buffers between event loops.
 //!
-//! A ring has one sender and one receiver and never grows: a full ring is told to the sender at
-//! once, who then refuses the work it holds. A [`Bell`] wakes the receiving duty; several rings
-//! that end in one duty share its bell.
+//! A ring has one sender and one receiver and never grows: sending to a full ring fails immediately,
+//! and the sender then refuses the work. A notifier wakes the receiving event loop; several rings
+//! with the same receiving event loop share one notifier.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -11,37 +11,37 @@
 use thiserror::Error;
 use tokio::sync::Notify;
 
-/// Wakes the duty that reads one or more rings.
+/// Wakes the event loop that reads one or more rings.
 #[derive(Clone, Debug, Default)]
 pub struct Bell {
     notify: Arc<Notify>,
 }
 
 impl Bell {
-    /// Wakes the duty, now or when it next waits.
+    /// Wakes the event loop, now or at its next wait.
     pub fn ring(&self) {
         self.notify.notify_one();
     }
 
-    /// Waits until the bell was rung since the last wait.
+    /// Waits for a notification since the last wait.
     pub async fn wait(&self) {
         self.notify.notified().await;
     }
 }
 
-/// The ring took nothing; the value comes back.
+/// Error of a send, which returns the value to the sender.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum SendError<T> {
-    /// The receiver lags by the whole ring.
+    /// The ring holds as many unread values as its capacity.
     #[error("the ring is full")]
     Full(T),
-    /// The receiver is gone.
+    /// The receiver was dropped.
     #[error("the ring is closed")]
     Closed(T),
 }
 
-/// The writing end.
+/// Sending end of a ring.
 #[derive(Debug)]
 pub struct Sender<T> {
     ring: rtrb::Producer<T>,
@@ -49,7 +49,7 @@
     closed: Arc<AtomicBool>,
 }
 
-/// The reading end.
+/// Receiving end of a ring.
 #[derive(Debug)]
 pub struct Receiver<T> {
     ring: rtrb::Consumer<T>,
@@ -57,12 +57,12 @@
     closed: Arc<AtomicBool>,
 }
 
-/// Opens a ring that holds `capacity` values and has a bell of its own.
+/// Opens a ring that holds `capacity` values and has its own notifier.
 pub fn open<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
     open_with(capacity, Bell::default())
 }
 
-/// Opens a ring whose receiver is woken by `bell`.
+/// Opens a ring whose receiver is woken by a shared notifier.
 pub fn open_with<T>(capacity: usize, bell: Bell) -> (Sender<T>, Receiver<T>) {
     let (producer, consumer) = rtrb::RingBuffer::new(capacity);
     let closed = Arc::new(AtomicBool::new(false));
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// When the ring is full or closed; the value comes back.
+    /// Fails if the ring is full or closed, and returns the value.
     pub fn send(&mut self, value: T) -> Result<(), SendError<T>> {
         if self.closed.load(Ordering::Acquire) || self.ring.is_abandoned() {
             return Err(SendError::Closed(value));
@@ -98,21 +98,21 @@
     }
 }
 
-/// What a look into a ring found.
+/// Result of receiving without waiting.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Look<T> {
-    /// The oldest value.
+    /// Oldest value.
     Value(T),
-    /// Nothing now.
+    /// No value at present.
     Empty,
-    /// Nothing, now or ever.
+    /// No value and no sender: no value will follow.
     Closed,
 }
 
 impl<T> Receiver<T> {
-    /// Takes the oldest value if there is one.
+    /// Removes and returns the oldest value, if there is one, without waiting.
     pub fn look(&mut self) -> Look<T> {
-        // The flag is read before the ring, so that a value sent just before closing is found.
+        // Reads the flag before the ring, so that a value sent just before closing is not missed.
         let closed = self.closed.load(Ordering::Acquire);
         match self.ring.pop() {
             Ok(value) => Look::Value(value),
@@ -121,9 +121,9 @@
         }
     }
 
-    /// Waits for the oldest value; nothing when the sender is gone and the ring is empty.
+    /// Waits for the oldest value; returns `None` if the sender was dropped and the ring is empty.
     ///
-    /// Only for a ring with a bell of its own: a shared bell is waited for by the duty itself.
+    /// Only for a ring with its own notifier: an event loop waits for a shared notifier itself.
     pub async fn recv(&mut self) -> Option<T> {
         loop {
             match self.look() {
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,7 +1,7 @@
-//! Settings from flags and environment variables, checked before anything is started.
+//! Settings from flags and environment variables, validated before anything is started.
 //!
-//! A wrong setting ends the process at once with the numbered error 3000 of `docs/RESULTS.md` and
-//! exit code 2, so that an operator and a supervisor can both tell it from a crash.
+//! An invalid setting ends the process immediately with the numbered error 3000 of `docs/RESULTS.md`
+//! and exit code 2, so that an operator and a supervisor can distinguish it from a crash.
 
 use std::net::SocketAddr;
 use std::process;
@@ -16,12 +16,12 @@
 use cowslipchute_base::id;
 use cowslipchute_base::name;
 
-/// Exit code of a process whose settings can't be used.
+/// Exit code of a process with invalid settings.
 pub const EXIT_BAD_SETTING: i32 = 2;
-/// Width of printed help.
+/// Width of the help text in characters.
 const WIDTH: usize = 100;
 
-/// Settings that every daemon has.
+/// Settings that all daemons have.
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct Common {
@@ -36,7 +36,7 @@
     /// Failure domain of this instance
     #[bpaf(long("domain"), env("COWSLIPCHUTE_DOMAIN"), argument::<String>("NAME"), parse(named))]
     pub domain: String,
-    /// Number of this life of the instance, as the platform's list gives it [default: time of start]
+    /// Incarnation of this instance, as in the platform's list [default: time of start]
     #[bpaf(
         long("incarnation"),
         env("COWSLIPCHUTE_INCARNATION"),
@@ -56,7 +56,7 @@
         display_fallback
     )]
     pub stop_within: u64,
-    /// Least level of log lines: debug, info, warning or error
+    /// Minimum level of log lines: debug, info, warning or error
     #[bpaf(
         long("log-level"),
         env("COWSLIPCHUTE_LOG_LEVEL"),
@@ -69,12 +69,12 @@
 }
 
 impl Common {
-    /// Returns the instance's name as the rest of the code holds it.
+    /// Returns the instance's name as an id.
     pub fn instance(&self) -> id::Instance {
         self.instance.as_str().into()
     }
 
-    /// Returns the failure domain as the rest of the code holds it.
+    /// Returns the failure domain as an id.
     pub fn domain(&self) -> id::Domain {
         self.domain.as_str().into()
     }
@@ -85,7 +85,7 @@
     }
 }
 
-/// Milliseconds since the Unix epoch: a later life of an instance gets a higher number.
+/// Returns the Unix time in milliseconds: a later incarnation of an instance gets a higher number.
 fn start_millis() -> Result<u64, &'static str> {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map(|time| time.as_millis() as u64).map_err(|_| "the wall clock is before 1970")
@@ -98,22 +98,22 @@
     }
 }
 
-/// Reads a log level.
+/// Parses a log level.
 ///
 /// # Errors
 ///
-/// When the word names none.
+/// Fails if the word is not the name of a level.
 pub fn level(word: String) -> Result<slog::Level, String> {
     match word.as_str() {
         "debug" => Ok(slog::Level::Debug),
         "info" => Ok(slog::Level::Info),
         "warning" => Ok(slog::Level::Warning),
         "error" => Ok(slog::Level::Error),
-        _ => Err(format!("{word:?} is no level; use debug, info, warning or error")),
+        _ => Err(format!("{word:?} is not a log level; use debug, info, warning or error")),
     }
 }
 
-/// Reads the settings of this process, or ends it with help, the version or a numbered error.
+/// Parses the settings of this process, or ends it with help, the version or a numbered error.
 pub fn parse_or_exit<T>(parser: OptionParser<T>) -> T {
     match parser.run_inner(bpaf::Args::current_args()) {
         Ok(settings) => settings,
@@ -129,13 +129,13 @@
     }
 }
 
-/// Ends the process with a numbered error before it has started anything.
+/// Prints a numbered error and ends the process, before it has started anything.
 pub fn refuse(code: Code, problem: &str) -> ! {
     eprintln!("error {} {}: {problem}", code.number(), code.name());
     process::exit(EXIT_BAD_SETTING);
 }
 
-/// Renders help of a parser, for the settings table of the docs.
+/// Returns the help text of a parser, for the settings table of the docs.
 pub fn help<T>(parser: &OptionParser<T>) -> String {
     match parser.run_inner(&["--help"][..]) {
         Err(ParseFailure::Stdout(text, full)) => {
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -1,4 +1,4 @@
-//! An orderly stop: the first signal asks for it, the second forces it.
+//! Graceful shutdown: the first signal requests it, the second forces an immediate exit.
 
 use std::io;
 use std::sync::mpsc;
@@ -12,44 +12,44 @@
 use crate::duty;
 use crate::duty::Duty;
 
-/// How far a stop has come.
+/// Stage of a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Nobody asked for a stop.
+    /// No stop was requested.
     Running,
-    /// Take nothing new and finish what is in progress before the deadline.
+    /// Accept no new work and finish the work in progress before the deadline.
     Draining,
-    /// End now.
+    /// Exit immediately.
     Forced,
 }
 
-/// Tells duties how far the stop has come.
+/// Receives the stage of the stop in an event loop.
 #[derive(Clone, Debug)]
 pub struct Stop {
     stage: watch::Receiver<Stage>,
 }
 
 impl Stop {
-    /// Returns the stage now.
+    /// Returns the current stage.
     pub fn stage(&self) -> Stage {
         *self.stage.borrow()
     }
 
-    /// Waits until the stop has come at least as far as `stage`.
+    /// Waits until the stop has reached `stage` or a later one.
     pub async fn reached(&mut self, stage: Stage) {
-        // A closed channel means that the process is ending, which is as far as it gets.
+        // A closed channel means that the process is exiting, which is the last stage.
         let _ = self.stage.wait_for(|now| *now >= stage).await;
     }
 }
 
-/// A switch that moves a [`Stop`] on, for tests and for the signal duty.
+/// Advances the stage of a [`Stop`], for the signal event loop and for tests.
 #[derive(Debug)]
 pub struct Switch {
     stage: watch::Sender<Stage>,
 }
 
 impl Switch {
-    /// Moves on to a stage; a stop never moves back.
+    /// Advances to a stage; the stage never goes back.
     pub fn advance(&self, stage: Stage) {
         self.stage.send_if_modified(|now| {
             let later = stage > *now;
@@ -61,36 +61,36 @@
     }
 }
 
-/// Opens a stop that only the returned switch moves on.
+/// Opens a stop that only the returned trigger advances.
 pub fn open() -> (Switch, Stop) {
     let (sender, receiver) = watch::channel(Stage::Running);
     (Switch { stage: sender }, Stop { stage: receiver })
 }
 
-/// Starts the duty that turns SIGTERM and SIGINT into the stages of a stop. The stop is forced by
-/// a second signal, or when `within` has passed since the first.
+/// Starts the event loop that advances a stop on SIGTERM and SIGINT. The stop is forced by a second
+/// signal, or when the time limit has passed since the first.
 ///
-/// When this returns the signals are caught: one that comes right after it is a planned stop and
-/// doesn't end the process as it would have before.
+/// The signal handlers are installed when this returns: a signal that arrives immediately afterwards
+/// begins a planned stop and doesn't kill the process.
 ///
 /// # Errors
 ///
-/// When the system refuses the thread or the handlers.
+/// Fails if the operating system refuses the thread or the handlers.
 pub fn on_signals(within: Duration) -> io::Result<(Stop, Duty)> {
     let (switch, stop) = open();
     let (told, caught) = mpsc::sync_channel(1);
     let duty = duty::spawn("signals", move || async move {
         let handlers = catch();
         let failed = handlers.as_ref().err().map(|error| error.kind());
-        // The other end waits below, and goes only after it has heard.
+        // Can't fail: the receiver below waits for this message.
         let _ = told.send(failed);
         let Ok((mut terminate, mut interrupt)) = handlers else { return };
         either(&mut terminate, &mut interrupt).await;
         switch.advance(Stage::Draining);
-        // A timeout forces the stop just as a second signal does.
+        // A timeout forces the stop in the same way as a second signal.
         let _ = tokio::time::timeout(within, either(&mut terminate, &mut interrupt)).await;
         switch.advance(Stage::Forced);
-        // Keeps the channel open, so that no duty takes its closing for an earlier stage.
+        // Keeps the channel open, so that no event loop mistakes its closing for an earlier stage.
         std::future::pending::<()>().await;
     })?;
     match caught.recv() {
--- a/crates/daemon/tests/ring.rs
+++ b/crates/daemon/tests/ring.rs
@@ -1,11 +1,11 @@
-//! Rings hand values over in order, refuse when full and end their reader when closed.
+//! Rings deliver values in order, refuse them when full and end their reader when closed.
 
 use cowslipchute_daemon::duty;
 use cowslipchute_daemon::ring;
 use cowslipchute_daemon::ring::Look;
 use cowslipchute_daemon::ring::SendError;
 
-/// Values sent across threads in the ordering test; bounded, and far above the ring's capacity.
+/// Number of values sent across threads in the ordering test, far above the ring's capacity.
 const VALUES: u32 = 100_000;
 
 #[test]
@@ -39,12 +39,12 @@
     let reader = duty::spawn("reader", move || async move {
         let mut next = 0;
         while let Some(value) = receiver.recv().await {
-            assert_eq!(value, next, "no value is lost, doubled or overtaken");
+            assert_eq!(value, next, "no value is lost, duplicated or reordered");
             next += 1;
         }
         assert_eq!(next, VALUES);
     })
-    .expect("a thread can be had");
+    .expect("the thread starts");
     let mut value = 0;
     while value < VALUES {
         match sender.send(value) {
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -1,4 +1,4 @@
-//! A stop only moves on.
+//! The stage of a stop only advances.
 
 use cowslipchute_daemon::stop;
 use cowslipchute_daemon::stop::Stage;
