--- a/crates/daemon/src/log.rs
+++ b/crates/daemon/src/log.rs
@@ -15,7 +15,7 @@
 use slog::o;
 
 /// Maximum number of lines that wait to be written to standard error.
-const QUEUE: usize = 4096;
+const QUEUE_LINES: usize = 4096;
 
 /// Opens the log of this process, which is flushed when the last clone of the handle is dropped.
 pub fn open(process: &'static str, instance: &str, level: slog::Level) -> Logger {
@@ -25,7 +25,7 @@
         .build()
         .filter_level(level)
         .ignore_res();
-    let queue = slog_async::Async::new(json).chan_size(QUEUE).build().ignore_res();
+    let queue = slog_async::Async::new(json).chan_size(QUEUE_LINES).build().ignore_res();
     Logger::root(queue, o!("process" => process, "instance" => instance.to_owned()))
 }
 
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -19,7 +19,7 @@
 /// Exit code of a process with invalid settings.
 pub const EXIT_BAD_SETTING: i32 = 2;
 /// Width of the help text in characters.
-const WIDTH: usize = 100;
+const HELP_WIDTH: usize = 100;
 
 /// Settings that all daemons have.
 #[derive(Clone, Debug)]
@@ -30,18 +30,18 @@
         long("instance"),
         env("COWSLIPCHUTE_INSTANCE"),
         argument::<String>("NAME"),
-        parse(named)
+        parse(parse_name)
     )]
     pub instance: String,
     /// Failure domain of this instance
-    #[bpaf(long("domain"), env("COWSLIPCHUTE_DOMAIN"), argument::<String>("NAME"), parse(named))]
+    #[bpaf(long("domain"), env("COWSLIPCHUTE_DOMAIN"), argument::<String>("NAME"), parse(parse_name))]
     pub domain: String,
     /// Incarnation of this instance, as in the platform's list [default: time of start]
     #[bpaf(
         long("incarnation"),
         env("COWSLIPCHUTE_INCARNATION"),
         argument("NUMBER"),
-        fallback_with(start_millis)
+        fallback_with(unix_millis)
     )]
     pub incarnation: u64,
     /// Address for metrics, health and readiness
@@ -86,12 +86,12 @@
 }
 
 /// Returns the Unix time in milliseconds: a later incarnation of an instance gets a higher number.
-fn start_millis() -> Result<u64, &'static str> {
+fn unix_millis() -> Result<u64, &'static str> {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map(|time| time.as_millis() as u64).map_err(|_| "the wall clock is before 1970")
 }
 
-fn named(name: String) -> Result<String, String> {
+fn parse_name(name: String) -> Result<String, String> {
     match name::check(&name) {
         Ok(()) => Ok(name),
         Err(error) => Err(format!("{error}; {}", name::REMEDY)),
@@ -141,7 +141,7 @@
         Err(ParseFailure::Stdout(text, full)) => {
             let rendered = text.monochrome(full);
             debug_assert!(
-                rendered.lines().all(|line| line.len() < 2 * WIDTH),
+                rendered.lines().all(|line| line.len() < 2 * HELP_WIDTH),
                 "help fits a screen"
             );
             rendered
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -78,33 +78,33 @@
 /// Fails if the operating system refuses the thread or the handlers.
 pub fn on_signals(within: Duration) -> io::Result<(Stop, Duty)> {
     let (switch, stop) = open();
-    let (told, caught) = mpsc::sync_channel(1);
+    let (sender, receiver) = mpsc::sync_channel(1);
     let duty = duty::spawn("signals", move || async move {
-        let handlers = catch();
-        let failed = handlers.as_ref().err().map(|error| error.kind());
+        let handlers = install_handlers();
+        let error = handlers.as_ref().err().map(|error| error.kind());
         // Can't fail: the receiver below waits for this message.
-        let _ = told.send(failed);
+        let _ = sender.send(error);
         let Ok((mut terminate, mut interrupt)) = handlers else { return };
-        either(&mut terminate, &mut interrupt).await;
+        wait_for_either(&mut terminate, &mut interrupt).await;
         switch.advance(Stage::Draining);
         // A timeout forces the stop in the same way as a second signal.
-        let _ = tokio::time::timeout(within, either(&mut terminate, &mut interrupt)).await;
+        let _ = tokio::time::timeout(within, wait_for_either(&mut terminate, &mut interrupt)).await;
         switch.advance(Stage::Forced);
         // Keeps the channel open, so that no event loop mistakes its closing for an earlier stage.
         std::future::pending::<()>().await;
     })?;
-    match caught.recv() {
+    match receiver.recv() {
         Ok(None) => Ok((stop, duty)),
         Ok(Some(kind)) => Err(kind.into()),
         Err(_) => Err(io::ErrorKind::Other.into()),
     }
 }
 
-fn catch() -> io::Result<(Signal, Signal)> {
+fn install_handlers() -> io::Result<(Signal, Signal)> {
     Ok((signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?))
 }
 
-async fn either(a: &mut Signal, b: &mut Signal) {
+async fn wait_for_either(a: &mut Signal, b: &mut Signal) {
     tokio::select! {
         _ = a.recv() => {}
         _ = b.recv() => {}
