--- a/crates/base/src/size.rs
+++ b/crates/base/src/size.rs
@@ -45,11 +45,11 @@
     fn from_str(text: &str) -> Result<Size, Malformed> {
         let mut words = text.split_whitespace();
         let queue = words.next().ok_or(Malformed)?.to_owned();
-        let tasks = field(words.next(), "tasks")?;
-        let work = field(words.next(), "work")?;
-        let widest_milli = field(words.next(), "widest")?;
-        let chain = Duration::from_millis(field(words.next(), "chain")?);
-        let objective = Duration::from_millis(field(words.next(), "objective")?);
+        let tasks = parse_field(words.next(), "tasks")?;
+        let work = parse_field(words.next(), "work")?;
+        let widest_milli = parse_field(words.next(), "widest")?;
+        let chain = Duration::from_millis(parse_field(words.next(), "chain")?);
+        let objective = Duration::from_millis(parse_field(words.next(), "objective")?);
         Ok(Size { queue, tasks, work, widest_milli, chain, objective })
     }
 }
@@ -60,7 +60,7 @@
 #[error("invalid job size")]
 pub struct Malformed;
 
-fn field<T: FromStr>(word: Option<&str>, name: &str) -> Result<T, Malformed> {
+fn parse_field<T: FromStr>(word: Option<&str>, name: &str) -> Result<T, Malformed> {
     let (key, value) = word.and_then(|word| word.split_once('=')).ok_or(Malformed)?;
     if key != name {
         return Err(Malformed);
--- a/crates/base/tests/proofs.rs
+++ b/crates/base/tests/proofs.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-fn root() -> PathBuf {
+fn project_root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
@@ -15,13 +15,15 @@
 
 #[test]
 fn every_reference_is_to_a_scenario_or_test_that_exists() {
-    let text = fs::read_to_string(root().join("docs/PROOFS.md")).expect("the page can be read");
+    let text =
+        fs::read_to_string(project_root().join("docs/PROOFS.md")).expect("the page can be read");
     let references = references(&text);
     assert!(references.len() > 40, "the page refers to its tests");
     let mut missing = Vec::new();
     for reference in references {
         let (path, name) = reference.split_once('#').unwrap_or((reference, ""));
-        let found = fs::read_to_string(root().join(path)).is_ok_and(|text| text.contains(name));
+        let found =
+            fs::read_to_string(project_root().join(path)).is_ok_and(|text| text.contains(name));
         if !found {
             missing.push(reference);
         }
--- a/crates/ports/src/kv.rs
+++ b/crates/ports/src/kv.rs
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// Returns any [`Error`] except `Unknown`, since a read changes nothing.
+    /// Returns any [`enum@Error`] except `Unknown`, since a read changes nothing.
     fn read(&self, prefix: &str) -> impl Future<Output = Result<Snapshot, Error>> + Send;
 
     /// Commits a transaction. The adapter never sends it twice.
--- a/crates/resource/src/check.rs
+++ b/crates/resource/src/check.rs
@@ -55,17 +55,17 @@
     name::check(name).map_err(|error| Error::new(field, error.to_string(), name::REMEDY))
 }
 
-fn within(field: &str, value: u64, low: u64, high: u64) -> Result<(), Error> {
+fn check_range(field: &str, value: u64, low: u64, high: u64) -> Result<(), Error> {
     if (low..=high).contains(&value) {
         return Ok(());
     }
     Err(Error::new(field, format!("is {value}"), format!("use {low} to {high}")))
 }
 
-fn service(own: &str, spec: &crate::service::Spec) -> Result<(), Error> {
+fn service(service_name: &str, spec: &crate::service::Spec) -> Result<(), Error> {
     if let Some(other) = &spec.backends_of {
         name("service.backends_of", other)?;
-        if other == own {
+        if other == service_name {
             return Err(Error::new(
                 "service.backends_of",
                 "names the service itself",
@@ -73,8 +73,8 @@
             ));
         }
     }
-    within("service.deadline", spec.deadline.as_millis() as u64, 1, 600_000)?;
-    within("service.deadline_max", spec.deadline_max.as_millis() as u64, 1, 600_000)?;
+    check_range("service.deadline", spec.deadline.as_millis() as u64, 1, 600_000)?;
+    check_range("service.deadline_max", spec.deadline_max.as_millis() as u64, 1, 600_000)?;
     if spec.deadline > spec.deadline_max {
         return Err(Error::new(
             "service.deadline",
@@ -82,20 +82,20 @@
             "lower it or raise service.deadline_max",
         ));
     }
-    within("service.queue", spec.queue.into(), 0, 100_000)?;
-    within("service.queue_wait", spec.queue_wait.as_millis() as u64, 0, 60_000)?;
-    within("service.reserve_permille", spec.reserve_permille.into(), 0, 1000)?;
-    within("service.retry_permille", spec.retry_permille.into(), 0, 1000)?;
-    within("service.attempts", spec.attempts.into(), 1, 10)
+    check_range("service.queue", spec.queue.into(), 0, 100_000)?;
+    check_range("service.queue_wait", spec.queue_wait.as_millis() as u64, 0, 60_000)?;
+    check_range("service.reserve_permille", spec.reserve_permille.into(), 0, 1000)?;
+    check_range("service.retry_permille", spec.retry_permille.into(), 0, 1000)?;
+    check_range("service.attempts", spec.attempts.into(), 1, 10)
 }
 
 fn job(spec: &crate::job::Spec) -> Result<(), Error> {
     name("job.team", &spec.team)?;
-    within("job.tasks", spec.tasks.into(), 1, 100_000)?;
-    within("job.amount.cpu_milli", spec.amount.cpu_milli.into(), 1, 4_000_000)?;
-    within("job.amount.memory_mib", spec.amount.memory_mib.into(), 1, 64_000_000)?;
-    within("job.duration", spec.duration.as_millis() as u64, 0, 30 * 86_400_000)?;
-    within("job.failures_max", spec.failures_max.into(), 0, 1000)?;
+    check_range("job.tasks", spec.tasks.into(), 1, 100_000)?;
+    check_range("job.amount.cpu_milli", spec.amount.cpu_milli.into(), 1, 4_000_000)?;
+    check_range("job.amount.memory_mib", spec.amount.memory_mib.into(), 1, 64_000_000)?;
+    check_range("job.duration", spec.duration.as_millis() as u64, 0, 30 * 86_400_000)?;
+    check_range("job.failures_max", spec.failures_max.into(), 0, 1000)?;
     if !spec.domain.is_empty() {
         name("job.domain", &spec.domain)?;
     }
@@ -132,11 +132,11 @@
             return Err(Error::new(field, format!("is {weight}"), "use 0 to 100"));
         }
     }
-    within("policy.slowdown_permille", spec.slowdown_permille.into(), 1001, 10_000)?;
-    within("policy.eviction_permille", spec.eviction_permille.into(), 0, 1000)?;
-    within("policy.urgent_reserve_permille", spec.urgent_reserve_permille.into(), 0, 500)?;
-    within("policy.lease", spec.lease.as_millis() as u64, 1000, 300_000)?;
-    within("policy.heartbeat", spec.heartbeat.as_millis() as u64, 100, 60_000)?;
+    check_range("policy.slowdown_permille", spec.slowdown_permille.into(), 1001, 10_000)?;
+    check_range("policy.eviction_permille", spec.eviction_permille.into(), 0, 1000)?;
+    check_range("policy.urgent_reserve_permille", spec.urgent_reserve_permille.into(), 0, 500)?;
+    check_range("policy.lease", spec.lease.as_millis() as u64, 1000, 300_000)?;
+    check_range("policy.heartbeat", spec.heartbeat.as_millis() as u64, 100, 60_000)?;
     if spec.heartbeat * 3 > spec.lease {
         return Err(Error::new(
             "policy.heartbeat",
