--- a/crates/claim/src/calls.rs
+++ b/crates/claim/src/calls.rs
@@ -41,7 +41,7 @@
     }
 
     pub(crate) fn begin_proposal(&mut self) {
-        debug_assert!(!self.is_proposing, "one proposal at a time");
+        debug_assert!(!self.is_proposing, "at most one proposal is in flight");
         self.is_proposing = true;
     }
 
--- a/crates/claim/src/change.rs
+++ b/crates/claim/src/change.rs
@@ -11,8 +11,8 @@
 use crate::transfer::Stage;
 use crate::transfer::Transfer;
 
-/// Delay before slots are offered again to a member that did not accept them, as a multiple of
-/// `handover_timeout`. No key of an offered slot can be granted, so this bounds how often that
+/// Delay before a transfer that was not accepted is tried again, as a multiple of
+/// `handover_timeout`. No key of a slot in transfer can be granted, so this bounds how often that
 /// happens.
 const TRANSFER_RETRY_FACTOR: u32 = 10;
 
@@ -73,11 +73,11 @@
         if now < self.transfer_after && !self.is_draining {
             return;
         }
-        let until = now + self.settings.handover_timeout;
+        let deadline = now + self.settings.handover_timeout;
         let is_owned = |slot| self.slots.ownership(slot).is_some();
         let number = self.last_transfer + 1;
         let transfer =
-            Transfer::open(roster, is_owned, &self.member, self.is_draining, number, until);
+            Transfer::open(roster, is_owned, &self.member, self.is_draining, number, deadline);
         let Some(mut transfer) = transfer else { return };
         self.last_transfer = number;
         for Outgoing { to, handover } in self.slots.handovers(now, &mut transfer) {
@@ -100,8 +100,11 @@
             return None;
         }
         transfer.stage = Stage::Proposing;
-        let roster = self.roster.as_ref().expect("an offer is made from a roster");
-        debug_assert_eq!(roster.version, transfer.id.base_version, "a newer roster ends the offer");
+        let roster = self.roster.as_ref().expect("a transfer is based on a roster");
+        debug_assert_eq!(
+            roster.version, transfer.id.base_version,
+            "a newer roster ends the transfer"
+        );
         let leaver = transfer.is_leaving.then_some(&self.member);
         let next = roster.released(&transfer.moves, leaver);
         self.propose(next, actions);
--- a/crates/claim/src/handover.rs
+++ b/crates/claim/src/handover.rs
@@ -84,7 +84,7 @@
 impl Handover {
     /// Encodes the handover for a message between peers.
     pub fn to_bytes(&self) -> Vec<u8> {
-        postcard::to_stdvec(self).expect("a handover always has a postcard form")
+        postcard::to_stdvec(self).expect("a handover can always be encoded")
     }
 
     /// Decodes the output of [`Handover::to_bytes`]. Returns `None` if the bytes are invalid.
--- a/crates/claim/src/owned.rs
+++ b/crates/claim/src/owned.rs
@@ -116,7 +116,7 @@
     }
 
     fn slot_state(&self, now: Time, slot: Slot) -> SlotState {
-        let ownership = self.ownership(slot).expect("only slots that are held are offered");
+        let ownership = self.ownership(slot).expect("only owned slots are transferred");
         let grants = self.table.export(now, slot, MAX_SLOT_ANSWER_BYTES);
         SlotState { slot, in_doubt_for: ownership.in_doubt_until.saturating_sub(now), grants }
     }
@@ -137,19 +137,19 @@
         member: &Member,
     ) -> bool {
         let assignment = roster.assignment(slot);
-        let is_mine = roster.owner_at(slot).is_same(member);
+        let is_owned = roster.owner_at(slot).is_same(member);
         let previous = self.ownership(slot);
-        if is_mine && previous.is_some_and(|previous| previous.since == assignment.since) {
+        if is_owned && previous.is_some_and(|previous| previous.since == assignment.since) {
             return false;
         }
         self.table.clear(slot);
         self.ownerships[usize::from(slot)] = None;
-        if is_mine {
+        if is_owned {
             let in_doubt_until = now + self.start_owning(now, slot, assignment);
             self.ownerships[usize::from(slot)] =
                 Some(Ownership { since: assignment.since, in_doubt_until });
         }
-        is_mine || previous.is_some()
+        is_owned || previous.is_some()
     }
 
     /// Starts owning a slot and returns how long its unknown keys are in doubt. The previous owner,
--- a/crates/claim/src/owner.rs
+++ b/crates/claim/src/owner.rs
@@ -155,8 +155,8 @@
     /// stall.
     pub fn next_due(&self) -> Option<Time> {
         let step = self.last_step? + self.settings.lease / STEPS_PER_LEASE;
-        let current = self.transfer.as_ref().map_or(Time::MAX, Transfer::next_due);
-        Some(step.min(current))
+        let transfer = self.transfer.as_ref().map_or(Time::MAX, Transfer::next_due);
+        Some(step.min(transfer))
     }
 
     /// Returns the roster in force here, by which the owner of a key is found.
@@ -191,7 +191,7 @@
     /// considered ended, so nothing is granted until a read begun afterwards proves what it owns.
     fn check_stall(&mut self, now: Time) {
         let last = self.last_step.replace(now).unwrap_or(now);
-        debug_assert!(now >= last, "time never goes back");
+        debug_assert!(now >= last, "time must not decrease");
         if now - last > self.settings.lease / 2 {
             self.required_read = Some(self.calls.request_fresh_read(now));
         }
@@ -289,7 +289,7 @@
         roster: Arc<Roster>,
         actions: &mut Vec<Action>,
     ) {
-        let is_newer = self.roster.as_ref().is_none_or(|held| roster.version > held.version);
+        let is_newer = self.roster.as_ref().is_none_or(|known| roster.version > known.version);
         if !is_newer || roster.check().is_err() {
             return;
         }
--- a/crates/claim/src/roster.rs
+++ b/crates/claim/src/roster.rs
@@ -199,7 +199,7 @@
         let mut next = self.clone();
         next.version += 1;
         for moved in moves {
-            let owner = next.index_of(&moved.to).expect("slots are moved to members");
+            let owner = next.index_of(&moved.to).expect("slots move only to members");
             let assignment =
                 Assignment { owner, since: next.version, origin: Origin::Handed(moved.number) };
             next.assignments[usize::from(moved.slot)] = assignment;
--- a/crates/claim/src/table.rs
+++ b/crates/claim/src/table.rs
@@ -89,7 +89,10 @@
 
     /// Records a grant. The table must have capacity.
     pub(crate) fn grant(&mut self, now: Time, key: Key, claimant: Claimant) {
-        debug_assert!(self.has_capacity() && self.find(&key).is_none(), "a key is granted once");
+        debug_assert!(
+            self.has_capacity() && self.find(&key).is_none(),
+            "a key is granted only once and within the capacity"
+        );
         self.record(now, key, claimant, State::Running);
     }
 
@@ -197,7 +200,7 @@
         }
         self.expiries.insert(expiry);
         let previous = self.slots[usize::from(key.slot())].insert(key, record);
-        debug_assert!(previous.is_none(), "a key is removed before it is put again");
+        debug_assert!(previous.is_none(), "a key is removed before it is inserted again");
         self.len += 1;
     }
 
--- a/crates/claim/src/transfer.rs
+++ b/crates/claim/src/transfer.rs
@@ -37,7 +37,7 @@
     pub stage: Stage,
     /// The slots of each message that is not acknowledged yet, by message number.
     pending: BTreeMap<u32, Vec<Slot>>,
-    until: Time,
+    deadline: Time,
 }
 
 impl Transfer {
@@ -51,7 +51,7 @@
         member: &Member,
         is_leaving: bool,
         number: u64,
-        until: Time,
+        deadline: Time,
     ) -> Option<Transfer> {
         let id = TransferId { base_version: roster.version, number };
         let leaver = is_leaving.then_some(member);
@@ -67,7 +67,7 @@
             return None;
         }
         let (pending, stage) = (BTreeMap::new(), Stage::Sending);
-        Some(Transfer { id, moves, is_leaving, stage, pending, until })
+        Some(Transfer { id, moves, is_leaving, stage, pending, deadline })
     }
 
     pub(crate) fn contains(&self, slot: Slot) -> bool {
@@ -95,7 +95,7 @@
     /// Returns `true` if no acknowledgement is pending. After the timeout, pending ones count as
     /// failed.
     pub(crate) fn is_complete(&mut self, now: Time) -> bool {
-        if now >= self.until {
+        if now >= self.deadline {
             for slots in std::mem::take(&mut self.pending).into_values() {
                 self.withdraw(&slots);
             }
@@ -106,13 +106,13 @@
     /// Returns the time at which waiting for acknowledgements ends.
     pub(crate) fn next_due(&self) -> Time {
         match self.stage {
-            Stage::Sending => self.until,
+            Stage::Sending => self.deadline,
             Stage::Proposing => Time::MAX,
         }
     }
 
-    /// Keeps slots whose state did not arrive, unless the process is leaving. In that case the keys
-    /// are in doubt for their next owner, as if this process had crashed.
+    /// Withdraws slots whose state did not arrive from the transfer, unless the process is leaving:
+    /// then their keys are in doubt for the next owner, as if this process had crashed.
     fn withdraw(&mut self, slots: &[Slot]) {
         if !self.is_leaving {
             self.moves.retain(|moved| !slots.contains(&moved.slot));
--- a/crates/claim/tests/interleavings.rs
+++ b/crates/claim/tests/interleavings.rs
@@ -26,7 +26,7 @@
 const BURST: u8 = 8;
 const RETENTION: Duration = Duration::from_secs(60);
 /// Ticks after the faults, enough for all keys to be out of doubt after the last change.
-const HEALED: u64 = 80;
+const RECOVERY_TICKS: u64 = 80;
 
 #[derive(Clone, Debug)]
 enum Op {
@@ -79,10 +79,10 @@
 
 fn apply(world: &mut World, op: &Op) {
     match *op {
-        Op::Deliver(place) if place < world.wire.len() => world.deliver(place),
-        Op::Flush(messages) => flush(world, messages),
-        Op::Lose(place) => lose(world, place),
-        Op::Claim(entry, first) if runs(world, entry) => {
+        Op::Deliver(index) if index < world.wire.len() => world.deliver(index),
+        Op::Flush(messages) => deliver_in_order(world, messages),
+        Op::Lose(index) => lose(world, index),
+        Op::Claim(entry, first) if is_running(world, entry) => {
             for number in first..first + BURST {
                 world.claim(ENTRIES[entry], &key(number % KEYS));
             }
@@ -94,28 +94,28 @@
             world.start(ENTRIES[entry], "a", new || !world.is_listed(ENTRIES[entry]));
         }
         // The platform removes an instance that has ended or that it considers ended.
-        Op::Unlist(entry) if !runs(world, entry) => world.unlist(ENTRIES[entry]),
-        Op::Freeze(entry) if runs(world, entry) => world.freeze(ENTRIES[entry]),
+        Op::Unlist(entry) if !is_running(world, entry) => world.unlist(ENTRIES[entry]),
+        Op::Freeze(entry) if is_running(world, entry) => world.freeze(ENTRIES[entry]),
         Op::Thaw(entry) if world.nodes.contains_key(ENTRIES[entry]) => thaw(world, entry),
-        Op::Drain(entry) if runs(world, entry) => world.step(ENTRIES[entry], Event::Drain),
+        Op::Drain(entry) if is_running(world, entry) => world.step(ENTRIES[entry], Event::Drain),
         Op::Cut(entry) => {
-            world.cut.insert(ENTRIES[entry].to_owned());
+            world.cut_peers.insert(ENTRIES[entry].to_owned());
         }
         Op::Heal(entry) => {
-            world.cut.remove(ENTRIES[entry]);
+            world.cut_peers.remove(ENTRIES[entry]);
         }
         Op::CutPlatform(entry) => {
             world.cut_platform.insert(ENTRIES[entry].to_owned());
         }
         Op::HealPlatform(entry) => {
             world.cut_platform.remove(ENTRIES[entry]);
-            world.show_list(ENTRIES[entry]);
+            world.send_list(ENTRIES[entry]);
         }
         _ => {}
     }
 }
 
-fn runs(world: &World, entry: usize) -> bool {
+fn is_running(world: &World, entry: usize) -> bool {
     world.nodes.get(ENTRIES[entry]).is_some_and(|node| !node.frozen)
 }
 
@@ -124,23 +124,23 @@
     world.nodes.get(ENTRIES[entry]).is_none_or(|node| node.owner.is_drained())
 }
 
-fn flush(world: &mut World, messages: usize) {
+fn deliver_in_order(world: &mut World, messages: usize) {
     for _ in 0..messages.min(world.wire.len()) {
         world.deliver(0);
     }
 }
 
-fn lose(world: &mut World, place: usize) {
-    let Some(message) = world.wire.remove(place) else { return };
+fn lose(world: &mut World, index: usize) {
+    let Some(message) = world.wire.remove(index) else { return };
     match message {
         // A proposal that reached the store may take effect however late.
         Message::LateCommit { .. } => world.wire.push_back(message),
-        message => world.lose(message),
+        message => world.drop_message(message),
     }
 }
 
 fn settle(world: &mut World, grant: usize, outcome: u8) {
-    let Some((claimant, key)) = world.granted.iter().nth(grant) else { return };
+    let Some((claimant, key)) = world.open_grants.iter().nth(grant) else { return };
     let (claimant, key) = (claimant.clone(), key.clone());
     // A stalled entry process sends nothing.
     if world.nodes.get(&*claimant.instance).is_none_or(|node| node.frozen) {
@@ -151,7 +151,7 @@
         2 => Settlement::Unknown,
         _ => Settlement::NotRun,
     };
-    world.granted.remove(&claimant);
+    world.open_grants.remove(&claimant);
     world.settle(&claimant, &key, settlement);
 }
 
@@ -159,8 +159,8 @@
 /// half a lease, so that it detects the stall.
 fn thaw(world: &mut World, entry: usize) {
     let node = &world.nodes[ENTRIES[entry]];
-    let slept = world.now - node.froze_at;
-    if node.frozen && (world.is_listed(ENTRIES[entry]) || slept > LEASE / 2) {
+    let stalled_for = world.now - node.froze_at;
+    if node.frozen && (world.is_listed(ENTRIES[entry]) || stalled_for > LEASE / 2) {
         world.thaw(ENTRIES[entry]);
     }
 }
@@ -179,13 +179,13 @@
 
 /// Ends all faults and runs until no key is in doubt.
 fn heal(world: &mut World) {
-    world.cut.clear();
+    world.cut_peers.clear();
     world.cut_platform.clear();
     for entry in ENTRIES {
         // Replaces processes that are draining or were considered ended.
         world.start(entry, "a", true);
     }
-    for _ in 0..HEALED {
+    for _ in 0..RECOVERY_TICKS {
         world.tick();
         world.settle_down();
     }
--- a/crates/claim/tests/scenarios.rs
+++ b/crates/claim/tests/scenarios.rs
@@ -19,7 +19,7 @@
 
 const RETENTION: Duration = Duration::from_secs(60);
 /// Maximum number of keys tried to find a matching one.
-const MANY: u32 = 100_000;
+const MAX_KEYS_TRIED: u32 = 100_000;
 
 /// A world with named keys.
 struct Scenario {
@@ -28,7 +28,7 @@
     /// The claimant that last settled a key through an entry process, for settling it again.
     settled: BTreeMap<(String, Key), Claimant>,
     /// Whether messages are delivered only by explicit steps.
-    holds: bool,
+    is_holding: bool,
 }
 
 #[test]
@@ -45,7 +45,7 @@
             world: World::open(settings),
             keys: BTreeMap::new(),
             settled: BTreeMap::new(),
-            holds: false,
+            is_holding: false,
         }
     }
 
@@ -53,7 +53,7 @@
         for step in steps.lines() {
             let words: Vec<&str> = step.split_whitespace().collect();
             self.step(&words);
-            if !self.holds {
+            if !self.is_holding {
                 self.world.settle_down();
             }
         }
@@ -71,32 +71,32 @@
             ["thaw", name] => world.thaw(name),
             ["drain", name] => world.step(name, Event::Drain),
             ["cut", name] => {
-                world.cut.insert(name.to_owned());
+                world.cut_peers.insert(name.to_owned());
             }
             ["heal", name] => {
-                world.cut.remove(name);
+                world.cut_peers.remove(name);
             }
             ["cut", name, "from", "platform"] => {
                 world.cut_platform.insert(name.to_owned());
             }
             ["heal", name, "from", "platform"] => {
                 world.cut_platform.remove(name);
-                world.show_list(name);
+                world.send_list(name);
             }
-            ["pass", "roster", "to", name] => world.pass_roster(name, None),
+            ["pass", "roster", "to", name] => world.send_roster(name, None),
             ["pass", "roster", version, "to", name] => {
-                world.pass_roster(name, Some(version.parse().expect("a version")));
+                world.send_roster(name, Some(version.parse().expect("a version")));
             }
             ["deliver", kind] => self.deliver(kind, ""),
-            ["deliver", kind, whose] => self.deliver(kind, whose),
-            ["lose", kind, whose] => self.lose(kind, whose),
+            ["deliver", kind, node] => self.deliver(kind, node),
+            ["lose", kind, node] => self.lose(kind, node),
             ["relist", name] => world.relist(name),
             ["store", state] => {
                 world.store.down = state == "down";
                 world.store.lossy = state == "lossy";
             }
-            ["hold"] => self.holds = true,
-            ["release"] => self.holds = false,
+            ["hold"] => self.is_holding = true,
+            ["release"] => self.is_holding = false,
             ["advance", seconds] => self.advance(seconds.parse().expect("seconds")),
             ["room", claims] => world.settings.max_claims = claims.parse().expect("a number"),
             ["key", key, "of", owner] => self.name_key(key, owner, None),
@@ -118,7 +118,7 @@
     fn advance(&mut self, seconds: u64) {
         for _ in 0..seconds {
             self.world.tick();
-            if !self.holds {
+            if !self.is_holding {
                 self.world.settle_down();
             }
         }
@@ -137,31 +137,31 @@
             });
             is_due && *roster.owner_at(key.slot()).instance == *owner
         };
-        let mut keys = (0..MANY)
+        let mut keys = (0..MAX_KEYS_TRIED)
             .map(|number| Key { service: "berths".into(), key: format!("{name}-{number}").into() });
         let key = keys.find(suits).unwrap_or_else(|| panic!("{owner} owns no such key"));
         self.keys.insert(name.to_owned(), key);
     }
 
     /// Delivers the oldest message of a kind that a node receives or has sent to the store.
-    fn deliver(&mut self, kind: &str, whose: &str) {
-        let place = self.place(kind, whose);
-        self.world.deliver(place);
+    fn deliver(&mut self, kind: &str, node: &str) {
+        let index = self.find_message(kind, node);
+        self.world.deliver(index);
     }
 
     /// Drops the oldest such message.
-    fn lose(&mut self, kind: &str, whose: &str) {
-        let place = self.place(kind, whose);
-        let message = self.world.wire.remove(place).expect("there is one");
-        self.world.lose(message);
+    fn lose(&mut self, kind: &str, node: &str) {
+        let index = self.find_message(kind, node);
+        let message = self.world.wire.remove(index).expect("there is one");
+        self.world.drop_message(message);
     }
 
-    fn place(&self, kind: &str, whose: &str) -> usize {
+    fn find_message(&self, kind: &str, node: &str) -> usize {
         let wire = &self.world.wire;
-        let place = wire.iter().position(|sent| sent.kind() == kind && sent.whose() == whose);
-        place.unwrap_or_else(|| {
-            let sent: Vec<_> = wire.iter().map(|sent| (sent.kind(), sent.whose())).collect();
-            panic!("no {kind} of {whose} is on the wire: {sent:?}")
+        let index = wire.iter().position(|sent| sent.kind() == kind && sent.node() == node);
+        index.unwrap_or_else(|| {
+            let sent: Vec<_> = wire.iter().map(|sent| (sent.kind(), sent.node())).collect();
+            panic!("no {kind} of {node} is on the wire: {sent:?}")
         })
     }
 
@@ -177,16 +177,16 @@
             _ => panic!("no such outcome: {outcome:?}"),
         };
         let key = &self.keys[key];
-        let held = self
+        let granted = self
             .world
-            .granted
+            .open_grants
             .iter()
             .find(|(claimant, granted)| *claimant.instance == *entry && *granted == key);
-        let claimant = match held {
+        let claimant = match granted {
             Some((claimant, _)) => claimant.clone(),
             None => self.settled[&(entry.to_owned(), key.clone())].clone(),
         };
-        self.world.granted.remove(&claimant);
+        self.world.open_grants.remove(&claimant);
         self.settled.insert((entry.to_owned(), key.clone()), claimant.clone());
         self.world.settle(&claimant, key, settlement);
     }
--- a/crates/claim/tests/world/message.rs
+++ b/crates/claim/tests/world/message.rs
@@ -29,12 +29,12 @@
         roster: Roster,
     },
     /// An event for a node, from another node or from the platform.
-    Tell {
+    Event {
         from: String,
         to: String,
         event: Event,
     },
-    Adopt {
+    HandOver {
         from: String,
         to: String,
         handover: Handover,
@@ -61,13 +61,13 @@
         verdict: Claimed,
         retry: Option<Duration>,
     },
-    Taken {
+    SettlementReply {
         from: String,
         to: String,
         claimant: Claimant,
         key: Key,
         settlement: Settlement,
-        taken: bool,
+        accepted: bool,
     },
 }
 
@@ -78,38 +78,38 @@
             Message::Read { .. } => "read",
             Message::Commit { .. } => "proposal",
             Message::LateCommit { .. } => "late-proposal",
-            Message::Tell { event, .. } => match event {
+            Message::Event { event, .. } => match event {
                 Event::RosterReceived { .. } => "roster",
                 Event::RosterRead { .. } => "read-answer",
                 Event::Listed { .. } => "list",
                 Event::HandedOver { .. } => "handover-answer",
                 _ => "store-answer",
             },
-            Message::Adopt { .. } => "handover",
+            Message::HandOver { .. } => "handover",
             Message::Claim { .. } => "claim",
             Message::Settle { .. } => "settlement",
             Message::Verdict { .. } => "verdict",
-            Message::Taken { .. } => "settlement-answer",
+            Message::SettlementReply { .. } => "settlement-answer",
         }
     }
 
     /// Returns the receiver, or the sender of a message to the store.
-    pub fn whose(&self) -> &str {
+    pub fn node(&self) -> &str {
         match self {
             Message::Read { from, .. } | Message::Commit { from, .. } => from,
-            other => other.ends().map_or("", |(_, to)| to),
+            other => other.endpoints().map_or("", |(_, to)| to),
         }
     }
 
-    pub fn ends(&self) -> Option<(&str, &str)> {
+    pub fn endpoints(&self) -> Option<(&str, &str)> {
         match self {
             Message::Read { .. } | Message::Commit { .. } | Message::LateCommit { .. } => None,
-            Message::Tell { from, to, .. }
-            | Message::Adopt { from, to, .. }
+            Message::Event { from, to, .. }
+            | Message::HandOver { from, to, .. }
             | Message::Claim { from, to, .. }
             | Message::Settle { from, to, .. }
             | Message::Verdict { from, to, .. }
-            | Message::Taken { from, to, .. } => Some((from, to)),
+            | Message::SettlementReply { from, to, .. } => Some((from, to)),
         }
     }
 }
--- a/crates/claim/tests/world/mod.rs
+++ b/crates/claim/tests/world/mod.rs
@@ -38,7 +38,7 @@
     pub frozen: bool,
     pub froze_at: Duration,
     /// Requests up to this number belong to an earlier process of the instance.
-    born: u64,
+    requests_before: u64,
     inbox: VecDeque<Message>,
 }
 
@@ -54,17 +54,17 @@
     pub settings: Settings,
     pub nodes: BTreeMap<String, Node>,
     pub store: Store,
-    pub cut: BTreeSet<String>,
+    pub cut_peers: BTreeSet<String>,
     pub cut_platform: BTreeSet<String>,
     pub wire: VecDeque<Message>,
     /// The verdicts and answers received by claimants, oldest first.
     pub log: Vec<String>,
     /// Grants that claimants have received and not settled.
-    pub granted: BTreeMap<Claimant, Key>,
+    pub open_grants: BTreeMap<Claimant, Key>,
     ledger: BTreeMap<Key, Grant>,
     listed: BTreeMap<String, Member>,
     list_version: u64,
-    lives: u64,
+    starts: u64,
     requests: u64,
     pub grants: u64,
 }
@@ -101,15 +101,15 @@
             settings,
             nodes: BTreeMap::new(),
             store: Store::default(),
-            cut: BTreeSet::new(),
+            cut_peers: BTreeSet::new(),
             cut_platform: BTreeSet::new(),
             wire: VecDeque::new(),
             log: Vec::new(),
-            granted: BTreeMap::new(),
+            open_grants: BTreeMap::new(),
             ledger: BTreeMap::new(),
             listed: BTreeMap::new(),
             list_version: 0,
-            lives: 0,
+            starts: 0,
             requests: 0,
             grants: 0,
         }
@@ -118,25 +118,26 @@
     /// Starts a process, replacing one of the same name, and lists it. With `replaced`, it gets a
     /// new incarnation.
     pub fn start(&mut self, name: &str, domain: &str, replaced: bool) {
-        self.lives += 1;
-        let mut member = member(name, domain, self.lives);
-        let former = self.listed.get(name).map_or(1, |former| former.incarnation);
-        member.incarnation = former + u64::from(replaced);
+        self.starts += 1;
+        let mut member = member(name, domain, self.starts);
+        let previous = self.listed.get(name).map_or(1, |previous| previous.incarnation);
+        member.incarnation = previous + u64::from(replaced);
         let owner = Owner::open(Settings { member: member.clone(), ..self.settings.clone() });
         let (inbox, froze_at) = (VecDeque::new(), Duration::ZERO);
-        let born = self.requests;
-        let me = member.clone();
-        let node = Node { owner, member: me, frozen: false, froze_at, born, inbox };
+        let requests_before = self.requests;
+        let own_member = member.clone();
+        let node =
+            Node { owner, member: own_member, frozen: false, froze_at, requests_before, inbox };
         self.nodes.insert(name.to_owned(), node);
-        self.granted.retain(|claimant, _| &*claimant.instance != name);
+        self.open_grants.retain(|claimant, _| &*claimant.instance != name);
         self.listed.insert(name.to_owned(), member);
-        self.list();
+        self.publish_list();
         self.step(name, Event::Tick);
     }
 
     pub fn kill(&mut self, name: &str) {
         self.nodes.remove(name);
-        self.granted.retain(|claimant, _| &*claimant.instance != name);
+        self.open_grants.retain(|claimant, _| &*claimant.instance != name);
     }
 
     pub fn names(&self) -> Vec<String> {
@@ -209,23 +210,23 @@
     }
 
     /// Delivers one message from the wire.
-    pub fn deliver(&mut self, place: usize) {
-        let message = self.wire.remove(place).expect("there is a message");
+    pub fn deliver(&mut self, index: usize) {
+        let message = self.wire.remove(index).expect("there is a message");
         match message {
             Message::Read { from, read } => self.read(&from, read),
             Message::Commit { from, revision, roster } => self.commit(&from, revision, roster),
             Message::LateCommit { revision, roster } => self.apply(revision, roster),
-            message => self.pass(message),
+            message => self.route(message),
         }
     }
 
-    fn pass(&mut self, message: Message) {
-        let (from, to) = message.ends().expect("it goes from one node to another");
+    fn route(&mut self, message: Message) {
+        let (from, to) = message.endpoints().expect("it goes from one node to another");
         let (from, to) = (from.to_owned(), to.to_owned());
-        let is_cut = from != to && (self.cut.contains(&from) || self.cut.contains(&to));
+        let is_cut = from != to && (self.cut_peers.contains(&from) || self.cut_peers.contains(&to));
         let is_platform = from == "platform";
         if (is_cut && !is_platform) || !self.nodes.contains_key(&to) {
-            return self.lose(message);
+            return self.drop_message(message);
         }
         let node = self.nodes.get_mut(&to).expect("it runs");
         if node.frozen {
@@ -236,19 +237,19 @@
     }
 
     /// Drops a message, and reports the failure to a sender that waits for an answer.
-    pub fn lose(&mut self, message: Message) {
+    pub fn drop_message(&mut self, message: Message) {
         match message {
-            Message::Read { from, .. } => self.tell("platform", &from, Event::StoreFailed),
+            Message::Read { from, .. } => self.send_event("platform", &from, Event::StoreFailed),
             Message::Commit { from, revision, roster } => {
-                self.tell("platform", &from, Event::StoreFailed);
+                self.send_event("platform", &from, Event::StoreFailed);
                 self.wire.push_back(Message::LateCommit { revision, roster });
             }
-            Message::Tell { to, event: Event::RosterRead { .. } | Event::Proposed, .. } => {
-                self.tell("platform", &to, Event::StoreFailed);
+            Message::Event { to, event: Event::RosterRead { .. } | Event::Proposed, .. } => {
+                self.send_event("platform", &to, Event::StoreFailed);
             }
-            Message::Adopt { from, handover, .. } => {
+            Message::HandOver { from, handover, .. } => {
                 let Handover { transfer, message_number, .. } = handover;
-                self.tell(
+                self.send_event(
                     "platform",
                     &from,
                     Event::HandedOver { transfer, message_number, accepted: false },
@@ -267,14 +268,18 @@
 
     fn receive(&mut self, to: &str, message: Message) {
         match message {
-            Message::Tell { event, .. } => self.step(to, event),
-            Message::Adopt { from, handover, .. } => {
+            Message::Event { event, .. } => self.step(to, event),
+            Message::HandOver { from, handover, .. } => {
                 let (transfer, message_number) = (handover.transfer, handover.message_number);
                 let accepted = self.acknowledged(to, Event::HandoverReceived { ask: 0, handover });
-                self.tell(to, &from, Event::HandedOver { transfer, message_number, accepted });
+                self.send_event(
+                    to,
+                    &from,
+                    Event::HandedOver { transfer, message_number, accepted },
+                );
             }
             Message::Claim { from, claimant, key, version, .. } => {
-                self.decide(to, from, claimant, key, version);
+                self.receive_claim(to, from, claimant, key, version);
             }
             Message::Settle { from, claimant, key, settlement, .. } => {
                 let event = Event::Settle {
@@ -283,19 +288,23 @@
                     key: key.clone(),
                     settlement: settlement.clone(),
                 };
-                let taken = self.acknowledged(to, event);
+                let accepted = self.acknowledged(to, event);
                 let (from, to) = (to.to_owned(), from);
-                let reply = Message::Taken { from, to, claimant, key, settlement, taken };
+                let reply =
+                    Message::SettlementReply { from, to, claimant, key, settlement, accepted };
                 self.wire.push_back(reply);
             }
-            Message::Verdict { claimant, .. } if claimant.request <= self.nodes[to].born => {}
+            Message::Verdict { claimant, .. }
+                if claimant.request <= self.nodes[to].requests_before => {}
             Message::Verdict { from, claimant, key, verdict, retry, .. } => {
                 self.log.push(format!("{to} asks {from}: {}", describe(&verdict, retry)));
                 if verdict == Claimed::Granted {
-                    self.granted.insert(claimant, key);
+                    self.open_grants.insert(claimant, key);
                 }
             }
-            Message::Taken { taken: false, claimant, key, settlement, from, .. } => {
+            Message::SettlementReply {
+                accepted: false, claimant, key, settlement, from, ..
+            } => {
                 self.log.push(format!("{from} does not take {to}'s settlement"));
                 // The settlement is sent again only if the roster has changed meanwhile.
                 let roster = self.nodes[to].owner.roster().cloned();
@@ -304,14 +313,21 @@
                     self.settle(&claimant, &key, settlement);
                 }
             }
-            Message::Taken { .. }
+            Message::SettlementReply { .. }
             | Message::Read { .. }
             | Message::Commit { .. }
             | Message::LateCommit { .. } => {}
         }
     }
 
-    fn decide(&mut self, to: &str, from: String, claimant: Claimant, key: Key, version: u64) {
+    fn receive_claim(
+        &mut self,
+        to: &str,
+        from: String,
+        claimant: Claimant,
+        key: Key,
+        version: u64,
+    ) {
         let event =
             Event::Claim { ask: 7, claimant: claimant.clone(), key: key.clone(), roster: version };
         for action in self.actions(to, event) {
@@ -335,13 +351,13 @@
     fn check_grant(&mut self, by: &str, claimant: &Claimant, key: &Key) {
         self.grants += 1;
         let grant = Grant { at: self.now, claimant: claimant.clone(), by: by.to_owned() };
-        if let Some(former) = self.ledger.insert(key.clone(), grant) {
-            let since = self.now - former.at;
+        if let Some(previous) = self.ledger.insert(key.clone(), grant) {
+            let since = self.now - previous.at;
             assert!(
                 since >= self.settings.retention,
                 "{key:?} granted by {by} to {claimant:?} {since:?} after {} granted it to {:?}",
-                former.by,
-                former.claimant,
+                previous.by,
+                previous.claimant,
             );
         }
     }
@@ -380,7 +396,7 @@
             }
             Action::HandOver { to, handover } => {
                 let to = to.instance.to_string();
-                self.wire.push_back(Message::Adopt { from, to, handover });
+                self.wire.push_back(Message::HandOver { from, to, handover });
             }
             Action::Note { .. } => {}
             Action::Verdict { .. } | Action::Acknowledge { .. } => {
@@ -389,9 +405,9 @@
         }
     }
 
-    fn tell(&mut self, from: &str, to: &str, event: Event) {
+    fn send_event(&mut self, from: &str, to: &str, event: Event) {
         let (from, to) = (from.to_owned(), to.to_owned());
-        self.wire.push_back(Message::Tell { from, to, event });
+        self.wire.push_back(Message::Event { from, to, event });
     }
 }
 
--- a/crates/claim/tests/world/platform.rs
+++ b/crates/claim/tests/world/platform.rs
@@ -27,65 +27,65 @@
     /// Removes an instance from the platform's list.
     pub fn unlist(&mut self, name: &str) {
         self.listed.remove(name);
-        self.list();
+        self.publish_list();
     }
 
     /// Adds a running instance to the platform's list again.
     pub fn relist(&mut self, name: &str) {
         self.listed.insert(name.to_owned(), self.nodes[name].member.clone());
-        self.list();
+        self.publish_list();
     }
 
     pub fn is_listed(&self, name: &str) -> bool {
         self.listed.contains_key(name)
     }
 
-    pub(super) fn list(&mut self) {
+    pub(super) fn publish_list(&mut self) {
         self.list_version += 1;
         for name in self.names() {
-            self.show_list(&name);
+            self.send_list(&name);
         }
     }
 
     /// Sends the platform's list to a node, unless it is cut off from the platform.
-    pub fn show_list(&mut self, name: &str) {
+    pub fn send_list(&mut self, name: &str) {
         if !self.cut_platform.contains(name) {
             let members = self.listed.values().map(listed).collect();
             let view = list::View { version: self.list_version, members };
-            self.tell("platform", name, Event::Listed { view });
+            self.send_event("platform", name, Event::Listed { view });
         }
     }
 
     /// Sends the stored roster, or an earlier version of it, to a node as a peer would.
-    pub fn pass_roster(&mut self, name: &str, version: Option<u64>) {
+    pub fn send_roster(&mut self, name: &str, version: Option<u64>) {
         let revision = self.store.revision;
         let rosters = &self.store.history;
         let wanted = version.unwrap_or(rosters.len() as u64);
         if let Some(roster) = rosters.iter().find(|roster| roster.version == wanted).cloned() {
-            self.tell("platform", name, Event::RosterReceived { revision, roster });
+            self.send_event("platform", name, Event::RosterReceived { revision, roster });
         }
     }
 
-    fn is_store_away(&self, name: &str) -> bool {
+    fn is_store_unreachable(&self, name: &str) -> bool {
         self.store.down || self.cut_platform.contains(name)
     }
 
     pub(super) fn read(&mut self, from: &str, read: ReadId) {
-        if self.is_store_away(from) {
-            return self.tell("platform", from, Event::StoreFailed);
+        if self.is_store_unreachable(from) {
+            return self.send_event("platform", from, Event::StoreFailed);
         }
         let roster = self.store.roster.clone();
         let revision = if roster.is_some() { self.store.revision } else { 0 };
-        self.tell("platform", from, Event::RosterRead { read, revision, roster });
+        self.send_event("platform", from, Event::RosterRead { read, revision, roster });
     }
 
     pub(super) fn commit(&mut self, from: &str, revision: u64, roster: Roster) {
-        if self.is_store_away(from) {
-            return self.tell("platform", from, Event::StoreFailed);
+        if self.is_store_unreachable(from) {
+            return self.send_event("platform", from, Event::StoreFailed);
         }
         self.apply(revision, roster);
         let answer = if self.store.lossy { Event::StoreFailed } else { Event::Proposed };
-        self.tell("platform", from, answer);
+        self.send_event("platform", from, answer);
     }
 
     /// Applies a proposal if its revision is current, and notifies the watches.
@@ -102,8 +102,8 @@
         self.store.history.push(roster.clone());
         self.store.roster = Some(roster);
         for name in self.names() {
-            if !self.is_store_away(&name) {
-                self.pass_roster(&name, None);
+            if !self.is_store_unreachable(&name) {
+                self.send_roster(&name, None);
             }
         }
     }
--- a/crates/tenure/src/directory.rs
+++ b/crates/tenure/src/directory.rs
@@ -86,6 +86,7 @@
     cells: BTreeSet<id::Cell>,
     /// The cells that this placer owns.
     owned_cells: BTreeSet<id::Cell>,
+    /// The jobs of the claim in flight.
     claiming: Vec<id::Job>,
     retry_at: Time,
     /// The earliest time at which a waiting job may be due; no scan is needed before.
--- a/crates/tenure/src/home.rs
+++ b/crates/tenure/src/home.rs
@@ -24,7 +24,7 @@
 
     /// Encodes the value of the job's home key.
     pub fn to_bytes(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a home always has a JSON form")
+        serde_json::to_vec(self).expect("a home can always be encoded as JSON")
     }
 }
 
--- a/crates/tenure/src/owner.rs
+++ b/crates/tenure/src/owner.rs
@@ -59,6 +59,6 @@
 
     /// Encodes the value of the cell's key.
     pub fn to_bytes(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a claim always has a JSON form")
+        serde_json::to_vec(self).expect("a claim can always be encoded as JSON")
     }
 }
--- a/crates/tenure/src/ownership/cells.rs
+++ b/crates/tenure/src/ownership/cells.rs
@@ -54,8 +54,8 @@
             let vacant = || Stage::Vacant(Ownership::open(index, cell));
             self.stages.entry(index).or_insert_with(vacant);
         }
-        let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
-        for index in slices {
+        let indices: Vec<CellIndex> = self.stages.keys().copied().collect();
+        for index in indices {
             let stage = self.stages.remove(&index).expect("the key was just listed");
             let stage = self.reconcile_stage(now, index, stage, actions);
             self.stages.insert(index, stage);
@@ -69,7 +69,7 @@
         mut stage: Stage,
         actions: &mut Vec<Action>,
     ) -> Stage {
-        let snapshot = self.snapshot.as_ref().expect("a scene was just read");
+        let snapshot = self.snapshot.as_ref().expect("a snapshot was just read");
         let seen_revision = snapshot.revision;
         let cell_entry = snapshot.entry(index).cloned();
         let claim = cell_entry.as_ref().and_then(|cell_entry| cell_entry.claim.as_ref());
@@ -143,8 +143,8 @@
 
     /// Starts to release the cells that another placer should own, and all cells during a drain.
     pub(super) fn start_releases(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
-        for index in slices {
+        let indices: Vec<CellIndex> = self.stages.keys().copied().collect();
+        for index in indices {
             if self.should_release(now, index) {
                 self.start_release(index, actions);
             }
--- a/crates/tenure/src/ownership/release.rs
+++ b/crates/tenure/src/ownership/release.rs
@@ -41,8 +41,8 @@
     }
 
     pub(super) fn write_releases(&mut self, actions: &mut Vec<Action>) {
-        let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
-        for index in slices {
+        let indices: Vec<CellIndex> = self.stages.keys().copied().collect();
+        for index in indices {
             let Some(Stage::Releasing(ownership)) = self.stages.get(&index) else { continue };
             if ownership.state.ticket.is_some() {
                 continue;
--- a/crates/tenure/src/ownership/take.rs
+++ b/crates/tenure/src/ownership/take.rs
@@ -83,8 +83,8 @@
         if !self.can_take(now) {
             return;
         }
-        let slices: Vec<CellIndex> = self.stages.keys().copied().collect();
-        for index in slices {
+        let indices: Vec<CellIndex> = self.stages.keys().copied().collect();
+        for index in indices {
             self.take_if_due(now, index, actions);
         }
     }
@@ -155,7 +155,7 @@
     fn take(&mut self, now: Time, index: CellIndex, vacancy: Vacancy, actions: &mut Vec<Action>) {
         let Some(Stage::Vacant(ownership)) = self.stages.remove(&index) else { return };
         let own = self.this_owner();
-        let view = self.view.as_ref().expect("a placer that takes is listed");
+        let view = self.view.as_ref().expect("a placer that takes cells is listed");
         let inquiry = Inquiry::open(&vacancy.previous_owners, &own, view, now);
         let epoch = vacancy.epoch.max(ownership.common.max_epoch) + 1;
         let previous_owners = inquiry.unconfirmed();
@@ -219,7 +219,7 @@
         if ownership.state.claim.epoch <= ownership.common.max_epoch {
             return Stage::Vacant(ownership.failed());
         }
-        let view = self.view.as_ref().expect("a placer that takes is listed");
+        let view = self.view.as_ref().expect("a placer that takes cells is listed");
         let inquiry =
             Inquiry::open(&ownership.state.previous_owners, &self.this_owner(), view, now);
         let former = inquiry.outcome();
--- a/crates/tenure/src/plan.rs
+++ b/crates/tenure/src/plan.rs
@@ -31,7 +31,7 @@
 
     /// Encodes the value of the plan's key.
     pub fn to_bytes(&self) -> Vec<u8> {
-        serde_json::to_vec(self).expect("a plan always has a JSON form")
+        serde_json::to_vec(self).expect("a plan can always be encoded as JSON")
     }
 
     /// Returns the cell of a rack, if it has one.
--- a/crates/tenure/src/stage.rs
+++ b/crates/tenure/src/stage.rs
@@ -118,7 +118,7 @@
         claim: Claim,
         previous_owners: Vec<Owner>,
     ) -> Ownership<Taking> {
-        assert!(claim.epoch > self.common.max_epoch, "an epoch is above every one met");
+        assert!(claim.epoch > self.common.max_epoch, "a new epoch is above all epochs seen");
         Ownership {
             common: self.common,
             state: Taking { ticket: Some(ticket), claim, previous_owners },
