--- a/crates/claim/examples/cost.rs
+++ b/crates/claim/examples/cost.rs
@@ -49,7 +49,7 @@
         let event = Event::Claim { ask: request, claimant, key: key.clone(), roster: 1 };
         owner.step(SECOND, event, &mut actions);
         let granted = matches!(actions[0], Action::Verdict { verdict: Claimed::Granted, .. });
-        assert!(granted, "each key is new");
+        assert!(granted, "a new key is granted");
         actions.clear();
     });
     let settle = time(&named, |request, key| {
@@ -117,13 +117,14 @@
 
 fn roster(members: u16) {
     let mut roster = Roster::initial(member(0));
-    let stays = |_: &Member| false;
+    let has_ended = |_: &Member| false;
     for number in 1..members {
-        roster = spread(roster.revised(&member(number), stays).expect("it joins"));
+        roster = spread(roster.revised(&member(number), has_ended).expect("the member joins"));
     }
-    let bytes = serde_json::to_vec(&roster).expect("a roster can be written").len();
-    let joined = spread(roster.revised(&member(members), stays).expect("it joins"));
-    let left = roster.revised(&member(0), |gone| gone.is_same(&member(1))).expect("one is gone");
+    let bytes = serde_json::to_vec(&roster).expect("a roster can be encoded as JSON").len();
+    let joined = spread(roster.revised(&member(members), has_ended).expect("the member joins"));
+    let left =
+        roster.revised(&member(0), |other| other.is_same(&member(1))).expect("a member has ended");
     let (join, leave) = (moved(&roster, &joined), moved(&roster, &left));
     println!("| {members} | {bytes} | {join} | {leave} |");
 }
@@ -131,7 +132,7 @@
 /// Moves every slot to its target, as the owners would.
 fn spread(mut roster: Roster) -> Roster {
     for slot in slot::all() {
-        let to = roster.target(slot, None).expect("there are members").clone();
+        let to = roster.target(slot, None).expect("the roster has members").clone();
         if !to.is_same(roster.owner_at(slot)) {
             let moved = cowslipchute_claim::roster::Move { slot, to, number: 1 };
             roster = roster.released(&[moved], None);
--- a/crates/claim/tests/handover_size.rs
+++ b/crates/claim/tests/handover_size.rs
@@ -74,6 +74,6 @@
             _ => None,
         })
         .collect();
-    assert!(sizes.iter().sum::<usize>() > FRAME, "there is more than one frame holds: {sizes:?}");
+    assert!(sizes.iter().sum::<usize>() > FRAME, "the answers must exceed one frame: {sizes:?}");
     assert!(sizes.iter().all(|size| *size <= FRAME), "{sizes:?}");
 }
--- a/crates/claim/tests/interleavings.rs
+++ b/crates/claim/tests/interleavings.rs
@@ -205,7 +205,7 @@
             let before = world.grants;
             world.claim(entry, &key(number));
             world.settle_down();
-            assert_eq!(world.grants, before + 1, "a new key is granted once all is well");
+            assert_eq!(world.grants, before + 1, "a new key is granted after recovery");
         }
     }
 }
--- a/crates/claim/tests/scenarios.rs
+++ b/crates/claim/tests/scenarios.rs
@@ -111,7 +111,7 @@
                     format!("{name}: {slots} slots, {} keys, drained {drained}", owner.claims());
                 world.log.push(line);
             }
-            _ => panic!("no such step: {words:?}"),
+            _ => panic!("unknown step: {words:?}"),
         }
     }
 
@@ -129,8 +129,9 @@
     fn name_key(&mut self, name: &str, owner: &str, next: Option<&str>) {
         let roster = self.world.store.roster.as_ref().expect("there is a roster");
         let joining = next.map(|next| world::member(next, "a", 1));
-        let joined = joining.map(|next| roster.revised(&next, |_| false).expect("it joins"));
-        let suits = |key: &Key| {
+        let joined =
+            joining.map(|next| roster.revised(&next, |_| false).expect("the member joins"));
+        let is_match = |key: &Key| {
             let is_due = joined.as_ref().is_none_or(|joined| {
                 let target = joined.target(key.slot(), None);
                 target.is_some_and(|target| Some(&*target.instance) == next)
@@ -139,7 +140,7 @@
         };
         let mut keys = (0..MAX_KEYS_TRIED)
             .map(|number| Key { service: "berths".into(), key: format!("{name}-{number}").into() });
-        let key = keys.find(suits).unwrap_or_else(|| panic!("{owner} owns no such key"));
+        let key = keys.find(is_match).unwrap_or_else(|| panic!("no key found that {owner} owns"));
         self.keys.insert(name.to_owned(), key);
     }
 
@@ -152,7 +153,7 @@
     /// Drops the oldest such message.
     fn lose(&mut self, kind: &str, node: &str) {
         let index = self.find_message(kind, node);
-        let message = self.world.wire.remove(index).expect("there is one");
+        let message = self.world.wire.remove(index).expect("the message is on the wire");
         self.world.drop_message(message);
     }
 
@@ -174,7 +175,7 @@
             }
             ["not-run"] => Settlement::NotRun,
             ["unknown"] => Settlement::Unknown,
-            _ => panic!("no such outcome: {outcome:?}"),
+            _ => panic!("unknown outcome: {outcome:?}"),
         };
         let key = &self.keys[key];
         let granted = self
--- a/crates/claim/tests/smoke.rs
+++ b/crates/claim/tests/smoke.rs
@@ -55,7 +55,7 @@
     owner.step(second, Event::Listed { view: view() }, &mut actions);
     owner.step(second, Event::RosterRead { read: 1, revision: 0, roster: None }, &mut actions);
     let Some(Action::ProposeRoster { revision: 0, roster }) = actions.pop() else {
-        panic!("the first roster is proposed: {actions:?}");
+        panic!("the initial roster is not proposed: {actions:?}");
     };
     owner.step(second, Event::RosterReceived { revision: 1, roster: roster.into() }, &mut actions);
     let key = Key { service: "berths".into(), key: "k".into() };
@@ -67,7 +67,7 @@
         owner.step(second, event, &mut actions);
         match &actions[0] {
             Action::Verdict { verdict, .. } => verdict.clone(),
-            other => panic!("a claim gets a verdict at once: {other:?}"),
+            other => panic!("expected a verdict on the claim: {other:?}"),
         }
     };
     assert_eq!(claim(&mut owner), Claimed::Granted);
--- a/crates/claim/tests/world/mod.rs
+++ b/crates/claim/tests/world/mod.rs
@@ -211,7 +211,7 @@
 
     /// Delivers one message from the wire.
     pub fn deliver(&mut self, index: usize) {
-        let message = self.wire.remove(index).expect("there is a message");
+        let message = self.wire.remove(index).expect("the index is on the wire");
         match message {
             Message::Read { from, read } => self.read(&from, read),
             Message::Commit { from, revision, roster } => self.commit(&from, revision, roster),
@@ -221,14 +221,14 @@
     }
 
     fn route(&mut self, message: Message) {
-        let (from, to) = message.endpoints().expect("it goes from one node to another");
+        let (from, to) = message.endpoints().expect("the message is between two nodes");
         let (from, to) = (from.to_owned(), to.to_owned());
         let is_cut = from != to && (self.cut_peers.contains(&from) || self.cut_peers.contains(&to));
         let is_platform = from == "platform";
         if (is_cut && !is_platform) || !self.nodes.contains_key(&to) {
             return self.drop_message(message);
         }
-        let node = self.nodes.get_mut(&to).expect("it runs");
+        let node = self.nodes.get_mut(&to).expect("the node is running");
         if node.frozen {
             node.inbox.push_back(message);
         } else {
@@ -400,7 +400,7 @@
             }
             Action::Note { .. } => {}
             Action::Verdict { .. } | Action::Acknowledge { .. } => {
-                panic!("only what is asked is answered: {action:?}");
+                panic!("an answer without a request: {action:?}");
             }
         }
     }
--- a/crates/claim/tests/world/platform.rs
+++ b/crates/claim/tests/world/platform.rs
@@ -94,9 +94,9 @@
         if revision != current {
             return;
         }
-        roster.check().expect("a proposal keeps the rules");
-        let held = self.store.roster.as_ref().map_or(0, |roster| roster.version);
-        assert_eq!(roster.version, held + 1, "the version rises by one");
+        roster.check().expect("a proposed roster is valid");
+        let stored_version = self.store.roster.as_ref().map_or(0, |roster| roster.version);
+        assert_eq!(roster.version, stored_version + 1, "the version rises by one");
         self.store.revision += 10;
         let roster = Arc::new(roster);
         self.store.history.push(roster.clone());
--- a/crates/tenure/tests/homes.rs
+++ b/crates/tenure/tests/homes.rs
@@ -151,7 +151,7 @@
         let mut actions = Vec::new();
         self.nodes[node].directory.tick(self.now, &mut actions);
         for action in std::mem::take(&mut actions) {
-            let Action::Claim { txn } = action else { panic!("a tick only claims") };
+            let Action::Claim { txn } = action else { panic!("a tick produces only claims") };
             let outcome = self.write(&txn, fate);
             let directory = &mut self.nodes[node].directory;
             directory.claim_ended(self.now, outcome, &txn, DELAY, &mut actions);
@@ -202,7 +202,7 @@
         let node = &mut self.nodes[node];
         for action in actions {
             match action {
-                Action::Claim { .. } => panic!("only a tick claims"),
+                Action::Claim { .. } => panic!("only a tick produces claims"),
                 Action::Assigned { cell, name, .. } => {
                     assert_eq!(cell, node.cell);
                     node.jobs.insert(name, JobState::Active);
--- a/crates/tenure/tests/scenarios.rs
+++ b/crates/tenure/tests/scenarios.rs
@@ -111,7 +111,7 @@
     match from {
         "store" => world.node(name).store_cut = true,
         "peers" => world.node(name).peers_cut = true,
-        other => panic!("cut from {other}"),
+        other => panic!("can't be cut from {other}"),
     }
 }
 
--- a/crates/tenure/tests/seat.rs
+++ b/crates/tenure/tests/seat.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    fn run(&mut self, span: Duration) {
-        let until = self.now + span;
+    fn run(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += STEP;
             self.store.expire(self.now);
@@ -201,9 +201,9 @@
         let acting = self.processes.iter().filter(|process| {
             process.owns.is_some() && process.until > self.now && !process.frozen
         });
-        assert!(acting.count() <= 1, "two owners act at {:?}", self.now);
+        assert!(acting.count() <= 1, "two owners run the cell at {:?}", self.now);
         for pair in self.owners.windows(2) {
-            assert!(pair[0].1 < pair[1].1, "a later owner ranks higher");
+            assert!(pair[0].1 < pair[1].1, "a later owner has a higher epoch");
         }
     }
 
@@ -215,7 +215,7 @@
 fn elected(processes: usize) -> World {
     let mut world = World::open(processes);
     world.run(Duration::from_secs(1));
-    assert_eq!(world.acting(), Some(0), "the one with the least delay is first");
+    assert_eq!(world.acting(), Some(0), "the process with the shortest delay is elected");
     world
 }
 
@@ -270,7 +270,7 @@
         }
         world.run(STEP);
     }
-    assert_eq!(world.acting(), None, "what can't be renewed isn't believed in");
+    assert_eq!(world.acting(), None, "a lease that can't be renewed doesn't count as valid");
     for process in &mut world.processes {
         process.connection = Connection::Open;
     }
@@ -301,7 +301,7 @@
     world.run(Duration::from_millis(300));
     assert_eq!(world.acting(), Some(1));
     world.run(Duration::from_secs(5));
-    assert_eq!(world.acting(), Some(1), "the one that stops claims nothing again");
+    assert_eq!(world.acting(), Some(1), "a drained process doesn't claim the cell again");
 }
 
 #[test]
@@ -331,6 +331,6 @@
             process.frozen = false;
         }
         world.run(Duration::from_secs(8));
-        assert!(world.acting().is_some(), "seed {seed}: nobody owns the cell in the end");
+        assert!(world.acting().is_some(), "seed {seed}: no process owns the cell after recovery");
     }
 }
--- a/crates/tenure/tests/world/mod.rs
+++ b/crates/tenure/tests/world/mod.rs
@@ -217,7 +217,7 @@
         }
         let node = &self.nodes[name];
         // A manager that is due again immediately would keep its process in a busy loop.
-        assert!(node.drained || node.manager.next_due(now) > now, "{name} is due for ever");
+        assert!(node.drained || node.manager.next_due(now) > now, "{name} is always due");
         self.check();
     }
 
@@ -252,7 +252,7 @@
             Action::PreviousOwners { cell, former } => {
                 self.record(name, format!("learns of {cell} former {former:?}"));
                 let running = self.node(name).running.get_mut(&cell);
-                running.expect("only an owner learns of former owners").former = former;
+                running.expect("only an owner is notified of its previous owners").former = former;
             }
             Action::Quiesce { cell, epoch } | Action::Stop { cell, epoch } => {
                 self.record(name, format!("stops {cell} epoch {epoch}"));
@@ -315,7 +315,10 @@
         let stored = self.store.entries.get(&key::plan(DOMAIN));
         let stored = stored.and_then(|entry| Plan::from_bytes(&entry.value)).unwrap_or_default();
         let known = self.nodes[name].manager.plan();
-        assert!(!takes || *known == stored, "{name} takes a cell by an older plan: {known:?}");
+        assert!(
+            !takes || *known == stored,
+            "{name} takes a cell under an outdated plan: {known:?}"
+        );
     }
 
     /// Delivers a change of the store to the watches of all placers.
@@ -348,7 +351,7 @@
     }
 
     fn answer(&mut self, call: u64, reply: &peer::Reply) {
-        let call = self.calls.remove(&call).expect("a call is answered once");
+        let call = self.calls.remove(&call).expect("a call is answered exactly once");
         if *reply != peer::Reply::Released {
             return;
         }
@@ -383,7 +386,7 @@
         for entry in self.store.entries.values() {
             let Some(claim) = Claim::from_bytes(&entry.value) else { continue };
             let last = self.epochs.entry(entry.key.clone()).or_insert(0);
-            assert!(claim.epoch >= *last, "the epoch of {} fell", entry.key);
+            assert!(claim.epoch >= *last, "the epoch of {} decreased", entry.key);
             *last = claim.epoch;
         }
     }
