--- a/crates/claim/src/calls.rs
+++ b/crates/claim/src/calls.rs
@@ -57,11 +57,11 @@
         self.is_read_requested = true;
     }
 
-    pub(crate) fn fail(&mut self, not_before: Time) {
+    pub(crate) fn fail(&mut self, retry_at: Time) {
         self.reading = None;
         self.is_proposing = false;
         self.is_read_requested = true;
-        self.retry_at = not_before;
+        self.retry_at = retry_at;
     }
 
     /// Returns `true` if a proposal may be made: no call in flight is about to change what is
--- a/crates/tenure/src/lease.rs
+++ b/crates/tenure/src/lease.rs
@@ -8,9 +8,9 @@
 use crate::action::Action;
 use crate::event::Ticket;
 
-/// A lease is renewed after this fraction of its duration.
+/// A lease is renewed after its duration divided by this.
 const RENEW_FRACTION: u32 = 3;
-/// A failed call is retried after this fraction of the lease's duration.
+/// A failed call is retried after the lease's duration divided by this.
 const RETRY_FRACTION: u32 = 10;
 
 /// A generator of store call identifiers.
--- a/crates/tenure/src/ownership.rs
+++ b/crates/tenure/src/ownership.rs
@@ -40,9 +40,9 @@
 
 use read::Reader;
 
-/// A gap between steps of more than this fraction of the lease counts as a stall.
+/// A gap between steps longer than the lease divided by this counts as a stall.
 const STALL_FRACTION: u32 = 2;
-/// The longest interval between steps that the manager requests, as a fraction of the lease.
+/// The manager requests a step at least at an interval of the lease divided by this.
 const STEP_FRACTION: u32 = 8;
 
 /// Settings of an ownership manager.
--- a/crates/tenure/src/ownership/read.rs
+++ b/crates/tenure/src/ownership/read.rs
@@ -10,11 +10,12 @@
 
 use super::Manager;
 
-/// The interval between reads, as a fraction of the lease, in case the watch missed a change.
+/// The store is read at least at an interval of the lease divided by this, in case the watch missed
+/// a change.
 const READ_FRACTION: u32 = 2;
-/// The delay before a failed read is retried, as a fraction of the lease.
+/// A failed read is retried after the lease divided by this.
 const RETRY_FRACTION: u32 = 10;
-/// After an outage longer than this fraction of the lease, other owners get the duration of a lease
+/// After an outage longer than the lease divided by this, other owners get the duration of a lease
 /// to renew their liveness before their cells are taken.
 const OUTAGE_FRACTION: u32 = 2;
 
--- a/crates/tenure/src/seat.rs
+++ b/crates/tenure/src/seat.rs
@@ -17,9 +17,9 @@
 use crate::lease::Sent;
 use crate::lease::Tickets;
 
-/// A lease is renewed after this fraction of its duration.
+/// A lease is renewed after its duration divided by this.
 const RENEW_FRACTION: u32 = 5;
-/// A failed call is retried after this fraction of the lease's duration.
+/// A failed call is retried after the lease's duration divided by this.
 const RETRY_FRACTION: u32 = 12;
 
 /// An event handled by an election.
