--- a/crates/tenure/src/ownership.rs
+++ b/crates/tenure/src/ownership.rs
@@ -1,7 +1,7 @@
 //! The ownership manager: one placer's decisions about the cells of its failure domain.
 //!
 //! All store failures are handled in the same way: the manager invalidates what it has read
-//! ([`Manager::invalidate`]) and writes nothing until a read begun afterwards has returned. That
+//! (`Manager::invalidate`) and writes nothing until a read begun afterwards has returned. That
 //! read resolves writes whose answers were lost, shows cells that were taken while this process
 //! was stalled or cut off, and shows that the store is reachable again.
 
