--- a/crates/peer/src/authority.rs
+++ b/crates/peer/src/authority.rs
@@ -1,8 +1,8 @@
-//! The deployment's own certificate authority, which issues the processes' certificates.
+//! The deployment's own certificate authority, which issues the certificates of the processes.
 //!
-//! All certificates carry the same name: what a peer proves is that it belongs to the deployment,
-//! not which instance it is. Processes are replaced at any time and learn their addresses from
-//! settings, so a certificate for each address would have to be issued by something that lasts.
+//! All certificates carry the same name: a peer proves that it belongs to the deployment, not which
+//! instance it is. Processes are replaced at any time and get their addresses from settings, so
+//! certificates per address would need an issuing service that runs permanently.
 
 use rcgen::BasicConstraints;
 use rcgen::CertificateParams;
@@ -17,19 +17,18 @@
 use crate::identity;
 use crate::identity::Identity;
 
-/// The name that each process's certificate carries and each caller expects.
+/// Subject name of every process certificate, which callers verify.
 pub const PEER_NAME: &str = "peer.cowslipchute.internal";
-/// Common name of the authority. The same for each, since it names the role and the key tells them
-/// apart.
+/// Common name of every authority. It names the role; authorities are told apart by their keys.
 const AUTHORITY_NAME: &str = "cowslipchute deployment authority";
 
-/// A certificate or key could not be made.
+/// Failure to generate or read a certificate or key.
 #[derive(Debug)]
 #[derive(Error)]
 #[error(transparent)]
 pub struct Error(#[from] rcgen::Error);
 
-/// An authority that can issue certificates.
+/// A certificate authority with its key.
 #[derive(Debug)]
 pub struct Authority {
     pem: String,
@@ -49,11 +48,11 @@
 }
 
 impl Authority {
-    /// Makes a new authority with a key of its own.
+    /// Generates a new authority with its own key.
     ///
     /// # Errors
     ///
-    /// When the certificate can't be made.
+    /// When the certificate can't be generated.
     pub fn generate() -> Result<Authority, Error> {
         let key = KeyPair::generate()?;
         let pem = authority_params()?.self_signed(&key)?.pem();
@@ -64,7 +63,7 @@
         })
     }
 
-    /// Takes up an authority that [`Authority::generate`] made, to issue more certificates.
+    /// Loads an authority made by [`Authority::generate`], to issue more certificates.
     ///
     /// # Errors
     ///
@@ -92,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// When the certificate can't be made.
+    /// When the certificate can't be generated.
     pub fn issue(&self) -> Result<Leaf, Error> {
         let key = KeyPair::generate()?;
         let certificate = leaf_params()?.signed_by(&key, &self.issuer)?;
@@ -105,20 +104,20 @@
 }
 
 impl Leaf {
-    /// Makes an identity that accepts only the issuing authority.
+    /// Returns an identity that accepts only the issuing authority.
     ///
     /// # Errors
     ///
-    /// When the texts were tampered with.
+    /// When the texts are not valid PEM.
     pub fn identity(&self) -> Result<Identity, identity::Error> {
         Identity::from_pem(&self.pem, &self.key_pem, &self.authority_pem)
     }
 
-    /// Makes an identity that accepts this leaf's authority and others besides.
+    /// Returns an identity that accepts the issuing authority and the given ones.
     ///
     /// # Errors
     ///
-    /// When a text is no certificate.
+    /// When a text is not a PEM certificate.
     pub fn identity_accepting(&self, others: &[&str]) -> Result<Identity, identity::Error> {
         let mut authorities = self.authority_pem.clone();
         for other in others {
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -1,21 +1,21 @@
-//! Frames: a message as the whole content of one direction of a stream.
+//! Framing: one message is the whole content of one direction of a stream.
 //!
-//! The end of the stream delimits the frame, so there is no length to lie about. A frame that was
-//! cut short never decodes, because postcard's encoding of a message is no prefix of another.
+//! The end of the stream delimits the frame, so there is no length field to validate. A truncated
+//! frame never decodes, because no postcard encoding of a message is a prefix of another.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// The most bytes that a frame may have.
-pub const MAX: usize = 4 * 1024 * 1024;
+/// Maximum size of a frame in bytes.
+pub const MAX_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a message is no frame, or a frame no message.
+/// Failure to encode or decode a frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 pub enum Error {
-    /// The message takes more than [`MAX`] bytes.
-    #[error("the message takes {0} bytes, {MAX} are allowed")]
+    /// The encoded message is larger than [`MAX_BYTES`] bytes.
+    #[error("the message takes {0} bytes, {MAX_BYTES} are allowed")]
     TooLarge(usize),
     /// The bytes are not one whole message.
     #[error("the frame can't be read: {0}")]
@@ -26,20 +26,20 @@
 ///
 /// # Errors
 ///
-/// When the message takes more than [`MAX`] bytes.
+/// When the encoded message is larger than [`MAX_BYTES`] bytes.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, Error> {
     let bytes = postcard::to_stdvec(message).map_err(malformed)?;
-    if bytes.len() > MAX {
+    if bytes.len() > MAX_BYTES {
         return Err(Error::TooLarge(bytes.len()));
     }
     Ok(bytes)
 }
 
-/// Decodes a message that takes up the whole frame.
+/// Decodes a frame that holds exactly one message.
 ///
 /// # Errors
 ///
-/// When the frame is cut short, has bytes left over, or is of another type.
+/// When the frame is truncated, has trailing bytes, or holds a message of another type.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     let (message, rest) = postcard::take_from_bytes(bytes).map_err(malformed)?;
     if !rest.is_empty() {
--- a/crates/peer/src/identity.rs
+++ b/crates/peer/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a process is towards its peers: its certificate and key, and the authorities it accepts.
+//! TLS identity of a process: its certificate and key, and the certificate authorities it accepts.
 
 use std::fs;
 use std::path::Path;
@@ -12,7 +12,7 @@
 use crate::authority;
 use crate::authority::Authority;
 
-/// Why an identity can't be used.
+/// Failure to read, write or use an identity.
 #[derive(Debug)]
 #[derive(Error)]
 pub enum Error {
@@ -21,30 +21,30 @@
     File {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A text holds no certificate or key.
+    /// A PEM text holds no certificate or key.
     #[error("{origin}: {problem}")]
     Pem {
-        /// The file, or what the text was to hold.
+        /// The file, or the expected content of the text.
         origin: String,
         /// What is wrong with it.
         problem: String,
     },
-    /// The certificate, key and authorities don't go together.
+    /// The certificate, key and authorities don't match.
     #[error("the certificate, key and authorities can't be used together: {0}")]
     Tls(String),
-    /// A certificate could not be made.
+    /// A certificate could not be generated.
     #[error("a certificate can't be made: {0}")]
     Authority(#[from] authority::Error),
 }
 
 /// A certificate with its key, and every authority whose certificates are accepted from peers.
 ///
-/// Several authorities may be given, so that the old and the new one overlap while keys are
-/// rotated: first every process learns the new authority, then each gets a new certificate, then
-/// the old authority is taken away (`docs/design/peer.md`).
+/// Several authorities may be given, so that the old and the new one overlap during key rotation:
+/// first every process accepts the new authority, then each gets a new certificate, then the old
+/// authority is removed (`docs/design/peer.md`).
 #[derive(Debug)]
 pub struct Identity {
     chain: Vec<CertificateDer<'static>>,
@@ -67,8 +67,8 @@
     ///
     /// # Errors
     ///
-    /// When a file can't be read or doesn't hold what it should. Whether the three go together is
-    /// found when a node is opened with them.
+    /// When a file can't be read or lacks the expected certificate or key. Whether the three match
+    /// is checked when a node is opened with them.
     pub fn load(
         cert_pem_path: impl AsRef<Path>,
         key_pem_path: impl AsRef<Path>,
@@ -81,11 +81,11 @@
         })
     }
 
-    /// Takes an identity from PEM texts.
+    /// Parses an identity from PEM texts.
     ///
     /// # Errors
     ///
-    /// When a text doesn't hold what it should.
+    /// When a text lacks the expected certificate or key.
     pub fn from_pem(cert: &str, key: &str, authorities: &str) -> Result<Identity, Error> {
         Ok(Identity {
             chain: certificates("certificate", cert.as_bytes())?,
@@ -94,40 +94,40 @@
         })
     }
 
-    /// Makes a deployment of its own with one certificate, for tests and the demonstration.
+    /// Generates a new authority and one certificate, for tests and the demonstration.
     ///
-    /// Processes that share a clone of it accept each other and nobody else.
+    /// Processes that share a clone of the identity accept only each other.
     ///
     /// # Errors
     ///
-    /// When the certificates can't be made.
+    /// When the certificates can't be generated.
     pub fn generate() -> Result<Identity, Error> {
         let authority = Authority::generate()?;
         authority.issue()?.identity()
     }
 
-    /// The certificate chain, leaf first.
+    /// Returns the certificate chain, leaf first.
     pub(crate) fn chain(&self) -> Vec<CertificateDer<'static>> {
         self.chain.clone()
     }
 
-    /// The leaf's key.
+    /// Returns the key of the leaf certificate.
     pub(crate) fn key(&self) -> PrivateKeyDer<'static> {
         self.key.clone_key()
     }
 
-    /// The accepted authorities.
+    /// Returns the accepted authorities.
     pub(crate) fn authorities(&self) -> &[CertificateDer<'static>] {
         &self.authorities
     }
 }
 
-/// The files of a new deployment.
+/// Paths of the certificate and key files of a deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Files {
     /// The authority's certificate, which every process needs.
     pub authority: PathBuf,
-    /// The authority's key, which no process needs: it issues further certificates.
+    /// The authority's key. It issues further certificates; no process needs it.
     pub authority_key: PathBuf,
     /// A certificate for the processes.
     pub certificate: PathBuf,
@@ -136,7 +136,7 @@
 }
 
 impl Files {
-    /// Names the files of a deployment in a directory.
+    /// Returns the paths of a deployment's files in a directory.
     pub fn under(directory: &Path) -> Files {
         Files {
             authority: directory.join("ca.pem"),
@@ -147,31 +147,31 @@
     }
 }
 
-/// Makes a new deployment's authority and one certificate, and writes them into a directory.
+/// Generates the authority and one certificate of a new deployment and writes them to a directory.
 ///
-/// The directory is made if it doesn't exist. Files that exist are left alone and refused, so that
-/// a repeated command never replaces the keys of a running deployment.
+/// The directory is created if it doesn't exist. An existing file is an error and is never
+/// overwritten, so that a repeated command can't replace the keys of a running deployment.
 ///
 /// # Errors
 ///
-/// When a file exists or can't be written, or the certificates can't be made.
+/// When a file exists or can't be written, or the certificates can't be generated.
 pub fn write_files(directory: &Path) -> Result<Files, Error> {
     let files = Files::under(directory);
     let authority = Authority::generate()?;
     let leaf = authority.issue()?;
     fs::create_dir_all(directory)
         .map_err(|source| Error::File { path: directory.to_owned(), source })?;
-    write_new(&files.authority_key, authority.key_pem(), SECRET)?;
-    write_new(&files.key, &leaf.key_pem, SECRET)?;
-    write_new(&files.authority, authority.pem(), PUBLIC)?;
-    write_new(&files.certificate, &leaf.pem, PUBLIC)?;
+    write_new(&files.authority_key, authority.key_pem(), SECRET_MODE)?;
+    write_new(&files.key, &leaf.key_pem, SECRET_MODE)?;
+    write_new(&files.authority, authority.pem(), PUBLIC_MODE)?;
+    write_new(&files.certificate, &leaf.pem, PUBLIC_MODE)?;
     Ok(files)
 }
 
-/// Mode of a file that only its owner may read.
-const SECRET: u32 = 0o600;
-/// Mode of a file that anyone may read.
-const PUBLIC: u32 = 0o644;
+/// File mode of a private key, readable only by its owner.
+const SECRET_MODE: u32 = 0o600;
+/// File mode of a certificate, readable by all users.
+const PUBLIC_MODE: u32 = 0o644;
 
 fn write_new(path: &Path, text: &str, mode: u32) -> Result<(), Error> {
     use std::io::Write as _;
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,9 +1,9 @@
-//! Links between our own processes: one QUIC stream for each call, mutual TLS on each connection.
+//! RPC between our own processes over QUIC: one stream per call, mutual TLS on each connection.
 //!
-//! [`node::Node`] is the adapter behind the messages of `cowslipchute_ports::peer`. It carries one
-//! call and one reply on a stream of its own, pools one connection for each address that it calls,
-//! and bounds what waits here. It knows nothing of what a call means, never sends one twice, and
-//! keeps no list of peers. The ways that were weighed stand in `docs/design/peer.md`.
+//! [`node::Node`] carries the messages of `cowslipchute_ports::peer`. It sends each call and its
+//! reply on a separate stream, pools one connection per address, and limits the calls in progress.
+//! It does not interpret calls, never sends a call twice, and keeps no list of peers.
+//! `docs/design/peer.md` compares the alternatives.
 
 pub mod authority;
 pub mod frame;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,5 +1,5 @@
-//! The making of calls: one pooled connection for each address, and an exact account of how far a
-//! call can have come when it fails.
+//! Client side of a node: one pooled connection per address, and a classification of each failure
+//! by whether the peer can have acted on the call.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,16 +23,17 @@
 use crate::node::Error;
 use crate::serve;
 
-/// Connections tried for one call while nothing of it was sent: a pooled one may have ended
-/// unnoticed, a fresh one has not.
-const TRIES: usize = 2;
-/// First of the QUIC error codes that stand for TLS alerts, and the one after the last.
+/// Maximum number of connections tried for one call before any of it is sent. The pooled connection
+/// may have closed unnoticed; the second attempt uses a new one.
+const MAX_ATTEMPTS: usize = 2;
+/// Range of the QUIC error codes that stand for TLS alerts.
 const TLS_ALERTS: std::ops::Range<u64> = 0x100..0x200;
 
-/// A place in the pool. Its lock is held while connecting, so that calls share one handshake.
+/// A slot of the pool. Its lock is held while connecting, so that concurrent calls share one
+/// handshake.
 type Slot = Arc<tokio::sync::Mutex<Option<Connection>>>;
 
-/// The connections of a node to those it calls.
+/// Pool of the outgoing connections of a node.
 #[derive(Debug)]
 pub(crate) struct Pool {
     endpoint: quinn::Endpoint,
@@ -58,44 +59,44 @@
     ) -> Result<peer::Reply, Error> {
         let frame = frame::encode(call).map_err(unsent)?;
         let deadline = Instant::now() + self.timeout;
-        let stream = tokio::time::timeout_at(deadline, self.stream(to)).await;
+        let stream = tokio::time::timeout_at(deadline, self.open_stream(to)).await;
         let stream = stream.map_err(|_| Error::Unsent("no connection in time".to_owned()))??;
         let exchange = tokio::time::timeout_at(deadline, exchange(stream.send, stream.recv, frame));
         match exchange.await {
             Ok(Ok(reply)) => Ok(reply),
             Ok(Err(error)) => {
                 let Some(reason) = stream.connection.close_reason() else { return Err(error) };
-                self.forget(to, &stream.connection).await;
-                if was_never_served(&stream.connection, &reason) {
+                self.evict(to, &stream.connection).await;
+                if handshake_refused(&stream.connection, &reason) {
                     return Err(Error::Refused(reason.to_string()));
                 }
                 Err(error)
             }
             Err(_) => {
                 // The peer may have been replaced at the same address without our connection
-                // having noticed, so the next call makes a new one.
-                self.forget(to, &stream.connection).await;
+                // having noticed, so the next call opens a new one.
+                self.evict(to, &stream.connection).await;
                 Err(Error::Unknown("no reply in time".to_owned()))
             }
         }
     }
 
-    /// Opens a stream, over a new connection if the pooled one has ended. Nothing is sent yet.
-    async fn stream(&self, to: SocketAddr) -> Result<Stream, Error> {
+    /// Opens a stream, over a new connection if the pooled one has closed. Sends nothing yet.
+    async fn open_stream(&self, to: SocketAddr) -> Result<Stream, Error> {
         let mut last = None;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let connection = self.connection(to).await?;
             match connection.open_bi().await {
                 Ok((send, recv)) => {
-                    return Ok(Stream { connection, send: Sending::open(send), recv });
+                    return Ok(Stream { connection, send: SendHalf::open(send), recv });
                 }
                 Err(error) => {
-                    self.forget(to, &connection).await;
+                    self.evict(to, &connection).await;
                     last = Some(error);
                 }
             }
         }
-        Err(last.map_or_else(|| unsent("no connection"), |error| before_sending(&error)))
+        Err(last.map_or_else(|| unsent("no connection"), |error| connect_error(&error)))
     }
 
     async fn connection(&self, to: SocketAddr) -> Result<Connection, Error> {
@@ -109,22 +110,22 @@
         *pooled = None;
         let connecting =
             self.endpoint.connect_with(self.config.clone(), to, PEER_NAME).map_err(unsent)?;
-        let connection = connecting.await.map_err(|error| before_sending(&error))?;
+        let connection = connecting.await.map_err(|error| connect_error(&error))?;
         *pooled = Some(connection.clone());
         Ok(connection)
     }
 
     fn slot(&self, to: SocketAddr) -> Slot {
-        let mut slots = self.slots.lock().expect("no holder of the lock panics");
+        let mut slots = self.slots.lock().expect("the lock is not poisoned");
         if let Some(slot) = slots.get(&to) {
             return slot.clone();
         }
-        // Addresses come and go with the instances; those that nobody calls any more make room.
-        slots.retain(|_, slot| is_used(slot));
+        // Addresses change as instances are replaced; this removes slots that are no longer in use.
+        slots.retain(|_, slot| is_in_use(slot));
         slots.entry(to).or_default().clone()
     }
 
-    async fn forget(&self, to: SocketAddr, connection: &Connection) {
+    async fn evict(&self, to: SocketAddr, connection: &Connection) {
         let slot = self.slot(to);
         let mut pooled = slot.lock().await;
         if pooled.as_ref().is_some_and(|pooled| pooled.stable_id() == connection.stable_id()) {
@@ -133,8 +134,8 @@
     }
 }
 
-/// Tells whether a place is being called from or holds a connection that is open.
-fn is_used(slot: &Slot) -> bool {
+/// Returns `true` if a call uses the slot or the slot holds an open connection.
+fn is_in_use(slot: &Slot) -> bool {
     if Arc::strong_count(slot) > 1 {
         return true;
     }
@@ -147,20 +148,20 @@
 /// A stream for one call.
 struct Stream {
     connection: Connection,
-    send: Sending,
+    send: SendHalf,
     recv: RecvStream,
 }
 
-/// The sending half of a call. Dropped before its end it is reset, because a stream that is merely
-/// dropped counts as finished and the peer would take the part for the whole.
-struct Sending {
+/// The sending half of a call. Resets the stream if dropped before it is finished, because quinn
+/// finishes a dropped stream and the peer would take the partial frame for a whole one.
+struct SendHalf {
     stream: SendStream,
     finished: bool,
 }
 
-impl Sending {
-    fn open(stream: SendStream) -> Sending {
-        Sending { stream, finished: false }
+impl SendHalf {
+    fn open(stream: SendStream) -> SendHalf {
+        SendHalf { stream, finished: false }
     }
 
     async fn send(&mut self, frame: &[u8]) -> Result<(), WriteError> {
@@ -170,39 +171,39 @@
     }
 }
 
-impl Drop for Sending {
+impl Drop for SendHalf {
     fn drop(&mut self) {
         if !self.finished {
-            let _ = self.stream.reset(serve::GIVEN_UP);
+            let _ = self.stream.reset(serve::CANCELLED);
         }
     }
 }
 
-/// Sends the frame and reads the reply. From here on a failure leaves the call's fate unknown,
-/// unless the peer itself said that it did not act on it.
+/// Sends the frame and reads the reply. From here on a failure leaves the outcome of the call
+/// unknown, unless the peer reports that it did not act on it.
 async fn exchange(
-    mut send: Sending,
+    mut send: SendHalf,
     mut recv: RecvStream,
     frame: Vec<u8>,
 ) -> Result<peer::Reply, Error> {
     if let Err(error) = send.send(&frame).await {
-        // A peer that refuses stops the stream first; its reset then tells why.
+        // A peer that refuses a call stops this stream; the reset of the other half has the reason.
         if !matches!(error, WriteError::Stopped(_)) {
             return Err(Error::Unknown(error.to_string()));
         }
     }
-    let bytes = recv.read_to_end(frame::MAX).await.map_err(read_failed)?;
+    let bytes = recv.read_to_end(frame::MAX_BYTES).await.map_err(read_error)?;
     frame::decode(&bytes).map_err(|error| Error::Unknown(error.to_string()))
 }
 
-fn read_failed(error: ReadToEndError) -> Error {
+fn read_error(error: ReadToEndError) -> Error {
     match error {
-        ReadToEndError::Read(ReadError::Reset(code)) => reset(code),
+        ReadToEndError::Read(ReadError::Reset(code)) => reset_error(code),
         other => Error::Unknown(other.to_string()),
     }
 }
 
-fn reset(code: VarInt) -> Error {
+fn reset_error(code: VarInt) -> Error {
     match code {
         serve::BUSY => Error::Refused("it has too many calls".to_owned()),
         serve::STOPPING => Error::Refused("it is stopping".to_owned()),
@@ -211,16 +212,17 @@
     }
 }
 
-fn before_sending(error: &ConnectionError) -> Error {
+fn connect_error(error: &ConnectionError) -> Error {
     if is_refusal(error) { Error::Refused(error.to_string()) } else { unsent(error) }
 }
 
-/// Tells whether the peer ended the handshake, so that it surely read nothing of what was sent.
+/// Returns `true` if the peer aborted the handshake, which means that it read none of the data
+/// sent.
 ///
-/// It checks our certificate only after we count the connection as made, so the refusal may come
-/// when a call is on its way already. Once the peer has confirmed the handshake, an alert tells
-/// nothing about the calls.
-fn was_never_served(connection: &Connection, reason: &ConnectionError) -> bool {
+/// The peer verifies our certificate only after the connection is established on our side, so the
+/// refusal may arrive when a call has already been sent. Once the peer has confirmed the handshake,
+/// an alert says nothing about the calls.
+fn handshake_refused(connection: &Connection, reason: &ConnectionError) -> bool {
     is_refusal(reason) && connection.stats().frame_rx.handshake_done == 0
 }
 
--- a/crates/peer/src/serve.rs
+++ b/crates/peer/src/serve.rs
@@ -1,4 +1,5 @@
-//! The taking of calls: a bound on all that is unanswered, and an end to what stalls.
+//! Server side of a node: accepts connections and calls, with a limit on unanswered calls and a
+//! timeout for stalled streams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,38 +21,42 @@
 use crate::node::Count;
 use crate::node::Incoming;
 
-/// Code of a refusal: too many calls are unanswered here.
+/// Stream error code of a refusal: too many calls are unanswered here.
 pub(crate) const BUSY: VarInt = VarInt::from_u32(1);
-/// Code of a refusal: this process is stopping.
+/// Stream error code of a refusal: this process is shutting down.
 pub(crate) const STOPPING: VarInt = VarInt::from_u32(2);
-/// Code of a refusal: the call can't be read.
+/// Stream error code of a refusal: the call can't be decoded.
 pub(crate) const MALFORMED: VarInt = VarInt::from_u32(3);
-/// Code of a call that was taken and never answered; its fate is unknown.
+/// Stream error code of a call that was accepted and not answered; its outcome is unknown.
 pub(crate) const UNANSWERED: VarInt = VarInt::from_u32(4);
-/// Code of a stream given up by the caller.
-pub(crate) const GIVEN_UP: VarInt = VarInt::from_u32(5);
+/// Stream error code of a call that the caller cancelled.
+pub(crate) const CANCELLED: VarInt = VarInt::from_u32(5);
 
-/// Connections that may be open or in their handshake at once. Far above the number of our own
-/// processes, which are the only ones that get past the handshake.
-const CONNECTIONS: usize = 4096;
+/// Maximum number of connections, those in their handshake included. Far above the number of our
+/// own processes, since only these complete the handshake.
+const MAX_CONNECTIONS: usize = 4096;
 
-/// Lets in as many calls as may be unanswered at once.
+/// Limits the number of unanswered calls.
 #[derive(Debug)]
-pub(crate) struct Gate {
+pub(crate) struct Limiter {
     permits: Arc<Semaphore>,
-    calls: u32,
+    max_calls: u32,
     timeout: Duration,
     sender: mpsc::Sender<Incoming>,
     peers_refused: AtomicU64,
     calls_refused: AtomicU64,
 }
 
-impl Gate {
-    pub(crate) fn open(calls: usize, timeout: Duration, sender: mpsc::Sender<Incoming>) -> Gate {
-        let calls = calls.clamp(1, u32::MAX as usize).min(Semaphore::MAX_PERMITS);
-        Gate {
-            permits: Arc::new(Semaphore::new(calls)),
-            calls: calls as u32,
+impl Limiter {
+    pub(crate) fn open(
+        max_calls: usize,
+        timeout: Duration,
+        sender: mpsc::Sender<Incoming>,
+    ) -> Limiter {
+        let max_calls = max_calls.clamp(1, u32::MAX as usize).min(Semaphore::MAX_PERMITS);
+        Limiter {
+            permits: Arc::new(Semaphore::new(max_calls)),
+            max_calls: max_calls as u32,
             timeout,
             sender,
             peers_refused: AtomicU64::new(0),
@@ -59,17 +64,17 @@
         }
     }
 
-    /// Refuses every call from now on.
-    pub(crate) fn shut(&self) {
+    /// Refuses all further calls.
+    pub(crate) fn close(&self) {
         self.permits.close();
     }
 
-    /// Refuses new calls and waits for the end of those taken.
+    /// Refuses new calls and waits until the accepted ones have ended.
     pub(crate) async fn drain(&self) {
-        // The semaphore is fair: once these permits are waited for, no later call gets one.
-        let Ok(all) = self.permits.acquire_many(self.calls).await else { return };
+        // The semaphore is fair: once this task waits for all permits, no later call gets one.
+        let Ok(all) = self.permits.acquire_many(self.max_calls).await else { return };
         all.forget();
-        self.shut();
+        self.close();
     }
 
     pub(crate) fn count(&self) -> Count {
@@ -79,10 +84,10 @@
         }
     }
 
-    fn enter(&self) -> Result<OwnedSemaphorePermit, VarInt> {
-        self.permits.clone().try_acquire_owned().map_err(|refusal| {
+    fn admit(&self) -> Result<OwnedSemaphorePermit, VarInt> {
+        self.permits.clone().try_acquire_owned().map_err(|error| {
             self.calls_refused.fetch_add(1, Ordering::Relaxed);
-            match refusal {
+            match error {
                 tokio::sync::TryAcquireError::NoPermits => BUSY,
                 tokio::sync::TryAcquireError::Closed => STOPPING,
             }
@@ -90,58 +95,58 @@
     }
 }
 
-/// Takes connections until the endpoint is closed.
-pub(crate) async fn listen(endpoint: quinn::Endpoint, gate: Arc<Gate>) {
+/// Accepts connections until the endpoint is closed.
+pub(crate) async fn listen(endpoint: quinn::Endpoint, limiter: Arc<Limiter>) {
     let mut connections = JoinSet::new();
     while let Some(incoming) = endpoint.accept().await {
         while connections.try_join_next().is_some() {}
-        if connections.len() >= CONNECTIONS {
+        if connections.len() >= MAX_CONNECTIONS {
             incoming.refuse();
             continue;
         }
-        connections.spawn(welcome(incoming, gate.clone()));
+        connections.spawn(handle_connection(incoming, limiter.clone()));
     }
 }
 
-async fn welcome(incoming: quinn::Incoming, gate: Arc<Gate>) {
+async fn handle_connection(incoming: quinn::Incoming, limiter: Arc<Limiter>) {
     match incoming.await {
-        Ok(connection) => serve(connection, gate).await,
+        Ok(connection) => serve(connection, limiter).await,
         Err(ConnectionError::TransportError(_)) => {
-            gate.peers_refused.fetch_add(1, Ordering::Relaxed);
+            limiter.peers_refused.fetch_add(1, Ordering::Relaxed);
         }
         Err(_) => {}
     }
 }
 
-/// Takes the calls of one peer. Dropping the set ends every task of this connection.
-async fn serve(connection: quinn::Connection, gate: Arc<Gate>) {
+/// Accepts the calls of one peer. Dropping the `JoinSet` ends every task of this connection.
+async fn serve(connection: quinn::Connection, limiter: Arc<Limiter>) {
     let from = connection.remote_address();
     let mut calls = JoinSet::new();
     while let Ok((send, recv)) = connection.accept_bi().await {
         while calls.try_join_next().is_some() {}
-        match gate.enter() {
+        match limiter.admit() {
             Ok(permit) => {
-                calls.spawn(take(from, send, recv, gate.clone(), permit));
+                calls.spawn(take(from, send, recv, limiter.clone(), permit));
             }
             Err(code) => refuse(send, recv, code),
         }
     }
 }
 
-/// Takes one call from its first byte until its answer has arrived.
+/// Handles one call until the peer has received the reply.
 async fn take(
     from: SocketAddr,
     mut send: SendStream,
     mut recv: RecvStream,
-    gate: Arc<Gate>,
+    limiter: Arc<Limiter>,
     permit: OwnedSemaphorePermit,
 ) {
-    let call = match tokio::time::timeout(gate.timeout, receive(&mut recv)).await {
+    let call = match tokio::time::timeout(limiter.timeout, read_call(&mut recv)).await {
         Ok(Some(call)) => call,
         Ok(None) | Err(_) => return refuse(send, recv, MALFORMED),
     };
     let (incoming, reply) = Incoming::open(from, call);
-    if gate.sender.try_send(incoming).is_err() {
+    if limiter.sender.try_send(incoming).is_err() {
         return refuse(send, recv, STOPPING);
     }
     let reply = tokio::select! {
@@ -149,22 +154,22 @@
         _ = send.stopped() => None,
     };
     match reply.and_then(|reply| frame::encode(&reply).ok()) {
-        Some(frame) => answer(send, &frame, gate.timeout).await,
+        Some(frame) => send_reply(send, &frame, limiter.timeout).await,
         None => reset(&mut send, UNANSWERED),
     }
     drop(permit);
 }
 
-async fn receive(recv: &mut RecvStream) -> Option<peer::Call> {
-    let bytes = recv.read_to_end(frame::MAX).await.ok()?;
+async fn read_call(recv: &mut RecvStream) -> Option<peer::Call> {
+    let bytes = recv.read_to_end(frame::MAX_BYTES).await.ok()?;
     frame::decode(&bytes).ok()
 }
 
-async fn answer(mut send: SendStream, frame: &[u8], timeout: Duration) {
+async fn send_reply(mut send: SendStream, frame: &[u8], timeout: Duration) {
     let written = async {
         send.write_all(frame).await.ok()?;
         send.finish().ok()?;
-        // Resolves once the peer has all of it, so that a drained node has lost no answer.
+        // Resolves once the peer has received everything, so that a drained node loses no reply.
         send.stopped().await.ok()
     };
     if tokio::time::timeout(timeout, written).await.is_err() {
@@ -173,7 +178,7 @@
 }
 
 fn refuse(mut send: SendStream, mut recv: RecvStream, code: VarInt) {
-    // Both fail only on a stream that has ended already.
+    // Both fail only on a stream that has already ended.
     let _ = recv.stop(code);
     reset(&mut send, code);
 }
--- a/crates/peer/tests/identity.rs
+++ b/crates/peer/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Files of certificates and keys, and frames that hold something else than they should.
+//! Certificate and key files, and the decoding of malformed frames.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt as _;
@@ -65,9 +65,9 @@
     empty = { |bytes: &mut Vec<u8>| bytes.clear() },
     unknown_message = { |bytes: &mut Vec<u8>| bytes[0] = 99 },
 )]
-fn a_frame_that_is_not_one_whole_message_is_refused(spoil: fn(&mut Vec<u8>)) {
+fn a_frame_that_is_not_one_whole_message_is_refused(corrupt: fn(&mut Vec<u8>)) {
     let mut bytes = frame::encode(&Call::Pull { after: 300 }).unwrap();
     assert_eq!(frame::decode(&bytes), Ok(Call::Pull { after: 300 }));
-    spoil(&mut bytes);
+    corrupt(&mut bytes);
     assert!(matches!(frame::decode::<Call>(&bytes), Err(frame::Error::Malformed(_))));
 }
--- a/crates/peer/tests/node.rs
+++ b/crates/peer/tests/node.rs
@@ -1,4 +1,4 @@
-//! Calls between nodes over loopback, and what each end is told when they fail.
+//! Calls between nodes over loopback, and the errors that each end gets when they fail.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 use cowslipchute_ports::peer::Reply;
 use tokio::sync::mpsc::Receiver;
 
-const ANY: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
-const LONG: Duration = Duration::from_secs(20);
-const SHORT: Duration = Duration::from_millis(300);
+const LOOPBACK: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(300);
 
 fn open_at(
     address: SocketAddr,
@@ -30,10 +30,10 @@
 }
 
 fn open(identity: &Identity) -> (Node, Receiver<Incoming>) {
-    open_at(ANY.into(), identity, LONG, 8)
+    open_at(LOOPBACK.into(), identity, LONG_TIMEOUT, 8)
 }
 
-/// Answers each pull with one item whose key is the revision asked for.
+/// Answers each pull with one item whose key is the requested revision.
 async fn echo(mut calls: Receiver<Incoming>) {
     while let Some(incoming) = calls.recv().await {
         let reply = reply_to(&incoming.call);
@@ -58,7 +58,7 @@
     Call::Push { items: vec![item], revision: 1, after: 0 }
 }
 
-fn background(node: &Node, to: SocketAddr, call: Call) -> tokio::task::JoinHandle<Outcome> {
+fn spawn_call(node: &Node, to: SocketAddr, call: Call) -> tokio::task::JoinHandle<Outcome> {
     let node = node.clone();
     tokio::spawn(async move { node.call(to, &call).await })
 }
@@ -68,22 +68,22 @@
 #[tokio::test]
 async fn each_caller_gets_the_answer_to_its_own_call() {
     let identity = Identity::generate().unwrap();
-    let (asker, _calls) = open(&identity);
-    let (answerer, mut calls) = open(&identity);
-    let asked: Vec<_> =
-        (0..8).map(|after| background(&asker, answerer.address(), Call::Pull { after })).collect();
-    let mut taken = Vec::new();
-    while taken.len() < asked.len() {
-        taken.push(calls.recv().await.unwrap());
+    let (caller, _calls) = open(&identity);
+    let (callee, mut calls) = open(&identity);
+    let pending: Vec<_> =
+        (0..8).map(|after| spawn_call(&caller, callee.address(), Call::Pull { after })).collect();
+    let mut received = Vec::new();
+    while received.len() < pending.len() {
+        received.push(calls.recv().await.unwrap());
     }
-    // Answered in the reverse of the order in which they came.
-    for incoming in taken.into_iter().rev() {
-        assert_eq!(incoming.from, asker.address());
+    // The calls are answered in reverse order.
+    for incoming in received.into_iter().rev() {
+        assert_eq!(incoming.from, caller.address());
         let reply = reply_to(&incoming.call);
         incoming.answer(reply);
     }
-    for (after, asked) in (0..).zip(asked) {
-        assert_eq!(asked.await.unwrap(), Ok(items(after)));
+    for (after, pending) in (0..).zip(pending) {
+        assert_eq!(pending.await.unwrap(), Ok(items(after)));
     }
 }
 
@@ -92,7 +92,7 @@
     let ours = Authority::generate().unwrap();
     let foreign = Authority::generate().unwrap();
     let (node, mut calls) = open(&ours.issue().unwrap().identity().unwrap());
-    // The stranger accepts us, so that only our own check can keep it out.
+    // The stranger accepts our authority, so only our own check can reject it.
     let accepting = foreign.issue().unwrap().identity_accepting(&[ours.pem()]).unwrap();
     let (stranger, _calls) = open(&accepting);
     let outcome = stranger.call(node.address(), &Call::Pull { after: 1 }).await;
@@ -123,7 +123,7 @@
     let call = Call::Pull { after: 1 };
     assert_eq!(first.call(second.address(), &call).await, Ok(items(1)));
     assert_eq!(second.call(first.address(), &call).await, Ok(items(1)));
-    // Once the old authority is taken away, its certificates are worth nothing.
+    // Certificates of the old authority are rejected once that authority is removed.
     let (third, _calls) = open(&new.issue().unwrap().identity().unwrap());
     let outcome = first.call(third.address(), &call).await;
     assert!(matches!(outcome, Err(Error::Refused(_))), "{outcome:?}");
@@ -132,13 +132,13 @@
 #[tokio::test]
 async fn a_call_over_the_bound_is_refused_at_once() {
     let identity = Identity::generate().unwrap();
-    let (asker, _calls) = open(&identity);
-    let (answerer, mut calls) = open_at(ANY.into(), &identity, LONG, 1);
-    let first = background(&asker, answerer.address(), Call::Pull { after: 1 });
+    let (caller, _calls) = open(&identity);
+    let (callee, mut calls) = open_at(LOOPBACK.into(), &identity, LONG_TIMEOUT, 1);
+    let first = spawn_call(&caller, callee.address(), Call::Pull { after: 1 });
     let held = calls.recv().await.unwrap();
-    let outcome = asker.call(answerer.address(), &Call::Pull { after: 2 }).await;
+    let outcome = caller.call(callee.address(), &Call::Pull { after: 2 }).await;
     assert!(matches!(outcome, Err(Error::Refused(_))), "{outcome:?}");
-    assert_eq!(answerer.count().calls_refused, 1);
+    assert_eq!(callee.count().calls_refused, 1);
     held.answer(items(1));
     assert_eq!(first.await.unwrap(), Ok(items(1)));
 }
@@ -146,34 +146,35 @@
 #[tokio::test]
 async fn a_call_that_was_taken_and_never_answered_is_unknown() {
     let identity = Identity::generate().unwrap();
-    let (asker, _calls) = open(&identity);
-    let (answerer, mut calls) = open(&identity);
-    let asked = background(&asker, answerer.address(), Call::Pull { after: 1 });
+    let (caller, _calls) = open(&identity);
+    let (callee, mut calls) = open(&identity);
+    let pending = spawn_call(&caller, callee.address(), Call::Pull { after: 1 });
     drop(calls.recv().await.unwrap());
-    let outcome = asked.await.unwrap();
+    let outcome = pending.await.unwrap();
     assert!(matches!(outcome, Err(Error::Unknown(_))), "{outcome:?}");
 }
 
 #[tokio::test]
 async fn a_peer_that_ends_during_a_call_leaves_it_unknown_and_its_successor_is_reached() {
     let identity = Identity::generate().unwrap();
-    let (asker, _calls) = open(&identity);
-    let (answerer, mut calls) = open(&identity);
-    let address = answerer.address();
-    let asked = background(&asker, address, Call::Pull { after: 1 });
+    let (caller, _calls) = open(&identity);
+    let (callee, mut calls) = open(&identity);
+    let address = callee.address();
+    let pending = spawn_call(&caller, address, Call::Pull { after: 1 });
     let _held = calls.recv().await.unwrap();
-    drop(answerer);
-    let outcome = asked.await.unwrap();
+    drop(callee);
+    let outcome = pending.await.unwrap();
     assert!(matches!(outcome, Err(Error::Unknown(_))), "{outcome:?}");
     assert!(calls.recv().await.is_none(), "a dropped node ends its tasks");
     let (_successor, calls) = reopen(address, &identity).await;
     tokio::spawn(echo(calls));
-    assert_eq!(asker.call(address, &Call::Pull { after: 2 }).await, Ok(items(2)));
+    assert_eq!(caller.call(address, &Call::Pull { after: 2 }).await, Ok(items(2)));
 }
 
-/// Waits until the former node's socket is free.
+/// Opens a node once the socket of the previous one is free.
 async fn reopen(address: SocketAddr, identity: &Identity) -> (Node, Receiver<Incoming>) {
-    let settings = Settings { address, identity: identity.clone(), call_timeout: LONG, calls: 8 };
+    let settings =
+        Settings { address, identity: identity.clone(), call_timeout: LONG_TIMEOUT, calls: 8 };
     loop {
         match Node::open(settings.clone()) {
             Ok(opened) => return opened,
@@ -185,21 +186,21 @@
 #[tokio::test]
 async fn a_peer_that_is_gone_gets_nothing() {
     let identity = Identity::generate().unwrap();
-    let (asker, _calls) = open_at(ANY.into(), &identity, SHORT, 8);
-    let socket = std::net::UdpSocket::bind(SocketAddr::from(ANY)).unwrap();
-    let outcome = asker.call(socket.local_addr().unwrap(), &Call::Pull { after: 1 }).await;
+    let (caller, _calls) = open_at(LOOPBACK.into(), &identity, SHORT_TIMEOUT, 8);
+    let socket = std::net::UdpSocket::bind(SocketAddr::from(LOOPBACK)).unwrap();
+    let outcome = caller.call(socket.local_addr().unwrap(), &Call::Pull { after: 1 }).await;
     assert!(matches!(outcome, Err(Error::Unsent(_))), "{outcome:?}");
 }
 
 #[tokio::test]
 async fn a_late_answer_is_dropped_and_never_given_to_another_call() {
     let identity = Identity::generate().unwrap();
-    let (asker, _calls) = open_at(ANY.into(), &identity, SHORT, 8);
-    let (answerer, mut calls) = open(&identity);
-    let outcome = asker.call(answerer.address(), &Call::Pull { after: 1 }).await;
+    let (caller, _calls) = open_at(LOOPBACK.into(), &identity, SHORT_TIMEOUT, 8);
+    let (callee, mut calls) = open(&identity);
+    let outcome = caller.call(callee.address(), &Call::Pull { after: 1 }).await;
     assert!(matches!(outcome, Err(Error::Unknown(_))), "{outcome:?}");
     let late = calls.recv().await.unwrap();
-    let next = background(&asker, answerer.address(), Call::Pull { after: 2 });
+    let next = spawn_call(&caller, callee.address(), Call::Pull { after: 2 });
     late.answer(items(1));
     let incoming = calls.recv().await.unwrap();
     assert_eq!(incoming.call, Call::Pull { after: 2 });
@@ -210,24 +211,24 @@
 #[tokio::test]
 async fn a_message_over_the_limit_is_not_sent() {
     let identity = Identity::generate().unwrap();
-    let (asker, _calls) = open(&identity);
-    let (answerer, calls) = open(&identity);
+    let (caller, _calls) = open(&identity);
+    let (callee, calls) = open(&identity);
     tokio::spawn(echo(calls));
-    let within = asker.call(answerer.address(), &push(frame::MAX - 64)).await;
+    let within = caller.call(callee.address(), &push(frame::MAX_BYTES - 64)).await;
     assert_eq!(within, Ok(Reply::Misdirected));
-    let over = asker.call(answerer.address(), &push(frame::MAX)).await;
+    let over = caller.call(callee.address(), &push(frame::MAX_BYTES)).await;
     assert!(matches!(over, Err(Error::Unsent(_))), "{over:?}");
 }
 
 #[tokio::test]
 async fn a_call_given_up_half_way_never_arrives() {
     let identity = Identity::generate().unwrap();
-    let (asker, _calls) = open(&identity);
-    let (answerer, mut calls) = open(&identity);
+    let (caller, _calls) = open(&identity);
+    let (callee, mut calls) = open(&identity);
     let mut given_up = 0;
     for polls in (1..40).step_by(3) {
-        let call = push(frame::MAX - 64);
-        let mut half = Box::pin(asker.call(answerer.address(), &call));
+        let call = push(frame::MAX_BYTES - 64);
+        let mut half = Box::pin(caller.call(callee.address(), &call));
         for _ in 0..polls {
             tokio::select! {
                 biased;
@@ -236,10 +237,10 @@
             }
         }
         drop(half);
-        let next = background(&asker, answerer.address(), Call::Pull { after: polls });
+        let next = spawn_call(&caller, callee.address(), Call::Pull { after: polls });
         let mut incoming = calls.recv().await.unwrap();
         if incoming.call == call {
-            // It was given up only after all of it had been sent.
+            // The call was cancelled only after all of it had been sent.
             incoming = calls.recv().await.unwrap();
         } else {
             given_up += 1;
@@ -254,31 +255,31 @@
 #[tokio::test]
 async fn a_draining_node_answers_what_it_took_and_refuses_the_rest() {
     let identity = Identity::generate().unwrap();
-    let (asker, _calls) = open(&identity);
-    let (answerer, mut calls) = open(&identity);
-    let address = answerer.address();
-    let asked = background(&asker, address, Call::Pull { after: 1 });
+    let (caller, _calls) = open(&identity);
+    let (callee, mut calls) = open(&identity);
+    let address = callee.address();
+    let pending = spawn_call(&caller, address, Call::Pull { after: 1 });
     let held = calls.recv().await.unwrap();
     let draining = tokio::spawn(async move {
-        let drained = answerer.drain(LONG).await;
-        drop(answerer);
+        let drained = callee.drain(LONG_TIMEOUT).await;
+        drop(callee);
         drained
     });
-    // Calls that come before the drain has begun are answered; then every one is refused.
+    // Calls are answered until the drain begins; every later one is refused.
     let refused = loop {
-        let asked = background(&asker, address, Call::Pull { after: 2 });
+        let pending = spawn_call(&caller, address, Call::Pull { after: 2 });
         tokio::select! {
             Some(early) = calls.recv() => early.answer(items(2)),
             () = tokio::task::yield_now() => {}
         }
-        match asked.await.unwrap() {
+        match pending.await.unwrap() {
             Ok(_) => {}
             refused => break refused,
         }
     };
     assert!(matches!(refused, Err(Error::Refused(_))), "{refused:?}");
     held.answer(items(1));
-    assert_eq!(asked.await.unwrap(), Ok(items(1)), "a planned stop cuts off no call");
+    assert_eq!(pending.await.unwrap(), Ok(items(1)), "draining interrupts no accepted call");
     assert!(draining.await.unwrap());
 }
 
@@ -286,18 +287,19 @@
 fn a_peer_that_was_killed_costs_one_call_and_its_successor_is_reached() {
     let runtime = || tokio::runtime::Builder::new_multi_thread().enable_all().build().unwrap();
     let identity = Identity::generate().unwrap();
-    let (here, there) = (runtime(), runtime());
-    let (asker, _calls) = here.block_on(async { open_at(ANY.into(), &identity, SHORT, 8) });
-    let (answerer, calls) = there.block_on(async { open(&identity) });
-    let address = answerer.address();
-    there.spawn(echo(calls));
-    let call = |after| here.block_on(asker.call(address, &Call::Pull { after }));
+    let (local_runtime, remote_runtime) = (runtime(), runtime());
+    let (caller, _calls) =
+        local_runtime.block_on(async { open_at(LOOPBACK.into(), &identity, SHORT_TIMEOUT, 8) });
+    let (callee, calls) = remote_runtime.block_on(async { open(&identity) });
+    let address = callee.address();
+    remote_runtime.spawn(echo(calls));
+    let call = |after| local_runtime.block_on(caller.call(address, &Call::Pull { after }));
     assert_eq!(call(1), Ok(items(1)));
-    // Its tasks end where they are, so no connection is closed.
-    there.shutdown_timeout(LONG);
-    drop(answerer);
-    let (_successor, calls) = here.block_on(reopen(address, &identity));
-    here.spawn(echo(calls));
+    // The runtime stops its tasks where they are, so no connection is closed.
+    remote_runtime.shutdown_timeout(LONG_TIMEOUT);
+    drop(callee);
+    let (_successor, calls) = local_runtime.block_on(reopen(address, &identity));
+    local_runtime.spawn(echo(calls));
     assert!(matches!(call(2), Err(Error::Unknown(_))));
     assert_eq!(call(3), Ok(items(3)));
 }
