--- a/crates/follow/src/calls.rs
+++ b/crates/follow/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls to peers that are under way.
+//! Calls to peers in progress.
 
 use std::time::Duration;
 
@@ -14,41 +14,41 @@
 use crate::peers::Peers;
 use crate::settings::Settings;
 
-/// How long a peer may take to answer.
-const CALL_WITHIN: Duration = Duration::from_millis(800);
+/// Timeout of a call to a peer.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What a call was for.
+/// Purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Purpose {
-    /// A page of a pull.
+    /// A request for a page of a pull.
     Pull,
     /// A push of changes.
     Push,
-    /// A look whether the peer answers.
+    /// A check whether the peer answers.
     Probe,
 }
 
-/// A call that ended.
+/// The end of a call.
 #[derive(Debug)]
-pub struct Ended {
+pub struct Completion {
     /// The peer that was called.
     pub peer: Peer,
-    /// What for.
+    /// Purpose of the call.
     pub purpose: Purpose,
-    /// Its reply, if there was one in time.
+    /// The reply, if one arrived before the timeout.
     pub reply: Option<Reply>,
 }
 
-/// Calls under way; dropping this gives them up.
+/// Calls in progress; dropping this cancels them.
 #[derive(Debug)]
 pub struct Calls<P> {
     peers: P,
     hello: Call,
-    set: JoinSet<Ended>,
+    tasks: JoinSet<Completion>,
 }
 
 impl<P: Peers> Calls<P> {
-    /// Makes calls through `peers` in the name of this instance.
+    /// Opens a set of calls that are made through `peers` on behalf of this instance.
     pub fn open(peers: P, settings: &Settings) -> Calls<P> {
         let hello = Call::Hello {
             instance: settings.instance.clone(),
@@ -56,10 +56,10 @@
             domain: settings.domain.clone(),
             revision: 0,
         };
-        Calls { peers, hello, set: JoinSet::new() }
+        Calls { peers, hello, tasks: JoinSet::new() }
     }
 
-    /// Asks for a page of a pull.
+    /// Requests a page of a pull.
     pub fn pull(&mut self, peer: Peer, after: Revision) {
         self.start(peer, Purpose::Pull, Call::Pull { after });
     }
@@ -71,7 +71,7 @@
         self.start(push.peer, Purpose::Push, call);
     }
 
-    /// Starts a look whether the peer answers.
+    /// Starts a check whether the peer answers.
     pub fn probe(&mut self, peer: Peer) {
         let hello = self.hello.clone();
         self.start(peer, Purpose::Probe, hello);
@@ -79,16 +79,16 @@
 
     fn start(&mut self, peer: Peer, purpose: Purpose, call: Call) {
         let peers = self.peers.clone();
-        self.set.spawn_local(async move {
-            let reply = timeout(CALL_WITHIN, peers.call(peer.address, &call)).await;
-            Ended { peer, purpose, reply: reply.ok().and_then(Result::ok) }
+        self.tasks.spawn_local(async move {
+            let reply = timeout(CALL_TIMEOUT, peers.call(peer.address, &call)).await;
+            Completion { peer, purpose, reply: reply.ok().and_then(Result::ok) }
         });
     }
 
-    /// Waits for the end of a call, for ever if none is under way.
-    pub async fn ended(&mut self) -> Ended {
-        match self.set.join_next().await {
-            Some(Ok(ended)) => ended,
+    /// Waits for the end of a call, forever if none is in progress.
+    pub async fn next_completed(&mut self) -> Completion {
+        match self.tasks.join_next().await {
+            Some(Ok(completion)) => completion,
             Some(Err(error)) => std::panic::resume_unwind(error.into_panic()),
             None => std::future::pending().await,
         }
--- a/crates/follow/src/change.rs
+++ b/crates/follow/src/change.rs
@@ -1,4 +1,4 @@
-//! What the process is told.
+//! Notifications to the process.
 
 use cowslipchute_base::id;
 use cowslipchute_base::id::Revision;
@@ -7,8 +7,8 @@
 
 /// A change of the configuration in force at this instance.
 ///
-/// For one resource, revisions rise. Between resources no order is promised: a job may be told of
-/// before its team.
+/// Revisions of one resource increase. The order between resources is unspecified: a job may be
+/// delivered before its team.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     /// A resource was created or replaced.
@@ -29,8 +29,8 @@
         /// Revision of the change.
         revision: Revision,
     },
-    /// Every change up to this revision has been told. The first one means that this instance has
-    /// a configuration and may become ready.
+    /// Every change up to this revision has been delivered. The first of these means that this
+    /// instance has a configuration and may become ready.
     InForce {
         /// The revision.
         revision: Revision,
--- a/crates/follow/src/duty.rs
+++ b/crates/follow/src/duty.rs
@@ -1,4 +1,4 @@
-//! The duty: holds the configuration, keeps it current, answers peers.
+//! The duty that holds the configuration, keeps it current, and answers peers.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 use tokio::sync::watch;
 
 use crate::calls::Calls;
-use crate::calls::Ended;
+use crate::calls::Completion;
 use crate::calls::Purpose;
 use crate::change::Change;
 use crate::follower::Query;
@@ -43,15 +43,15 @@
 use crate::source::Report;
 use crate::source::Source;
 
-/// How soon a full ring is tried again.
-const RETRY: Duration = Duration::from_millis(1);
-/// An instance that has seen no list of instances for so long takes itself for the only one.
-const LIST_WITHIN: Duration = Duration::from_secs(2);
-/// An instance that has learnt nothing from its peers for so long reads the store itself.
-const PEERS_WITHIN: Duration = Duration::from_secs(4);
+/// Delay before a send to a full ring is retried.
+const RING_RETRY_DELAY: Duration = Duration::from_millis(1);
+/// Without a list of instances for this time, an instance assumes that it is the only one.
+const LIST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Without a configuration from its peers for this time, an instance reads the store itself.
+const PEER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The state of the duty.
-pub(crate) struct Following<S, P> {
+pub(crate) struct State<S, P> {
     settings: Settings,
     store: S,
     calls: Option<Calls<P>>,
@@ -68,30 +68,30 @@
 enum Wake {
     Query(Option<Query>),
     Report(Option<Report>),
-    Ended(Ended),
+    Completion(Completion),
     Members,
     Timer,
 }
 
-impl<S: Store, P: Peers> Following<S, P> {
+impl<S: Store, P: Peers> State<S, P> {
     pub(crate) fn open(
         settings: Settings,
         store: S,
         peers: Option<P>,
         members: watch::Receiver<Vec<Member>>,
         changes: ring::Sender<Change>,
-        mark: watch::Sender<Revision>,
+        revision_sender: watch::Sender<Revision>,
     ) -> Self {
-        let me = Peer {
+        let local_peer = Peer {
             instance: settings.instance.clone(),
             incarnation: settings.incarnation,
             domain: settings.domain.clone(),
-            // Never called: this instance only has a place among the others.
+            // Never called: this instance only needs a rank among the others.
             address: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
         };
-        Following {
-            gossip: Gossip::open(me, settings.seed),
-            in_force: InForce::open(changes, mark, settings.logger.clone()),
+        State {
+            gossip: Gossip::open(local_peer, settings.seed),
+            in_force: InForce::open(changes, revision_sender, settings.logger.clone()),
             calls: peers.map(|peers| Calls::open(peers, &settings)),
             settings,
             store,
@@ -104,30 +104,30 @@
         }
     }
 
-    /// Runs until the last handle is dropped or the process stops listening for changes.
+    /// Runs until the last handle is dropped or the process closes the ring of changes.
     pub(crate) async fn run(mut self, mut queries: mpsc::Receiver<Query>) {
-        let seen = self.members.borrow_and_update().clone();
-        self.gossip.set_members(&seen);
+        let members = self.members.borrow_and_update().clone();
+        self.gossip.set_members(&members);
         loop {
             self.tick();
             let flow = self.in_force.flush();
             if flow == Flow::Closed {
                 return;
             }
-            let pause = self.pause(flow);
+            let delay = self.delay(flow);
             let wake = tokio::select! {
                 query = queries.recv() => Wake::Query(query),
                 report = next(&mut self.source) => Wake::Report(report),
-                ended = ended(&mut self.calls) => Wake::Ended(ended),
-                () = changed(&mut self.members) => Wake::Members,
-                () = tokio::time::sleep(pause) => Wake::Timer,
+                completion = next_completion(&mut self.calls) => Wake::Completion(completion),
+                () = members_changed(&mut self.members) => Wake::Members,
+                () = tokio::time::sleep(delay) => Wake::Timer,
             };
             match wake {
                 Wake::Query(None) => return,
                 Wake::Query(Some(query)) => self.answer(query),
                 Wake::Report(Some(report)) => self.report(report),
                 Wake::Report(None) => self.source = None,
-                Wake::Ended(ended) => self.ended(ended),
+                Wake::Completion(completion) => self.handle_completion(completion),
                 Wake::Members => {
                     let members = self.members.borrow_and_update().clone();
                     self.gossip.set_members(&members);
@@ -137,12 +137,12 @@
         }
     }
 
-    fn pause(&self, flow: Flow) -> Duration {
+    fn delay(&self, flow: Flow) -> Duration {
         let due = self.gossip.next_due().saturating_sub(self.clock.now());
-        if flow == Flow::Waiting { due.min(RETRY) } else { due }
+        if flow == Flow::Waiting { due.min(RING_RETRY_DELAY) } else { due }
     }
 
-    /// Starts the calls that are due, and the watch if it is for this instance to hold.
+    /// Starts the calls that are due, and the watch if this instance should hold it.
     fn tick(&mut self) {
         self.choose_source();
         let now = self.clock.now();
@@ -161,28 +161,30 @@
     }
 
     fn choose_source(&mut self) {
-        let wanted = self.wanted();
-        if self.source.as_ref().map(|(mode, _)| *mode) == wanted {
+        let desired = self.desired_mode();
+        if self.source.as_ref().map(|(mode, _)| *mode) == desired {
             return;
         }
         let open = |mode| {
-            let mark = self.in_force.subscribe();
-            (mode, Source::open(self.store.clone(), mark, mode, self.settings.seed))
+            let revisions = self.in_force.subscribe();
+            (mode, Source::open(self.store.clone(), revisions, mode, self.settings.seed))
         };
-        self.source = wanted.map(open);
+        self.source = desired.map(open);
     }
 
-    /// Only the holder of the domain's watch goes to the store; the others learn from it, also when
-    /// they start, so that a fleet that starts at once reads the store once for each domain. Without
-    /// a list it can't be told yet who the holder is.
-    fn wanted(&self) -> Option<Mode> {
+    /// Returns how this instance should read the store, if at all.
+    ///
+    /// Only the holder of the domain's watch reads the store; the other instances pull from their
+    /// peers, also at startup, so that a fleet that starts at once reads the store once per failure
+    /// domain. The holder is unknown until there is a list of instances.
+    fn desired_mode(&self) -> Option<Mode> {
         let now = self.clock.now();
-        let listed = !self.members.borrow().is_empty() || now >= LIST_WITHIN;
+        let listed = !self.members.borrow().is_empty() || now >= LIST_TIMEOUT;
         if self.calls.is_none() || (listed && self.gossip.holds_watch()) {
             return Some(Mode::Watch);
         }
-        let unserved = self.in_force.revision() == 0 && now >= PEERS_WITHIN;
-        unserved.then_some(Mode::Once)
+        let without_config = self.in_force.revision() == 0 && now >= PEER_TIMEOUT;
+        without_config.then_some(Mode::Once)
     }
 
     fn report(&mut self, report: Report) {
@@ -192,7 +194,11 @@
                 self.apply(batch);
             }
             Report::Lost(error) => {
-                slog::debug!(self.settings.logger, "the store"; "error" => %error);
+                slog::debug!(
+                    self.settings.logger,
+                    "reading the configuration from the store failed";
+                    "error" => %error
+                );
                 self.set_store_lost(true);
             }
         }
@@ -206,19 +212,19 @@
         }
     }
 
-    fn ended(&mut self, ended: Ended) {
-        let Some(reply) = ended.reply else { return self.call_failed(&ended.peer) };
-        if self.gossip.answered(&ended.peer) {
-            log_peer(&self.settings.logger, Event::PeerFound, &ended.peer);
+    fn handle_completion(&mut self, completion: Completion) {
+        let Some(reply) = completion.reply else { return self.call_failed(&completion.peer) };
+        if self.gossip.answered(&completion.peer) {
+            log_peer(&self.settings.logger, Event::PeerFound, &completion.peer);
         }
-        match (ended.purpose, reply) {
+        match (completion.purpose, reply) {
             (Purpose::Pull, Reply::Items { items, revision, whole }) => {
                 let step = self.pulls.receive(items, revision, whole);
-                self.pulled(ended.peer, step);
+                self.apply_pull_step(completion.peer, step);
             }
-            (Purpose::Pull, _) => self.pulls.failed(&ended.peer),
+            (Purpose::Pull, _) => self.pulls.failed(&completion.peer),
             (Purpose::Push, _) => {
-                let push = self.pushes.accepted(self.in_force.held(), &ended.peer);
+                let push = self.pushes.accepted(self.in_force.replica(), &completion.peer);
                 self.push(push);
             }
             (Purpose::Probe, _) => {}
@@ -233,7 +239,7 @@
         }
     }
 
-    fn pulled(&mut self, peer: Peer, step: Option<Step>) {
+    fn apply_pull_step(&mut self, peer: Peer, step: Option<Step>) {
         match (step, &mut self.calls) {
             (Some(Step::Ask(after)), Some(calls)) => calls.pull(peer, after),
             (Some(Step::Apply(batch)), _) => {
@@ -250,12 +256,12 @@
     }
 
     fn apply(&mut self, batch: Batch) {
-        let last_change = self.in_force.held().last_change();
+        let last_change = self.in_force.replica().last_change();
         if self.in_force.apply(batch) == Continuity::Gap {
             self.gossip.request_pull(self.clock.now());
         }
-        let held = self.in_force.held();
-        let pushes = self.pushes.changed(held, last_change, self.gossip.children());
+        let replica = self.in_force.replica();
+        let pushes = self.pushes.changed(replica, last_change, self.gossip.children());
         self.push(pushes);
     }
 
@@ -265,13 +271,13 @@
     }
 
     fn answer(&mut self, query: Query) {
-        // Whoever asked may have given up waiting, which harms nothing.
+        // The sender of the query may have stopped waiting; the reply is then dropped.
         match query {
             Query::Peer { call, reply } => {
                 let _ = reply.send(self.reply(call));
             }
             Query::Since { after, reply } => {
-                let _ = reply.send(self.in_force.held().since(after));
+                let _ = reply.send(self.in_force.replica().since(after));
             }
         }
     }
@@ -286,7 +292,7 @@
             },
             Call::Pull { after } => {
                 let Page { batch, lacks_removals, .. } =
-                    self.in_force.held().page(after, PAGE_BYTES);
+                    self.in_force.replica().page(after, PAGE_BYTES);
                 Reply::Items { items: batch.items, revision: batch.revision, whole: lacks_removals }
             }
             Call::Push { items, revision, after } => {
@@ -302,7 +308,7 @@
     log::emit(logger, event, o!("peer" => peer.instance.to_string()));
 }
 
-/// Waits for the next report, for ever if there is no source.
+/// Waits for the next report, forever if there is no source.
 async fn next(source: &mut Option<(Mode, Source)>) -> Option<Report> {
     match source {
         Some((_, source)) => source.recv().await,
@@ -310,16 +316,16 @@
     }
 }
 
-/// Waits for the end of a call, for ever if there are no peers to call.
-async fn ended<P: Peers>(calls: &mut Option<Calls<P>>) -> Ended {
+/// Waits for the end of a call, forever if there are no peers to call.
+async fn next_completion<P: Peers>(calls: &mut Option<Calls<P>>) -> Completion {
     match calls {
-        Some(calls) => calls.ended().await,
+        Some(calls) => calls.next_completed().await,
         None => std::future::pending().await,
     }
 }
 
-/// Waits for another list, for ever once the process has stopped reading it.
-async fn changed(members: &mut watch::Receiver<Vec<Member>>) {
+/// Waits for a new list of instances, forever once the process no longer provides it.
+async fn members_changed(members: &mut watch::Receiver<Vec<Member>>) {
     if members.changed().await.is_err() {
         std::future::pending().await
     }
--- a/crates/follow/src/follower.rs
+++ b/crates/follow/src/follower.rs
@@ -1,4 +1,4 @@
-//! The running follower and the handle by which the process lets peers be answered.
+//! The running follower, and the handle through which the process queries it and answers peers.
 
 use std::io;
 
@@ -16,23 +16,24 @@
 use tokio::sync::watch;
 
 use crate::change::Change;
-use crate::duty::Following;
+use crate::duty::State;
 use crate::peers::Peers;
 use crate::settings::Settings;
 
-/// Calls of peers that may wait for the duty; more are dropped, and the peer asks again.
+/// Capacity of the queue of calls from peers. Calls to a full queue are dropped and the peer
+/// retries.
 const QUEUE: usize = 256;
 
-/// A question that waits for its answer.
+/// A query to the duty.
 #[derive(Debug)]
 pub(crate) enum Query {
     /// A peer's call.
     Peer { call: Call, reply: oneshot::Sender<Reply> },
-    /// The process itself asks what changed.
+    /// A request of the process for the changes after a revision.
     Since { after: Revision, reply: oneshot::Sender<Batch> },
 }
 
-/// The way to the duty from the process's other duties. The duty ends when the last one is dropped.
+/// Handle to the duty for the process's other duties. The duty ends when the last one is dropped.
 #[derive(Clone, Debug)]
 pub struct Handle {
     queries: mpsc::Sender<Query>,
@@ -40,8 +41,8 @@
 }
 
 impl Handle {
-    /// Answers a peer's `Hello`, `Pull` or `Push`; nothing for another call, or when the duty has
-    /// ended or is behind by its whole queue.
+    /// Answers a peer's `Hello`, `Pull` or `Push`. Returns `None` for another call, or when the
+    /// duty has ended or its queue is full.
     pub async fn answer(&self, call: Call) -> Option<Reply> {
         if !matches!(call, Call::Hello { .. } | Call::Pull { .. } | Call::Push { .. }) {
             return None;
@@ -51,8 +52,8 @@
         answer.await.ok()
     }
 
-    /// Returns what changed here after a revision, or everything if not every removal since then is
-    /// known; nothing when the duty has ended or is behind by its whole queue.
+    /// Returns the changes after a revision, or the whole configuration if some removals since then
+    /// are unknown. Returns `None` when the duty has ended or its queue is full.
     pub async fn since(&self, after: Revision) -> Option<Batch> {
         let (reply, answer) = oneshot::channel();
         self.queries.try_send(Query::Since { after, reply }).ok()?;
@@ -64,7 +65,7 @@
         *self.in_force.borrow()
     }
 
-    /// Returns a receiver that is told of each revision that comes into force here.
+    /// Returns a receiver of the revision in force here.
     pub fn watch(&self) -> watch::Receiver<Revision> {
         self.in_force.clone()
     }
@@ -83,20 +84,20 @@
         self.handle.clone()
     }
 
-    /// Gives up this handle and waits until the duty has ended, which it does when the last handle
-    /// is dropped or the ring of changes is closed.
+    /// Drops this handle and waits until the duty has ended, which happens when the last handle is
+    /// dropped or the ring of changes is closed.
     pub fn join(self) {
         drop(self.handle);
         self.duty.join();
     }
 }
 
-/// Starts following. `members` is the process's view of the list of instances; `peers` makes the
-/// calls, and without it only the store is followed.
+/// Starts the duty. `members` is the process's view of the list of instances; `peers` makes the
+/// calls, and without it the configuration comes from the store only.
 ///
 /// # Errors
 ///
-/// When the system refuses the thread.
+/// When the system can't create the thread.
 pub fn spawn<S: Store, P: Peers>(
     settings: Settings,
     store: S,
@@ -105,10 +106,10 @@
     changes: ring::Sender<Change>,
 ) -> io::Result<Follower> {
     let (queries, inbox) = mpsc::channel(QUEUE);
-    let (mark, in_force) = watch::channel(0);
+    let (revision_sender, in_force) = watch::channel(0);
     let duty = duty::spawn("follow", move || {
-        let following = Following::open(settings, store, peers, members, changes, mark);
-        following.run(inbox)
+        let state = State::open(settings, store, peers, members, changes, revision_sender);
+        state.run(inbox)
     })?;
     Ok(Follower { handle: Handle { queries, in_force }, duty })
 }
--- a/crates/follow/src/in_force.rs
+++ b/crates/follow/src/in_force.rs
@@ -1,4 +1,4 @@
-//! What is in force, and telling the process of it.
+//! The configuration in force, and the notifications about it.
 
 use cowslipchute_base::event::Event;
 use cowslipchute_base::id::Revision;
@@ -15,45 +15,45 @@
 use crate::outbox::Flow;
 use crate::outbox::Outbox;
 
-/// The configuration in force, and the ways to those who want to know.
+/// The configuration in force, with the channels to its subscribers.
 #[derive(Debug)]
 pub struct InForce {
-    held: Replica,
+    replica: Replica,
     outbox: Outbox,
-    mark: watch::Sender<Revision>,
+    revision_sender: watch::Sender<Revision>,
     logger: Logger,
 }
 
 impl InForce {
-    /// Holds nothing yet.
+    /// Opens an empty configuration.
     pub fn open(
         changes: ring::Sender<Change>,
-        mark: watch::Sender<Revision>,
+        revision_sender: watch::Sender<Revision>,
         logger: Logger,
     ) -> InForce {
         let outbox = Outbox::open(changes, logger.clone());
-        InForce { held: Replica::default(), outbox, mark, logger }
+        InForce { replica: Replica::default(), outbox, revision_sender, logger }
     }
 
-    /// Returns what is held.
-    pub fn held(&self) -> &Replica {
-        &self.held
+    /// Returns the replica of the configuration.
+    pub fn replica(&self) -> &Replica {
+        &self.replica
     }
 
     /// Returns the revision in force; zero before the first.
     pub fn revision(&self) -> Revision {
-        self.held.in_force()
+        self.replica.in_force()
     }
 
-    /// Follows the revision in force.
+    /// Returns a receiver of the revision in force.
     pub fn subscribe(&self) -> watch::Receiver<Revision> {
-        self.mark.subscribe()
+        self.revision_sender.subscribe()
     }
 
-    /// Takes what is new in a batch and tells of it.
+    /// Applies the new changes of a batch and queues their notifications.
     pub fn apply(&mut self, batch: Batch) -> Continuity {
         let before = self.revision();
-        let applied = self.held.apply(batch);
+        let applied = self.replica.apply(batch);
         let revision = self.revision();
         if applied.continuity == Continuity::Stale {
             log::emit(&self.logger, Event::ConfigIgnored, o!("in_force" => revision));
@@ -64,13 +64,13 @@
         }
         self.outbox.extend(applied.changes);
         if revision > before {
-            self.outbox.reached(revision);
-            self.mark.send_replace(revision);
+            self.outbox.set_in_force(revision);
+            self.revision_sender.send_replace(revision);
         }
         applied.continuity
     }
 
-    /// Moves as much as possible to the process.
+    /// Sends as many notifications as possible to the process.
     pub fn flush(&mut self) -> Flow {
         self.outbox.flush()
     }
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -1,11 +1,10 @@
-//! Follows the configuration: from the store's watch where it can be reached, else from peers.
+//! Replicates the configuration to this instance, from a watch on the store or else from peers.
 //!
-//! One duty holds what is in force at this instance, tells the process of each change through a
-//! ring, and answers peers. The decisions (what is newer, whom to ask) are those of
-//! `cowslipchute-spread`; here is only the I/O that carries them out. What the resources mean is
-//! the business of the process.
+//! One duty holds the configuration in force at this instance, sends each change to the process
+//! through a ring, and answers peers. `cowslipchute-spread` decides what is newer and which peers
+//! to call; this crate only does the I/O. It does not interpret the resources.
 //!
-//! Besides, [`list`] reads the platform's list of instances for all processes alike.
+//! [`list`] reads the platform's list of instances, for all processes.
 
 pub mod change;
 pub mod follower;
--- a/crates/follow/src/list.rs
+++ b/crates/follow/src/list.rs
@@ -1,7 +1,7 @@
-//! Reads the platform's list of instances again and again, at a steady pace.
+//! Polls the platform's list of instances at a fixed interval.
 //!
-//! What a change of the list means is the business of the process; here is only when to read, and
-//! that an older view never replaces a newer one. The ways weighed are in `docs/design/list.md`.
+//! An older view never replaces a newer one. This module does not interpret changes of the list.
+//! `docs/design/list.md` compares the alternatives.
 
 use std::time::Duration;
 
@@ -12,25 +12,25 @@
 use cowslipchute_ports::list::View;
 use tokio::time::Instant;
 
-/// What a read brought.
+/// Result of a read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Read {
-    /// A newer view than any before.
+    /// A newer view than all before.
     Changed(View),
-    /// Nothing new: the last view stays in use.
+    /// The list has not changed; the last view stays in use.
     Unchanged,
-    /// The list can't be read, and could be the time before; the last view stays in use.
+    /// The list can't be read, and the previous read succeeded; the last view stays in use.
     Lost(Error),
     /// The list still can't be read.
     StillLost(Error),
 }
 
-/// Reads the list.
+/// Poller of the list.
 #[derive(Debug)]
 pub struct Reader<L> {
     list: L,
     domains: Vec<Domain>,
-    every: Duration,
+    interval: Duration,
     due: Instant,
     /// The version of the newest view that was read.
     known: Option<Version>,
@@ -38,16 +38,17 @@
 }
 
 impl<L: List> Reader<L> {
-    /// Opens a reader of the given domains, or of all if none is given; the first read is due now
-    /// and each further one `every` after the one before began. It belongs to a runtime's clock.
-    pub fn open(list: L, domains: Vec<Domain>, every: Duration) -> Reader<L> {
-        Reader { list, domains, every, due: Instant::now(), known: None, lost: false }
+    /// Opens a reader of the given failure domains, or of all if none is given. The first read is
+    /// due now and each further one `interval` after the start of the previous one. Uses the clock
+    /// of the current tokio runtime.
+    pub fn open(list: L, domains: Vec<Domain>, interval: Duration) -> Reader<L> {
+        Reader { list, domains, interval, due: Instant::now(), known: None, lost: false }
     }
 
-    /// Waits until a read is due, and reads. If it is given up midway, nothing is lost but that read.
+    /// Waits until a read is due, and reads. Cancelling it skips only that read.
     pub async fn read(&mut self) -> Read {
         tokio::time::sleep_until(self.due).await;
-        self.due = Instant::now() + self.every;
+        self.due = Instant::now() + self.interval;
         let read = self.list.read(&self.domains, self.known).await;
         let was_lost = std::mem::replace(&mut self.lost, read.is_err());
         match read {
--- a/crates/follow/src/outbox.rs
+++ b/crates/follow/src/outbox.rs
@@ -1,7 +1,7 @@
-//! Changes on their way to the process.
+//! Changes waiting to be sent to the process.
 //!
-//! A slow process lets the outbox grow by at most one entry for each key, since only the last
-//! change of a key matters. The ring's refusal is no loss: the entry waits here.
+//! The outbox holds at most one entry per key, because only the last change of a key matters, so a
+//! slow process can't make it grow without bound. An entry stays here while the ring is full.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,25 +18,25 @@
 
 use crate::change::Change;
 
-/// Whether the process still listens.
+/// State of the outbox after a flush.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
-    /// Everything was told.
+    /// Everything was sent.
     Empty,
-    /// The ring is full; try again soon.
+    /// The ring is full; the flush must be retried.
     Waiting,
-    /// The process dropped its end.
+    /// The process dropped its end of the ring.
     Closed,
 }
 
-/// Holds changes until the ring takes them.
+/// Queue of changes in front of the ring.
 #[derive(Debug)]
 pub struct Outbox {
     ring: ring::Sender<Change>,
     logger: Logger,
-    /// The last change of each key that was not told yet.
+    /// The last unsent change of each key.
     pending: BTreeMap<replica::Key, replica::Version>,
-    /// To be told once `pending` is empty.
+    /// Revision to be announced once `pending` is empty.
     in_force: Option<Revision>,
 }
 
@@ -53,20 +53,20 @@
         }
     }
 
-    /// Sets the revision to be told after everything that waits now.
-    pub fn reached(&mut self, revision: Revision) {
+    /// Sets the revision to be announced after all pending changes.
+    pub fn set_in_force(&mut self, revision: Revision) {
         self.in_force = Some(revision);
     }
 
-    /// Moves as much as possible into the ring.
+    /// Sends as many entries as the ring accepts.
     pub fn flush(&mut self) -> Flow {
-        while let Some((key, slot)) = self.pending.pop_first() {
-            let Some(change) = self.read(&key, &slot) else { continue };
+        while let Some((key, version)) = self.pending.pop_first() {
+            let Some(change) = self.decode(&key, &version) else { continue };
             match self.ring.send(change) {
                 Ok(()) => {}
                 Err(ring::SendError::Closed(_)) => return Flow::Closed,
                 Err(ring::SendError::Full(_)) => {
-                    self.pending.insert(key, slot);
+                    self.pending.insert(key, version);
                     return Flow::Waiting;
                 }
             }
@@ -82,25 +82,25 @@
         }
     }
 
-    /// Reads a stored value; one that can't be read is left out, so that the last good one stays in
-    /// force at the process.
-    fn read(&self, key: &replica::Key, slot: &replica::Version) -> Option<Change> {
+    /// Decodes a stored value. An invalid one is skipped, so that the last valid one stays in force
+    /// at the process.
+    fn decode(&self, key: &replica::Key, version: &replica::Version) -> Option<Change> {
         let (kind, name) = key::parse_config(key)?;
         let name: Arc<str> = name.into();
-        let revision = slot.revision;
-        let Some(value) = &slot.value else {
+        let revision = version.revision;
+        let Some(value) = &version.value else {
             return Some(Change::Removed { kind, name, revision });
         };
         match Stored::from_bytes(value) {
             Ok(stored) if stored.resource.spec.kind() == kind => {
                 Some(Change::Put { name, spec: Box::new(stored.resource.spec), revision })
             }
-            Ok(_) => self.refuse(key, revision, "the kind is not the key's"),
-            Err(error) => self.refuse(key, revision, &error.to_string()),
+            Ok(_) => self.reject(key, revision, "the kind is not the key's"),
+            Err(error) => self.reject(key, revision, &error.to_string()),
         }
     }
 
-    fn refuse(&self, key: &replica::Key, revision: Revision, problem: &str) -> Option<Change> {
+    fn reject(&self, key: &replica::Key, revision: Revision, problem: &str) -> Option<Change> {
         let fields =
             o!("key" => key.to_string(), "revision" => revision, "problem" => problem.to_owned());
         log::emit(&self.logger, Event::ConfigInvalid, fields);
--- a/crates/follow/src/peers.rs
+++ b/crates/follow/src/peers.rs
@@ -1,4 +1,4 @@
-//! The calls to peers, as far as following needs them.
+//! The interface through which this crate calls peers.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use cowslipchute_ports::peer::Reply;
 use thiserror::Error;
 
-/// A peer gave no reply.
+/// A call that got no reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Error)]
 #[error("the peer did not answer: {0}")]
@@ -20,7 +20,7 @@
     ///
     /// # Errors
     ///
-    /// When there is no reply; the peer may have obeyed all the same.
+    /// When there is no reply; the peer may still have acted on the call.
     fn call(
         &self,
         address: SocketAddr,
--- a/crates/follow/src/settings.rs
+++ b/crates/follow/src/settings.rs
@@ -1,21 +1,21 @@
-//! What the duty is started with.
+//! Settings of the duty.
 
 use cowslipchute_base::id::Domain;
 use cowslipchute_base::id::Incarnation;
 use cowslipchute_base::id::Instance;
 use slog::Logger;
 
-/// Who follows, and how.
+/// Settings of the duty.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This instance.
     pub instance: Instance,
-    /// Which life of it.
+    /// Incarnation of this instance.
     pub incarnation: Incarnation,
-    /// Where it is.
+    /// Failure domain of this instance.
     pub domain: Domain,
-    /// Seed of the jitter; instances should differ in it.
+    /// Seed of the jitter; it should differ between instances.
     pub seed: u64,
-    /// Where events are logged.
+    /// Logger for events.
     pub logger: Logger,
 }
--- a/crates/follow/src/source.rs
+++ b/crates/follow/src/source.rs
@@ -1,7 +1,7 @@
-//! The watch on the store, kept up through outages.
+//! The watch on the store, reopened after failures.
 //!
-//! A task of its own reads or watches and reports to the duty. It makes one call at a time and
-//! waits between failed ones, so a store that is down gets little from each instance.
+//! A separate task reads or watches the store and reports to the duty. It makes one call at a time,
+//! with backoff after failures, to limit the load on a store that is failing.
 
 use std::time::Duration;
 
@@ -18,32 +18,32 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// How long one read or one opening of a watch may take.
-const CALL_WITHIN: Duration = Duration::from_secs(5);
-/// A watch that brings nothing for so long, not even progress, is opened anew.
+/// Timeout for a read or for opening a watch.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Longest silence of a watch, progress messages included, before it is reopened.
 const SILENCE_MAX: Duration = Duration::from_secs(30);
-/// Wait after the first failure; it doubles with each further one.
+/// Backoff after the first failure; it doubles with each further one.
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
-/// The longest wait.
+/// Maximum backoff.
 const BACKOFF_MAX: Duration = Duration::from_secs(3);
-/// Reports that may wait for the duty.
+/// Capacity of the queue of reports to the duty.
 const QUEUE: usize = 64;
 
-/// What the task reports.
+/// A report of the task.
 #[derive(Debug)]
 pub enum Report {
-    /// The store was read or a watched step arrived.
+    /// The result of a read, or an update of the watch.
     Batch(Batch),
-    /// The store can't be reached; another try follows.
+    /// The store can't be reached; the task retries.
     Lost(kv::Error),
 }
 
-/// How long the task goes on.
+/// When the task ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Until the configuration was read once.
+    /// After the configuration has been read once.
     Once,
-    /// For ever.
+    /// Never; the task watches the store.
     Watch,
 }
 
@@ -55,8 +55,8 @@
 }
 
 impl Source {
-    /// Starts the task on the duty's own thread. `in_force` follows what the duty has in force,
-    /// from wherever it came, so that a watch is opened anew from there.
+    /// Starts the task on the duty's thread. `in_force` is the revision in force, whatever its
+    /// source; a watch is reopened from there.
     pub fn open<S: Store>(
         store: S,
         in_force: watch::Receiver<Revision>,
@@ -69,7 +69,7 @@
         Source { reports, task: tokio::task::spawn_local(task.run()) }
     }
 
-    /// Waits for the next report; nothing once the task has ended.
+    /// Waits for the next report; returns `None` once the task has ended.
     pub async fn recv(&mut self) -> Option<Report> {
         self.reports.recv().await
     }
@@ -81,8 +81,8 @@
     }
 }
 
-/// The duty has gone, so the task ends.
-struct Gone;
+/// The duty has ended, so the task ends too.
+struct Closed;
 
 struct Task<S> {
     store: S,
@@ -97,8 +97,8 @@
     async fn run(mut self) {
         let mut must_read = false;
         loop {
-            let ended = self.step(must_read).await;
-            match ended {
+            let result = self.step(must_read).await;
+            match result {
                 Ok(()) => return,
                 Err(kv::Error::Compacted(_)) => must_read = true,
                 Err(error) => {
@@ -112,13 +112,13 @@
         }
     }
 
-    /// Reads if need be, then watches until the watch ends.
+    /// Reads the store if necessary, then watches it until the watch ends.
     async fn step(&mut self, must_read: bool) -> Result<(), kv::Error> {
         let mut after = *self.in_force.borrow();
         if must_read || after == 0 || self.mode == Mode::Once {
-            let snapshot = within(self.store.read(key::CONFIG)).await?;
+            let snapshot = with_timeout(self.store.read(key::CONFIG)).await?;
             if snapshot.revision == 0 {
-                // Zero stands for "no configuration yet" everywhere, so it can't be one.
+                // Zero means "no configuration yet", so it is not a valid revision.
                 return Err(kv::Error::Protocol(String::from("the store's revision is zero")));
             }
             self.failures = 0;
@@ -130,7 +130,7 @@
                 return Ok(());
             }
         }
-        let updates = within(self.store.watch(key::CONFIG, after)).await?;
+        let updates = with_timeout(self.store.watch(key::CONFIG, after)).await?;
         self.failures = 0;
         self.relay(updates, after).await
     }
@@ -141,8 +141,8 @@
         mut after: Revision,
     ) -> Result<(), kv::Error> {
         loop {
-            let silent = |_| kv::Error::Unavailable(String::from("the watch is silent"));
-            let update = timeout(SILENCE_MAX, updates.recv()).await.map_err(silent)?;
+            let silence_error = |_| kv::Error::Unavailable(String::from("the watch is silent"));
+            let update = timeout(SILENCE_MAX, updates.recv()).await.map_err(silence_error)?;
             let update = update.unwrap_or(kv::Update::Ended(kv::Error::Unavailable(String::from(
                 "the watch was closed",
             ))));
@@ -157,19 +157,19 @@
         }
     }
 
-    async fn report(&self, batch: Batch) -> Result<(), Gone> {
-        self.sender.send(Report::Batch(batch)).await.map_err(|_| Gone)
+    async fn report(&self, batch: Batch) -> Result<(), Closed> {
+        self.sender.send(Report::Batch(batch)).await.map_err(|_| Closed)
     }
 
     async fn back_off(&mut self) {
-        let longest = BACKOFF_MAX.min(BACKOFF_MIN * 2u32.pow(self.failures.min(10)));
+        let max_delay = BACKOFF_MAX.min(BACKOFF_MIN * 2u32.pow(self.failures.min(10)));
         self.failures += 1;
-        let wait = longest.mul_f64(self.rng.random_range(0.5..1.0));
-        tokio::time::sleep(wait).await;
+        let delay = max_delay.mul_f64(self.rng.random_range(0.5..1.0));
+        tokio::time::sleep(delay).await;
     }
 }
 
-async fn within<T>(call: impl Future<Output = Result<T, kv::Error>>) -> Result<T, kv::Error> {
-    let late = |_| kv::Error::Unavailable(String::from("no answer in time"));
-    timeout(CALL_WITHIN, call).await.map_err(late)?
+async fn with_timeout<T>(call: impl Future<Output = Result<T, kv::Error>>) -> Result<T, kv::Error> {
+    let timeout_error = |_| kv::Error::Unavailable(String::from("no answer in time"));
+    timeout(CALL_TIMEOUT, call).await.map_err(timeout_error)?
 }
--- a/crates/follow/tests/spread.rs
+++ b/crates/follow/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Instances that follow the configuration in a stand-in of the store and from each other.
+//! Instances that replicate the configuration from a stand-in store and from each other.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 use cowslipchute_ports::kv::Txn;
 use cowslipchute_ports::list::Member;
 use cowslipchute_ports::list::Role;
-use cowslipchute_ports::list::State as Staying;
+use cowslipchute_ports::list::State as MemberState;
 use cowslipchute_ports::peer::Call;
 use cowslipchute_ports::peer::Reply;
 use cowslipchute_resource::Kind;
@@ -45,14 +45,15 @@
 use cowslipchute_standin::fault::Target;
 use tokio::sync::watch;
 
-const LIMIT: Duration = Duration::from_secs(30);
-const PAUSE: Duration = Duration::from_millis(1);
-const CHANGES: usize = 4;
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+const RING_CAPACITY: usize = 4;
 
 /// The calls between the instances of one test.
 #[derive(Clone, Default)]
 struct Network {
-    /// Nothing for an instance that was killed; one that isn't here yet is waited for.
+    /// `None` for an instance that was killed. Calls to an instance that is not here yet wait for
+    /// it.
     handles: Arc<Mutex<BTreeMap<SocketAddr, Option<Handle>>>>,
 }
 
@@ -66,7 +67,7 @@
             let found = self.handles.lock().expect("not poisoned").get(&address).cloned();
             match found {
                 Some(handle) => return handle,
-                None => tokio::time::sleep(PAUSE).await,
+                None => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
     }
@@ -75,7 +76,7 @@
 impl Peers for Network {
     async fn call(&self, address: SocketAddr, call: &Call) -> Result<Reply, peers::Error> {
         let handle = self.find(address).await;
-        let unreachable = || peers::Error(String::from("nobody is there"));
+        let unreachable = || peers::Error(String::from("the instance is unreachable"));
         handle.ok_or_else(unreachable)?.answer(call.clone()).await.ok_or_else(unreachable)
     }
 }
@@ -84,22 +85,26 @@
     member: Member,
     follower: Follower,
     changes: ring::Receiver<Change>,
-    /// What the process was told: a revision for each service.
-    told: BTreeMap<String, Revision>,
+    /// Revision of each service that the process received.
+    received: BTreeMap<String, Revision>,
     in_force: Revision,
 }
 
 impl Instance {
-    /// Reads what the process was told so far and checks that nothing goes back.
-    fn hear(&mut self) {
+    /// Reads the changes that the process received and checks that revisions never decrease.
+    fn receive_changes(&mut self) {
         while let Look::Value(change) = self.changes.look() {
             match change {
                 Change::Put { name, revision, .. } | Change::Removed { name, revision, .. } => {
-                    let before = self.told.insert(name.to_string(), revision);
-                    assert!(before < Some(revision), "{name} went back at {:?}", self.member);
+                    let before = self.received.insert(name.to_string(), revision);
+                    assert!(
+                        before < Some(revision),
+                        "revision of {name} decreased at {:?}",
+                        self.member
+                    );
                 }
                 Change::InForce { revision } => {
-                    assert!(revision > self.in_force, "what is in force went back");
+                    assert!(revision > self.in_force, "the revision in force decreased");
                     self.in_force = revision;
                 }
             }
@@ -119,7 +124,7 @@
         instance: name.into(),
         incarnation: 1,
         role: Role::Entry,
-        state: Staying::Live,
+        state: MemberState::Live,
         domain: domain.into(),
         rack: "".into(),
         address: SocketAddr::from(([127, 0, 0, 1], 1000 + number as u16)),
@@ -131,13 +136,13 @@
 }
 
 impl<'a> Fleet<'a> {
-    /// Starts `each` instances in each of the domains.
-    fn open(standin: &'a Standin, domains: &[&str], each: usize) -> Fleet<'a> {
+    /// Starts `per_domain` instances in each of the failure domains.
+    fn open(standin: &'a Standin, domains: &[&str], per_domain: usize) -> Fleet<'a> {
         let network = Network::default();
         let members = watch::Sender::new(Vec::new());
         let mut fleet = Fleet { standin, network, members, instances: Vec::new() };
         let places =
-            (0..domains.len() * each).map(|number| (number, domains[number % domains.len()]));
+            (0..domains.len() * per_domain).map(|number| (number, domains[number % domains.len()]));
         let listed = places.clone().map(|(at, domain)| member(&format!("e{at}"), domain, at + 1));
         fleet.members.send_replace(listed.collect());
         for (number, domain) in places {
@@ -148,7 +153,7 @@
 
     fn start(&mut self, name: &str, domain: &str) {
         let member = member(name, domain, self.instances.len() + 1);
-        let (sender, changes) = ring::open(CHANGES);
+        let (sender, changes) = ring::open(RING_CAPACITY);
         let settings = follow::Settings {
             instance: member.instance.clone(),
             incarnation: 1,
@@ -161,34 +166,35 @@
             .with_origin(origin);
         let peers = Some(self.network.clone());
         let listed = self.members.subscribe();
-        let follower = follow::spawn(settings, store, peers, listed, sender).expect("it starts");
+        let follower =
+            follow::spawn(settings, store, peers, listed, sender).expect("the duty starts");
         self.network.set(member.address, Some(follower.handle()));
         self.members.send_modify(|members| {
             members.retain(|listed| listed.instance != member.instance);
             members.push(member.clone());
         });
-        let told = BTreeMap::new();
-        self.instances.push(Instance { member, follower, changes, told, in_force: 0 });
+        let received = BTreeMap::new();
+        self.instances.push(Instance { member, follower, changes, received, in_force: 0 });
     }
 
-    /// Kills an instance; the list goes on showing it.
+    /// Kills an instance; the list still shows it.
     fn kill(&mut self, at: usize) {
         let instance = self.instances.remove(at);
         self.network.set(instance.member.address, None);
         instance.follower.join();
     }
 
-    /// Waits until a revision is in force at every instance and was told to its process.
-    fn until(&mut self, revision: Revision) {
+    /// Waits until every process was notified that a revision is in force.
+    fn wait_for_revision(&mut self, revision: Revision) {
         let start = Instant::now();
         loop {
-            self.instances.iter_mut().for_each(Instance::hear);
+            self.instances.iter_mut().for_each(Instance::receive_changes);
             if self.instances.iter().all(|instance| instance.in_force >= revision) {
                 return;
             }
             let state: Vec<_> = self.instances.iter().map(|instance| instance.in_force).collect();
-            assert!(start.elapsed() < LIMIT, "{revision} is not in force: {state:?}");
-            std::thread::sleep(PAUSE);
+            assert!(start.elapsed() < TIMEOUT, "{revision} is not in force: {state:?}");
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -196,11 +202,11 @@
         self.standin.report().store.watches_waiting
     }
 
-    fn until_watches(&self, count: i64) {
+    fn wait_for_watches(&self, count: i64) {
         let start = Instant::now();
         while self.watches() != count {
-            assert!(start.elapsed() < LIMIT, "{} watches", self.watches());
-            std::thread::sleep(PAUSE);
+            assert!(start.elapsed() < TIMEOUT, "{} watches", self.watches());
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
@@ -234,7 +240,7 @@
 
 fn standin() -> Standin {
     let domains: Vec<Domain> = vec!["a".into(), "b".into(), "c".into()];
-    cowslipchute_standin::open(&Plan { domains, ..Plan::default() }).expect("it opens")
+    cowslipchute_standin::open(&Plan { domains, ..Plan::default() }).expect("the stand-in opens")
 }
 
 #[test]
@@ -242,19 +248,19 @@
     let standin = standin();
     let first = write(&standin, "web", 1);
     let mut fleet = Fleet::open(&standin, &["a", "b", "c"], 3);
-    fleet.until(first);
-    fleet.until_watches(3);
+    fleet.wait_for_revision(first);
+    fleet.wait_for_watches(3);
     let reads = standin.report().store.reads;
-    assert_eq!(reads, 3, "the others learn from the holders of the watches");
+    assert_eq!(reads, 3, "only the holders of the watches read the store");
     for queue in 2..20 {
         let revision = write(&standin, "web", queue);
         write(&standin, &format!("s{queue}"), queue);
-        fleet.until(revision);
+        fleet.wait_for_revision(revision);
     }
     let last = remove(&standin, "web");
-    fleet.until(last);
+    fleet.wait_for_revision(last);
     assert_eq!(fleet.watches(), 3);
-    assert_eq!(standin.report().store.reads, reads, "changes come without reads");
+    assert_eq!(standin.report().store.reads, reads, "watched changes need no reads");
 }
 
 #[test]
@@ -262,14 +268,14 @@
     let standin = standin();
     let revision = write(&standin, "web", 1);
     let mut fleet = Fleet::open(&standin, &["a"], 2);
-    fleet.until(revision);
+    fleet.wait_for_revision(revision);
     fault(&standin, Fault::state(State::Down));
     fleet.start("late", "a");
-    fleet.until(revision);
-    assert!(fleet.instances[2].told.contains_key("web"));
+    fleet.wait_for_revision(revision);
+    assert!(fleet.instances[2].received.contains_key("web"));
     fault(&standin, Fault::default());
     let revision = write(&standin, "web", 2);
-    fleet.until(revision);
+    fleet.wait_for_revision(revision);
 }
 
 #[test]
@@ -282,23 +288,26 @@
         let value = Stored { operation: 1, resource }.to_bytes();
         Write::Put { key: key::config(Kind::Service, &name), value, lease: 0 }
     };
-    let many: Vec<Write> = (0..2000).map(|number| put(format!("s{number}"))).collect();
+    let writes: Vec<Write> = (0..2000).map(|number| put(format!("s{number}"))).collect();
     let size = |write: &Write| match write {
         Write::Put { value, .. } => value.len(),
         Write::Delete { .. } => 0,
     };
-    assert!(many.iter().map(size).sum::<usize>() > PAGE_BYTES, "it takes several pages");
-    for some in many.chunks(100) {
-        let txn = Txn { guards: Vec::new(), changes: some.to_vec() };
+    assert!(
+        writes.iter().map(size).sum::<usize>() > PAGE_BYTES,
+        "the configuration fills several pages"
+    );
+    for chunk in writes.chunks(100) {
+        let txn = Txn { guards: Vec::new(), changes: chunk.to_vec() };
         block_on(store.commit(txn)).expect("the store answers");
     }
     let revision = write(&standin, "web", 1);
     let mut fleet = Fleet::open(&standin, &["a"], 1);
-    fleet.until(revision);
+    fleet.wait_for_revision(revision);
     fault(&standin, Fault::state(State::Down));
     fleet.start("late", "a");
-    fleet.until(revision);
-    assert_eq!(fleet.instances[1].told.len(), 2001);
+    fleet.wait_for_revision(revision);
+    assert_eq!(fleet.instances[1].received.len(), 2001);
 }
 
 #[test]
@@ -306,15 +315,15 @@
     let standin = standin();
     let revision = write(&standin, "web", 1);
     let mut fleet = Fleet::open(&standin, &["a"], 4);
-    fleet.until(revision);
-    fleet.until_watches(1);
-    // All but one are killed in turn; the holder of the watch may be any of them.
+    fleet.wait_for_revision(revision);
+    fleet.wait_for_watches(1);
+    // Any instance may hold the watch, so all but one are killed in turn.
     for queue in 2..5 {
         fleet.kill(0);
         let revision = write(&standin, "web", queue);
-        fleet.until(revision);
+        fleet.wait_for_revision(revision);
     }
-    fleet.until_watches(1);
+    fleet.wait_for_watches(1);
 }
 
 #[test]
@@ -322,14 +331,14 @@
     let standin = standin();
     let revision = write(&standin, "web", 1);
     let mut fleet = Fleet::open(&standin, &["a", "b"], 2);
-    fleet.until(revision);
+    fleet.wait_for_revision(revision);
     let cut = Cut { a: PLATFORM.into(), b: "a".into() };
     standin.cut(cut.clone());
     let revision = write(&standin, "web", 2);
-    fleet.until(revision);
+    fleet.wait_for_revision(revision);
     standin.heal(cut);
     let revision = write(&standin, "web", 3);
-    fleet.until(revision);
+    fleet.wait_for_revision(revision);
 }
 
 #[test]
@@ -337,15 +346,15 @@
     let standin = standin();
     let revision = write(&standin, "web", 1);
     let mut fleet = Fleet::open(&standin, &["a", "b", "c"], 2);
-    fleet.until(revision);
+    fleet.wait_for_revision(revision);
     for (queue, state) in [(2, State::Down), (3, State::Frozen), (4, State::Killed)] {
         fault(&standin, Fault::state(state));
         std::thread::sleep(Duration::from_millis(300));
         fault(&standin, Fault::default());
         let revision = write(&standin, "web", queue);
-        // What the watches missed may be kept no more, so they have to read.
+        // Compaction removes the missed changes, so the watch can't resume without a read.
         standin.compact(revision);
-        fleet.until(revision);
+        fleet.wait_for_revision(revision);
     }
 }
 
@@ -353,6 +362,6 @@
 fn the_duty_ends_with_its_last_handle() {
     let standin = standin();
     let mut fleet = Fleet::open(&standin, &["a"], 1);
-    fleet.until(1);
+    fleet.wait_for_revision(1);
     fleet.kill(0);
 }
