--- a/crates/gateway/src/counted.rs
+++ b/crates/gateway/src/counted.rs
@@ -1,4 +1,4 @@
-//! Counts the calls that go to the key-value service, since the platform counts and limits them.
+//! Counts the calls to the key-value service, because the platform limits their rate.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -15,39 +15,39 @@
 use cowslipchute_ports::kv::Verdict;
 use tokio::sync::mpsc;
 
-/// How many calls were made, by what the platform's limits tell apart.
+/// Number of calls of each kind that the platform's limits distinguish.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
     /// Reads.
     pub reads: u64,
     /// Transactions.
     pub commits: u64,
-    /// Grants, renewals and ends of leases.
+    /// Grants, renewals and revocations of leases.
     pub leases: u64,
     /// Watches opened.
     pub watches: u64,
 }
 
 impl Count {
-    /// Returns the calls that the platform counts as writes.
+    /// Returns the number of calls that the platform counts as writes.
     pub fn writes(self) -> u64 {
         self.commits + self.leases
     }
 
-    /// Returns all calls.
+    /// Returns the number of all calls.
     pub fn total(self) -> u64 {
         self.reads + self.writes() + self.watches
     }
 }
 
-/// The counters behind a [`Counted`] store, shared with whoever reports them.
+/// Shared counters of a [`Counted`] store.
 #[derive(Clone, Debug, Default)]
 pub struct Counter {
-    cells: Arc<Cells>,
+    totals: Arc<Totals>,
 }
 
 #[derive(Debug, Default)]
-struct Cells {
+struct Totals {
     reads: AtomicU64,
     commits: AtomicU64,
     leases: AtomicU64,
@@ -58,22 +58,22 @@
     /// Returns the counts so far.
     pub fn count(&self) -> Count {
         Count {
-            reads: self.cells.reads.load(Ordering::Relaxed),
-            commits: self.cells.commits.load(Ordering::Relaxed),
-            leases: self.cells.leases.load(Ordering::Relaxed),
-            watches: self.cells.watches.load(Ordering::Relaxed),
+            reads: self.totals.reads.load(Ordering::Relaxed),
+            commits: self.totals.commits.load(Ordering::Relaxed),
+            leases: self.totals.leases.load(Ordering::Relaxed),
+            watches: self.totals.watches.load(Ordering::Relaxed),
         }
     }
 }
 
-/// A store whose calls are counted when they are made, whatever becomes of them.
+/// A store that counts its calls when they are made, whatever their outcome.
 #[derive(Clone, Debug)]
 pub struct Counted<S> {
     store: S,
     counter: Counter,
 }
 
-/// Opens a counted view of a store.
+/// Wraps a store so that its calls are counted.
 pub fn open<S: Store>(store: S) -> Counted<S> {
     Counted { store, counter: Counter::default() }
 }
@@ -85,38 +85,38 @@
     }
 }
 
-fn add(cell: &AtomicU64) {
-    cell.fetch_add(1, Ordering::Relaxed);
+fn increment(total: &AtomicU64) {
+    total.fetch_add(1, Ordering::Relaxed);
 }
 
 impl<S: Store> Store for Counted<S> {
     async fn read(&self, prefix: &str) -> Result<Snapshot, Error> {
-        add(&self.counter.cells.reads);
+        increment(&self.counter.totals.reads);
         self.store.read(prefix).await
     }
 
     async fn commit(&self, txn: Txn) -> Result<Verdict, Error> {
-        add(&self.counter.cells.commits);
+        increment(&self.counter.totals.commits);
         self.store.commit(txn).await
     }
 
     async fn grant(&self, ttl: Duration) -> Result<LeaseId, Error> {
-        add(&self.counter.cells.leases);
+        increment(&self.counter.totals.leases);
         self.store.grant(ttl).await
     }
 
     async fn keep_alive(&self, lease: LeaseId) -> Result<Duration, Error> {
-        add(&self.counter.cells.leases);
+        increment(&self.counter.totals.leases);
         self.store.keep_alive(lease).await
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), Error> {
-        add(&self.counter.cells.leases);
+        increment(&self.counter.totals.leases);
         self.store.revoke(lease).await
     }
 
     async fn watch(&self, prefix: &str, after: Revision) -> Result<mpsc::Receiver<Update>, Error> {
-        add(&self.counter.cells.watches);
+        increment(&self.counter.totals.watches);
         self.store.watch(prefix, after).await
     }
 }
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -1,7 +1,7 @@
-//! What all our HTTP clients have in common.
+//! Shared configuration and helpers of our HTTP clients.
 //!
-//! The library's conveniences that could send a request twice, or send it elsewhere, are off:
-//! redirects, proxies from the environment and retries.
+//! Redirects, retries and proxies from the environment are disabled, because they could send a
+//! request twice or to another server.
 
 use std::error::Error as _;
 use std::fmt;
@@ -13,18 +13,18 @@
 use reqwest::redirect;
 use reqwest::retry;
 
-/// Request header that says which instance asks: `domain/instance`.
+/// Request header that names the calling instance: `domain/instance`.
 pub const ORIGIN_HEADER: &str = "cowslipchute-from";
 
-/// How long an idle connection is kept for the next call.
-const IDLE: Duration = Duration::from_secs(30);
-/// Idle connections kept to one server.
-const IDLE_CONNECTIONS: usize = 8;
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of idle connections per server.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// Connecting may take one part in so many of a call's time.
-const CONNECT_PART: u32 = 2;
+/// Divisor of the call timeout that gives the connect timeout.
+const CONNECT_TIMEOUT_DIVISOR: u32 = 2;
 
-/// The process on whose behalf an adapter calls, which the platform may log.
+/// The calling process, which the platform may log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Origin {
     /// Its failure domain.
@@ -40,7 +40,7 @@
 }
 
 impl Origin {
-    /// Reads the value of [`ORIGIN_HEADER`].
+    /// Parses the value of [`ORIGIN_HEADER`].
     pub fn parse(text: &str) -> Option<Origin> {
         let (domain, instance) = text.split_once('/')?;
         Some(Origin { domain: domain.into(), instance: instance.into() })
@@ -49,26 +49,26 @@
 
 /// Builds a client for calls that take at most `call_timeout`.
 ///
-/// Connecting may take only a part of that, so that a call to a server that can't be reached fails
-/// as never sent and not by its own timeout, which leaves open how far it came.
+/// The connect timeout is shorter, so that a call to an unreachable server fails as never sent.
+/// After the call timeout it is unknown whether the request was sent.
 ///
 /// # Panics
 ///
-/// Panics when the library can't set itself up, which depends on nothing that happens at run time.
+/// Panics when the library fails to initialize, which doesn't depend on conditions at run time.
 pub(crate) fn client(call_timeout: Duration) -> reqwest::Client {
     reqwest::Client::builder()
         .no_proxy()
         .redirect(redirect::Policy::none())
         .retry(retry::never())
         .http1_only()
-        .connect_timeout(call_timeout / CONNECT_PART)
-        .pool_idle_timeout(IDLE)
-        .pool_max_idle_per_host(IDLE_CONNECTIONS)
+        .connect_timeout(call_timeout / CONNECT_TIMEOUT_DIVISOR)
+        .pool_idle_timeout(IDLE_TIMEOUT)
+        .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS)
         .build()
-        .expect("a client without certificates needs nothing from the system")
+        .expect("an HTTP client without TLS can always be built")
 }
 
-/// Adds who asks, if it is known.
+/// Adds the [`ORIGIN_HEADER`], if the origin is known.
 pub(crate) fn with_origin(request: RequestBuilder, origin: Option<&Origin>) -> RequestBuilder {
     match origin {
         Some(origin) => request.header(ORIGIN_HEADER, origin.to_string()),
@@ -76,13 +76,13 @@
     }
 }
 
-/// Tells whether no byte of the request can have left, so that it surely changed nothing.
-pub(crate) fn unsent(error: &reqwest::Error) -> bool {
+/// Returns `true` if no byte of the request can have been sent, so that it had no effect.
+pub(crate) fn is_unsent(error: &reqwest::Error) -> bool {
     error.is_connect() || error.is_builder()
 }
 
-/// Renders an error with its causes, without the address that the caller knows anyway.
-pub(crate) fn explain(error: &reqwest::Error) -> String {
+/// Formats an error with its causes, without the address, which the caller knows.
+pub(crate) fn describe(error: &reqwest::Error) -> String {
     let mut text = String::from(if error.is_timeout() { "timed out" } else { "failed" });
     let mut cause = error.source();
     while let Some(inner) = cause {
--- a/crates/gateway/src/kv.rs
+++ b/crates/gateway/src/kv.rs
@@ -1,7 +1,7 @@
 //! The key-value service over etcd's JSON gateway.
 //!
-//! Each call is one request and is never sent twice. What comes back is sorted by one question: can
-//! the call have taken effect? Only a call that never left, or that the store refused before
+//! Each call is one request and is never sent twice. Failures are classified by whether the call
+//! can have taken effect: only a write that was never sent, or that the store refused before
 //! applying anything, is `Unavailable`; every other failure of a write is `Unknown`.
 
 mod call;
@@ -27,13 +27,13 @@
 use crate::http::Origin;
 use call::Effect;
 
-/// How long a watch may stay silent before it is taken for dead. The store has to send progress
+/// Longest silence of a watch before it is ended as `Unavailable`. The store has to send progress
 /// more often (`docs/OPERATING.md`).
-const WATCH_SILENCE: Duration = Duration::from_secs(10);
+const WATCH_SILENCE_MAX: Duration = Duration::from_secs(10);
 
 /// A client of the key-value service.
 ///
-/// Its connections live on the runtime that makes the calls, so each duty opens a client of its own.
+/// Its connections belong to the runtime that makes the calls, so each duty opens its own client.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: reqwest::Client,
@@ -44,25 +44,25 @@
 }
 
 impl Client {
-    /// Opens a client of the service at `base_url`; nothing is sent yet. A call that brings no
-    /// answer within `call_timeout` fails.
+    /// Opens a client of the service at `base_url` without sending anything. A call without a
+    /// response within `call_timeout` fails.
     pub fn open(base_url: &str, call_timeout: Duration) -> Client {
         Client {
             http: http::client(call_timeout),
             base: base_url.trim_end_matches('/').to_owned(),
             call_timeout,
-            watch_silence: WATCH_SILENCE,
+            watch_silence: WATCH_SILENCE_MAX,
             origin: None,
         }
     }
 
-    /// Tells the platform with each call who asks.
+    /// Adds the origin to each request.
     pub fn with_origin(mut self, origin: Origin) -> Client {
         self.origin = Some(origin);
         self
     }
 
-    /// Changes how long a watch may stay silent before it ends as `Unavailable`.
+    /// Sets the longest silence of a watch before it ends as `Unavailable`.
     pub fn with_watch_silence(mut self, silence: Duration) -> Client {
         self.watch_silence = silence;
         self
@@ -84,20 +84,20 @@
     async fn commit(&self, txn: Txn) -> Result<Verdict, Error> {
         let request = transaction(txn)?;
         let response: wire::txn::Response = self.call(wire::TXN, &request, Effect::Change).await?;
-        verdict(response).map_err(call::unknown_if_unreadable)
+        verdict(response).map_err(call::protocol_as_unknown)
     }
 
     async fn grant(&self, ttl: Duration) -> Result<LeaseId, Error> {
-        let request = wire::Lease { id: 0, ttl: whole_seconds(ttl) };
+        let request = wire::Lease { id: 0, ttl: lease_seconds(ttl) };
         let lease: wire::Lease = self.call(wire::LEASE_GRANT, &request, Effect::Change).await?;
         Ok(lease.id)
     }
 
     async fn keep_alive(&self, lease: LeaseId) -> Result<Duration, Error> {
         let request = wire::Lease { id: lease, ttl: 0 };
-        let answer: wire::Streamed<wire::Lease> =
+        let response: wire::Streamed<wire::Lease> =
             self.call(wire::LEASE_KEEP_ALIVE, &request, Effect::Change).await?;
-        let renewed = answer
+        let renewed = response
             .result
             .ok_or_else(|| Error::Unknown(String::from("the renewal's answer holds no lease")))?;
         match u64::try_from(renewed.ttl) {
@@ -117,8 +117,8 @@
     }
 }
 
-/// Rounds up to the store's unit, and to the shortest lease that it grants.
-fn whole_seconds(ttl: Duration) -> i64 {
+/// Rounds up to whole seconds, the store's unit, and to its shortest lease of one second.
+fn lease_seconds(ttl: Duration) -> i64 {
     ttl.as_millis().div_ceil(1000).max(1) as i64
 }
 
@@ -133,7 +133,7 @@
     Ok(wire::txn::Request {
         compare: txn.guards.iter().map(compare).collect(),
         success: txn.changes.into_iter().map(change).collect(),
-        failure: txn.guards.iter().map(look).collect(),
+        failure: txn.guards.iter().map(read_back).collect(),
     })
 }
 
@@ -179,8 +179,9 @@
     }
 }
 
-/// Reads a guarded key back when the guards don't hold, so that the caller sees why.
-fn look(guard: &Guard) -> wire::txn::Step {
+/// Returns a step that reads a guarded key back when the guards don't hold, so that the caller sees
+/// why.
+fn read_back(guard: &Guard) -> wire::txn::Step {
     let (Guard::Missing(key) | Guard::Unchanged(key, _) | Guard::Present(key)) = guard;
     let range = wire::RangeRequest { key: key.as_bytes().to_vec(), range_end: Vec::new() };
     wire::txn::Step { request_range: Some(range), ..wire::txn::Step::default() }
--- a/crates/gateway/src/kv/call.rs
+++ b/crates/gateway/src/kv/call.rs
@@ -1,4 +1,4 @@
-//! One call, and what its failure says about its effect.
+//! A call to the service, and the classification of its failure by its possible effect.
 
 use cowslipchute_ports::kv::Error;
 use serde::Serialize;
@@ -8,26 +8,26 @@
 use crate::kv::Client;
 use crate::kv::wire;
 
-/// What a call may do to the store.
+/// Possible effect of a call on the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It only reads.
+    /// None: the call only reads.
     Nothing,
-    /// It may change something.
+    /// A change of the store.
     Change,
 }
 
 impl Effect {
-    /// Sorts a failure after bytes may have left.
-    fn lost(self, text: String) -> Error {
+    /// Classifies a failure after which the request may have been sent.
+    fn lost_response(self, text: String) -> Error {
         match self {
             Effect::Nothing => Error::Unavailable(text),
             Effect::Change => Error::Unknown(text),
         }
     }
 
-    /// Sorts an answer that can't be read.
-    fn unreadable(self, text: String) -> Error {
+    /// Classifies a response that can't be decoded.
+    fn invalid_response(self, text: String) -> Error {
         match self {
             Effect::Nothing => Error::Protocol(text),
             Effect::Change => Error::Unknown(text),
@@ -36,7 +36,7 @@
 }
 
 impl Client {
-    /// Makes one call: one request, one JSON answer.
+    /// Makes one call: sends one request and decodes one JSON response.
     pub(super) async fn call<Q, A>(
         &self,
         path: &str,
@@ -49,42 +49,43 @@
     {
         let request = self.http.post(format!("{}{path}", self.base)).json(request);
         let request = http::with_origin(request, self.origin.as_ref()).timeout(self.call_timeout);
-        let response = request.send().await.map_err(|error| sent(&error, effect))?;
+        let response = request.send().await.map_err(|error| send_error(&error, effect))?;
         let status = response.status();
-        let body = response.bytes().await.map_err(|error| effect.lost(http::explain(&error)))?;
+        let body =
+            response.bytes().await.map_err(|error| effect.lost_response(http::describe(&error)))?;
         if status.is_success() {
             let read = serde_json::from_slice(&body);
-            return read.map_err(|error| effect.unreadable(error.to_string()));
+            return read.map_err(|error| effect.invalid_response(error.to_string()));
         }
         match serde_json::from_slice(&body) {
-            Ok(failure) => Err(refusal(&failure, effect)),
-            // Something between us and the store answered, which says nothing about the store.
-            Err(_) => Err(effect.lost(format!("status {status}"))),
+            Ok(failure) => Err(store_error(&failure, effect)),
+            // The response comes from an intermediary and says nothing about the store.
+            Err(_) => Err(effect.lost_response(format!("status {status}"))),
         }
     }
 }
 
-/// Sorts a request that brought no answer.
-pub fn sent(error: &reqwest::Error, effect: Effect) -> Error {
-    let text = http::explain(error);
-    if http::unsent(error) { Error::Unavailable(text) } else { effect.lost(text) }
+/// Classifies a request that got no response.
+pub fn send_error(error: &reqwest::Error, effect: Effect) -> Error {
+    let text = http::describe(error);
+    if http::is_unsent(error) { Error::Unavailable(text) } else { effect.lost_response(text) }
 }
 
-/// Sorts an error that the store told.
-pub fn refusal(failure: &wire::Failure, effect: Effect) -> Error {
+/// Classifies an error reported by the store.
+pub fn store_error(failure: &wire::Failure, effect: Effect) -> Error {
     let text = failure.message.clone();
     match failure.code {
         wire::CODE_NOT_FOUND if text == wire::NO_LEASE => Error::LeaseGone,
         wire::CODE_INVALID => Error::Unavailable(text),
-        // Of the texts that come with this status, these two are said before anything is applied;
-        // others, such as a change of leader, may follow an effect.
+        // Of the errors with this status, the store returns only these two before it applies
+        // anything; others, such as a change of leader, may follow an effect.
         _ if text == wire::NO_LEADER || text == wire::TOO_MANY_REQUESTS => Error::Unavailable(text),
-        _ => effect.lost(text),
+        _ => effect.lost_response(text),
     }
 }
 
-/// Sorts a readable answer of a write whose content makes no sense.
-pub fn unknown_if_unreadable(error: Error) -> Error {
+/// Classifies a protocol error in the response to a write, which may have taken effect.
+pub fn protocol_as_unknown(error: Error) -> Error {
     match error {
         Error::Protocol(text) => Error::Unknown(text),
         other => other,
--- a/crates/gateway/src/kv/watch.rs
+++ b/crates/gateway/src/kv/watch.rs
@@ -1,4 +1,4 @@
-//! A watch: one answer that never ends, one JSON object a line.
+//! A watch: a streamed response with one JSON object per line.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 use crate::kv::entry;
 use crate::kv::wire;
 
-/// Updates that may wait for the reader before the store is held back.
+/// Capacity of the queue of updates; a full queue applies backpressure to the store.
 const QUEUE: usize = 256;
-/// Longest line that is read: a transaction's worth of the largest values in base64.
-const LINE_LIMIT: usize = 16 << 20;
+/// Longest accepted line in bytes: a transaction's worth of the largest values in base64.
+const LINE_MAX_BYTES: usize = 16 << 20;
 
 impl Client {
     pub(super) async fn open_watch(
@@ -37,24 +37,26 @@
             .post(format!("{}{}", self.base, wire::WATCH))
             .json(&wire::watch::Request { create_request });
         let request = http::with_origin(request, self.origin.as_ref());
-        let late = || Error::Unavailable(String::from("the watch was not opened in time"));
-        let response = timeout(self.call_timeout, request.send()).await.map_err(|_| late())?;
-        let response = response.map_err(|error| call::sent(&error, Effect::Nothing))?;
+        let timeout_error = || Error::Unavailable(String::from("the watch was not opened in time"));
+        let response =
+            timeout(self.call_timeout, request.send()).await.map_err(|_| timeout_error())?;
+        let response = response.map_err(|error| call::send_error(&error, Effect::Nothing))?;
         let mut lines = Lines { response, buffer: Vec::new() };
-        let first = timeout(self.call_timeout, lines.next()).await.map_err(|_| late())??;
+        let first =
+            timeout(self.call_timeout, lines.next()).await.map_err(|_| timeout_error())??;
         if first.canceled {
-            return Err(ending(&first));
+            return Err(end_error(&first));
         }
         if !first.created {
             return Err(Error::Protocol(String::from("the watch began without its opening")));
         }
         let (sender, receiver) = mpsc::channel(QUEUE);
-        tokio::spawn(follow(lines, sender, self.watch_silence));
+        tokio::spawn(run(lines, sender, self.watch_silence));
         Ok(receiver)
     }
 }
 
-/// Splits the answer into its objects.
+/// Splits the response into lines.
 struct Lines {
     response: reqwest::Response,
     buffer: Vec<u8>,
@@ -67,23 +69,23 @@
                 let line: Vec<u8> = self.buffer.drain(..=end).collect();
                 return read(&line);
             }
-            if self.buffer.len() > LINE_LIMIT {
+            if self.buffer.len() > LINE_MAX_BYTES {
                 return Err(Error::Protocol(String::from("a watch's line is too long")));
             }
             match self.response.chunk().await {
                 Ok(Some(chunk)) => self.buffer.extend_from_slice(&chunk),
                 Ok(None) => {
-                    // The gateway need not end its last object with a line break.
+                    // The last line may lack a line break.
                     let rest = std::mem::take(&mut self.buffer);
-                    return if rest.is_empty() { Err(ended()) } else { read(&rest) };
+                    return if rest.is_empty() { Err(closed_error()) } else { read(&rest) };
                 }
-                Err(error) => return Err(Error::Unavailable(http::explain(&error))),
+                Err(error) => return Err(Error::Unavailable(http::describe(&error))),
             }
         }
     }
 }
 
-fn ended() -> Error {
+fn closed_error() -> Error {
     Error::Unavailable(String::from("the store ended the watch"))
 }
 
@@ -92,28 +94,28 @@
         serde_json::from_slice(line).map_err(|error| Error::Protocol(error.to_string()))?;
     match (streamed.result, streamed.error) {
         (Some(response), _) => Ok(response),
-        (None, Some(failure)) => Err(call::refusal(&failure, Effect::Nothing)),
-        (None, None) => Err(ended()),
+        (None, Some(failure)) => Err(call::store_error(&failure, Effect::Nothing)),
+        (None, None) => Err(closed_error()),
     }
 }
 
-fn ending(response: &wire::watch::Response) -> Error {
+fn end_error(response: &wire::watch::Response) -> Error {
     match response.compact_revision {
         0 => Error::Unavailable(String::from("the store cancelled the watch")),
         revision => Error::Compacted(revision),
     }
 }
 
-async fn follow(mut lines: Lines, sender: mpsc::Sender<Update>, silence: Duration) {
+async fn run(mut lines: Lines, sender: mpsc::Sender<Update>, silence: Duration) {
     let end = tokio::select! {
-        end = pass_on(&mut lines, &sender, silence) => end,
+        end = forward(&mut lines, &sender, silence) => end,
         () = sender.closed() => return,
     };
-    // A reader that is gone needs no word of the end.
+    // Fails only if the reader has gone.
     let _ = sender.send(Update::Ended(end)).await;
 }
 
-async fn pass_on(lines: &mut Lines, sender: &mpsc::Sender<Update>, silence: Duration) -> Error {
+async fn forward(lines: &mut Lines, sender: &mpsc::Sender<Update>, silence: Duration) -> Error {
     loop {
         let response = match timeout(silence, lines.next()).await {
             Ok(Ok(response)) => response,
@@ -121,13 +123,13 @@
             Err(_) => return Error::Unavailable(String::from("the watch fell silent")),
         };
         if response.canceled {
-            return ending(&response);
+            return end_error(&response);
         }
         for update in updates(response) {
             match update {
                 Ok(update) => {
                     if sender.send(update).await.is_err() {
-                        return ended();
+                        return closed_error();
                     }
                 }
                 Err(error) => return error,
@@ -136,7 +138,7 @@
     }
 }
 
-/// Turns one message into updates by rising revision, as the store sent them.
+/// Converts one message to updates in order of revision, as the store sent them.
 fn updates(response: wire::watch::Response) -> Vec<Result<Update, Error>> {
     if response.events.is_empty() {
         return vec![Ok(Update::Progress(response.header.revision))];
--- a/crates/gateway/src/kv/wire.rs
+++ b/crates/gateway/src/kv/wire.rs
@@ -1,4 +1,4 @@
-//! The messages of etcd's published JSON gateway that we use, field by field.
+//! The messages of etcd's published JSON gateway, as far as we use them.
 //!
 //! The gateway's rules are those of protocol buffers in JSON: bytes are base64, 64-bit integers are
 //! strings, and a field that holds its default may be left out.
@@ -26,37 +26,37 @@
 pub const LEASE_GRANT: &str = "/v3/lease/grant";
 /// Path that renews a lease.
 pub const LEASE_KEEP_ALIVE: &str = "/v3/lease/keepalive";
-/// Path that ends a lease.
+/// Path that revokes a lease.
 pub const LEASE_REVOKE: &str = "/v3/lease/revoke";
 /// Path of a watch.
 pub const WATCH: &str = "/v3/watch";
 
-/// Largest value that the store holds.
+/// Largest value that the store accepts, in bytes.
 pub const VALUE_LIMIT: usize = 1 << 20;
 
 /// gRPC status of a message that the store can't accept.
 pub const CODE_INVALID: u32 = 3;
-/// gRPC status of something that doesn't exist, such as a lapsed lease.
+/// gRPC status of something that doesn't exist, such as an expired lease.
 pub const CODE_NOT_FOUND: u32 = 5;
 /// gRPC status of a call over a limit.
 pub const CODE_EXHAUSTED: u32 = 8;
 /// gRPC status of a revision that has been compacted away.
 pub const CODE_OUT_OF_RANGE: u32 = 11;
-/// gRPC status of a store that can't serve now.
+/// gRPC status of a store that is temporarily unavailable.
 pub const CODE_UNAVAILABLE: u32 = 14;
 
 /// Error text of a store without a leader, which refuses a write before anything is applied.
 pub const NO_LEADER: &str = "etcdserver: no leader";
 /// Error text of a store that refuses a write because too many are waiting.
 pub const TOO_MANY_REQUESTS: &str = "etcdserver: too many requests";
-/// Error text for a lease that has lapsed or never was.
+/// Error text for a lease that has expired or never existed.
 pub const NO_LEASE: &str = "etcdserver: requested lease not found";
 /// Error text for a value over the limit.
 pub const TOO_LARGE: &str = "etcdserver: request is too large";
 /// Error text of a read at, or a watch from, a compacted revision.
 pub const COMPACTED: &str = "etcdserver: mvcc: required revision has been compacted";
 
-/// Writes bytes as base64.
+/// Encoding of bytes as base64.
 struct Base64;
 
 impl SerializeAs<Vec<u8>> for Base64 {
@@ -72,18 +72,18 @@
     }
 }
 
-/// Heads every answer.
+/// Header of every response.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Header {
-    /// The store's revision when it answered.
+    /// Revision of the store at the time of the response.
     #[serde_as(as = "DisplayFromStr")]
     pub revision: u64,
 }
 
-/// One key.
+/// A key with its value.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
@@ -92,13 +92,13 @@
     /// The key.
     #[serde_as(as = "Base64")]
     pub key: Vec<u8>,
-    /// Revision that made the key.
+    /// Revision that created the key.
     #[serde_as(as = "DisplayFromStr")]
     pub create_revision: u64,
     /// Revision of its last change.
     #[serde_as(as = "DisplayFromStr")]
     pub mod_revision: u64,
-    /// Number of changes since it was made.
+    /// Number of changes since the key was created.
     #[serde_as(as = "DisplayFromStr")]
     pub version: u64,
     /// The value.
@@ -109,7 +109,7 @@
     pub lease: i64,
 }
 
-/// Reads a key, or the keys from `key` up to but without `range_end`.
+/// A read of one key, or of the keys from `key` to `range_end` (exclusive).
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
@@ -118,27 +118,27 @@
     /// First key.
     #[serde_as(as = "Base64")]
     pub key: Vec<u8>,
-    /// Where the keys end; empty for the one key, a zero byte for all keys after the first.
+    /// End of the range (exclusive); empty for the one key, a zero byte for all keys from `key`.
     #[serde_as(as = "Base64")]
     pub range_end: Vec<u8>,
 }
 
-/// Answers a [`RangeRequest`].
+/// Response to a [`RangeRequest`].
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeResponse {
-    /// The head.
+    /// The header.
     pub header: Header,
-    /// The keys found, by rising key.
+    /// The keys found, in ascending order.
     pub kvs: Vec<KeyValue>,
-    /// How many there are.
+    /// Number of keys found.
     #[serde_as(as = "DisplayFromStr")]
     pub count: u64,
 }
 
-/// Grants a lease, or answers that.
+/// Request for a lease operation, or the response to it.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
@@ -148,25 +148,25 @@
     #[serde(rename = "ID")]
     #[serde_as(as = "DisplayFromStr")]
     pub id: i64,
-    /// Its time to live in seconds; zero in an answer when it has lapsed.
+    /// Its time to live in seconds; zero in a response when it has expired.
     #[serde(rename = "TTL")]
     #[serde_as(as = "DisplayFromStr")]
     pub ttl: i64,
 }
 
-/// One object of an answer that is a stream.
+/// One object of a streamed response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 pub struct Streamed<T> {
     /// The message.
     #[serde(default = "Option::default", skip_serializing_if = "Option::is_none")]
     pub result: Option<T>,
-    /// Why there is none.
+    /// The error, when there is no message.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub error: Option<Failure>,
 }
 
-/// An error as the gateway tells it.
+/// An error reported by the gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
@@ -177,7 +177,8 @@
     pub message: String,
 }
 
-/// Returns where the keys that start with `prefix` end: the prefix with its last byte raised.
+/// Returns the end of the range of keys that start with `prefix`: the prefix with its last byte
+/// incremented.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
@@ -186,6 +187,6 @@
             return end;
         }
     }
-    // No key sorts after a prefix of 255s only, nor after an empty one.
+    // For an empty prefix or one of bytes 255 only, the range has no upper bound.
     vec![0]
 }
--- a/crates/gateway/src/kv/wire/txn.rs
+++ b/crates/gateway/src/kv/wire/txn.rs
@@ -10,33 +10,33 @@
 use crate::kv::wire::RangeRequest;
 use crate::kv::wire::RangeResponse;
 
-/// Which number of a key a [`Compare`] looks at.
+/// The number of a key that a [`Compare`] tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Target {
-    /// The number of changes since it was made; zero for a key that doesn't exist.
+    /// The number of changes since it was created; zero for a key that doesn't exist.
     #[default]
     Version,
-    /// The revision that made it; zero for a key that doesn't exist.
+    /// The revision that created it; zero for a key that doesn't exist.
     Create,
     /// The revision of its last change; zero for a key that doesn't exist.
     Mod,
 }
 
-/// How a [`Compare`] relates the number found to the one given.
+/// Relation of the number found to the one given in a [`Compare`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Relation {
-    /// The same.
+    /// The numbers are equal.
     #[default]
     Equal,
     /// The one found is greater.
     Greater,
     /// The one found is less.
     Less,
-    /// Another one.
+    /// The numbers differ.
     NotEqual,
 }
 
@@ -46,9 +46,9 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Compare {
-    /// How the numbers relate.
+    /// The relation that must hold.
     pub result: Relation,
-    /// Which number is looked at.
+    /// The number that is tested.
     pub target: Target,
     /// The key.
     #[serde_as(as = "Base64")]
@@ -79,7 +79,7 @@
     /// The value.
     #[serde_as(as = "Base64")]
     pub value: Vec<u8>,
-    /// The lease that the key goes with, or zero.
+    /// The lease that the key is attached to, or zero.
     #[serde_as(as = "DisplayFromStr")]
     pub lease: i64,
 }
@@ -93,12 +93,12 @@
     /// First key.
     #[serde_as(as = "Base64")]
     pub key: Vec<u8>,
-    /// Where the keys end, as in [`RangeRequest`].
+    /// End of the range, as in [`RangeRequest`].
     #[serde_as(as = "Base64")]
     pub range_end: Vec<u8>,
 }
 
-/// One step of a transaction; exactly one field is there.
+/// One step of a transaction; exactly one field is set.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
@@ -114,12 +114,12 @@
     pub request_delete_range: Option<Delete>,
 }
 
-/// Answers a [`Step`]; only what a read found is of use to us.
+/// Response to a [`Step`]; only the result of a read is used.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Outcome {
-    /// What a read found.
+    /// Result of a read.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub response_range: Option<RangeResponse>,
 }
@@ -131,21 +131,21 @@
 pub struct Request {
     /// The conditions.
     pub compare: Vec<Compare>,
-    /// Done when all conditions hold.
+    /// Steps executed when all conditions hold.
     pub success: Vec<Step>,
-    /// Done otherwise.
+    /// Steps executed otherwise.
     pub failure: Vec<Step>,
 }
 
-/// Answers a [`Request`].
+/// Response to a [`Request`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Response {
-    /// The head.
+    /// The header.
     pub header: Header,
     /// Whether all conditions held.
     pub succeeded: bool,
-    /// One for each step done.
+    /// One outcome for each executed step.
     pub responses: Vec<Outcome>,
 }
--- a/crates/gateway/src/kv/wire/watch.rs
+++ b/crates/gateway/src/kv/wire/watch.rs
@@ -9,16 +9,16 @@
 use crate::kv::wire::Header;
 use crate::kv::wire::KeyValue;
 
-/// Opens a watch.
+/// Request that opens a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Request {
-    /// What to watch.
+    /// The keys to watch.
     pub create_request: Create,
 }
 
-/// What to watch.
+/// The keys and revisions to watch.
 #[serde_as]
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
@@ -27,13 +27,13 @@
     /// First key.
     #[serde_as(as = "Base64")]
     pub key: Vec<u8>,
-    /// Where the keys end, as in [`RangeRequest`].
+    /// End of the range, as in [`crate::kv::wire::RangeRequest`].
     #[serde_as(as = "Base64")]
     pub range_end: Vec<u8>,
-    /// First revision wanted; zero for what comes from now on.
+    /// First revision to send; zero for future changes only.
     #[serde_as(as = "DisplayFromStr")]
     pub start_revision: u64,
-    /// Whether to send a message now and then when nothing changes.
+    /// Whether to send periodic messages when nothing changes.
     pub progress_notify: bool,
 }
 
@@ -43,20 +43,20 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Response {
-    /// The head; without events it says how far the watch is.
+    /// The header; in a message without events its revision is the progress of the watch.
     pub header: Header,
-    /// Whether this answers the opening.
+    /// Whether this message confirms that the watch was opened.
     pub created: bool,
     /// Whether the watch ends.
     pub canceled: bool,
-    /// The oldest revision kept, when the watch ends because it asked for an older one.
+    /// The oldest available revision, when the watch ends because it requested an older one.
     #[serde_as(as = "DisplayFromStr")]
     pub compact_revision: u64,
-    /// What changed.
+    /// The changes.
     pub events: Vec<Event>,
 }
 
-/// What happened to a key.
+/// Kind of change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
@@ -73,7 +73,7 @@
 #[derive(Serialize, Deserialize)]
 #[serde(default)]
 pub struct Event {
-    /// What happened.
+    /// Kind of change.
     #[serde(rename = "type")]
     pub kind: Kind,
     /// The key after the change; only key and `mod_revision` after a removal.
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -1,8 +1,9 @@
 //! The platform's list of instances over HTTP.
 //!
-//! The list's entity tag is its version. A read names the version that is known, and a list that
-//! still has it answers without a body. One that knows no tags sends itself whole each time, which
-//! comes to the same for the caller. The ways weighed are in `docs/design/list.md`.
+//! The entity tag of the list is its version. A read sends the known version, and a server that
+//! still has it responds without a body. A server without support for entity tags sends the whole
+//! list each time, with the same result for the caller. `docs/design/list.md` compares the
+//! alternatives.
 
 use std::time::Duration;
 
@@ -20,12 +21,12 @@
 /// Path of the list.
 pub const INSTANCES: &str = "/v1/instances";
 
-/// How long a read may take.
+/// Timeout of a read.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A client of the list.
 ///
-/// Its connections live on the runtime that makes the calls, so each duty opens a client of its own.
+/// Its connections belong to the runtime that makes the calls, so each duty opens its own client.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: reqwest::Client,
@@ -34,13 +35,13 @@
 }
 
 impl Client {
-    /// Opens a client of the list at `base_url`; nothing is sent yet.
+    /// Opens a client of the list at `base_url` without sending anything.
     pub fn open(base_url: &str) -> Client {
         let url = format!("{}{INSTANCES}", base_url.trim_end_matches('/'));
         Client { http: http::client(CALL_TIMEOUT), url, origin: None }
     }
 
-    /// Tells the platform with each call who asks.
+    /// Adds the origin to each request.
     pub fn with_origin(mut self, origin: Origin) -> Client {
         self.origin = Some(origin);
         self
@@ -53,7 +54,7 @@
         domains: &[Domain],
         known: Option<Version>,
     ) -> Result<Option<View>, Error> {
-        let failed = |error: reqwest::Error| Error(http::explain(&error));
+        let failed = |error: reqwest::Error| Error(http::describe(&error));
         let mut request = self.http.get(query(&self.url, domains));
         if let Some(known) = known {
             request = request.header(IF_NONE_MATCH, tag(known));
@@ -77,7 +78,8 @@
     format!("\"{version}\"")
 }
 
-/// Names of domains are checked settings, so they need no escapes.
+/// Adds the failure domains as query parameters. Their names are validated settings and need no
+/// escaping.
 fn query(url: &str, domains: &[Domain]) -> String {
     let pairs: Vec<String> = domains.iter().map(|domain| format!("domain={domain}")).collect();
     if pairs.is_empty() { url.to_owned() } else { format!("{url}?{}", pairs.join("&")) }
--- a/crates/gateway/src/worker.rs
+++ b/crates/gateway/src/worker.rs
@@ -1,4 +1,4 @@
-//! Workers over HTTP: one POST for each exchange.
+//! Workers over HTTP: one POST request for each exchange.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 /// A client of all workers.
 ///
-/// Its connections live on the runtime that makes the calls, so each duty opens a client of its own.
+/// Its connections belong to the runtime that makes the calls, so each duty opens its own client.
 #[derive(Clone, Debug)]
 pub struct Client {
     http: reqwest::Client,
@@ -25,13 +25,13 @@
 }
 
 impl Client {
-    /// Opens a client; nothing is sent yet. An exchange that brings no report within `timeout`
+    /// Opens a client without sending anything. An exchange without a report within `timeout`
     /// fails.
     pub fn open(timeout: Duration) -> Client {
         Client { http: http::client(timeout), timeout, origin: None }
     }
 
-    /// Tells the workers with each exchange who asks.
+    /// Adds the origin to each exchange.
     pub fn with_origin(mut self, origin: Origin) -> Client {
         self.origin = Some(origin);
         self
@@ -42,15 +42,15 @@
     async fn exchange(&self, address: SocketAddr, exchange: &Exchange) -> Result<Report, Error> {
         let request = self.http.post(format!("http://{address}{EXCHANGE}")).json(exchange);
         let request = http::with_origin(request, self.origin.as_ref()).timeout(self.timeout);
-        let response = request.send().await.map_err(|error| sent(&error))?;
+        let response = request.send().await.map_err(|error| send_error(&error))?;
         if !response.status().is_success() {
             return Err(Error::Unknown(format!("status {}", response.status())));
         }
-        response.json().await.map_err(|error| Error::Unknown(http::explain(&error)))
+        response.json().await.map_err(|error| Error::Unknown(http::describe(&error)))
     }
 }
 
-fn sent(error: &reqwest::Error) -> Error {
-    let text = http::explain(error);
-    if http::unsent(error) { Error::Unsent(text) } else { Error::Unknown(text) }
+fn send_error(error: &reqwest::Error) -> Error {
+    let text = http::describe(error);
+    if http::is_unsent(error) { Error::Unsent(text) } else { Error::Unknown(text) }
 }
--- a/crates/gateway/tests/instances.rs
+++ b/crates/gateway/tests/instances.rs
@@ -1,4 +1,4 @@
-//! The adapters to the list and to workers against the stand-in.
+//! The adapters to the list and to workers against the stand-in platform.
 
 use std::time::Duration;
 
@@ -27,10 +27,10 @@
 use poem::web::Json;
 use yare::parameterized;
 
-/// For calls that are to fail.
+/// Timeout of calls that are expected to fail.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// For calls that are to succeed, on however busy a machine.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of calls that are expected to succeed, also on a busy machine.
+const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn open() -> Standin {
     cowslipchute_standin::open(&Plan::default()).expect("the stand-in opens")
@@ -92,10 +92,14 @@
     assert!(changed.version > first.version);
     assert!(changed.members.contains(&extra));
     let report = standin.report();
-    assert_eq!((report.list_reads, report.list_sent), (5, 2), "it is sent when it is new");
+    assert_eq!(
+        (report.list_reads, report.list_sent),
+        (5, 2),
+        "the list is sent only after a change"
+    );
 }
 
-/// A list that knows nothing of entity tags.
+/// A list without support for entity tags.
 #[handler]
 fn untagged() -> Json<View> {
     Json(View { version: 7, members: Vec::new() })
@@ -121,7 +125,7 @@
 #[tokio::test]
 async fn a_worker_answers_with_its_report() {
     let standin = open();
-    let workers = worker::Client::open(PATIENCE);
+    let workers = worker::Client::open(LONG_TIMEOUT);
     let first = &standin.addresses().workers[0];
     let report = workers.exchange(first.address, &exchange()).await.expect("it answers");
     assert_eq!((report.instance, report.obeyed, report.epoch), (first.instance.clone(), true, 3));
@@ -153,9 +157,9 @@
     };
     standin.cut(Cut { a: "a".into(), b: "b".into() });
     let (near, far) = (&standin.addresses().workers[0], &standin.addresses().workers[2]);
-    assert!(from("a", PATIENCE).exchange(near.address, &exchange()).await.is_ok());
+    assert!(from("a", LONG_TIMEOUT).exchange(near.address, &exchange()).await.is_ok());
     assert!(from("a", CALL_TIMEOUT).exchange(far.address, &exchange()).await.is_err());
-    assert!(from("b", PATIENCE).exchange(far.address, &exchange()).await.is_ok());
+    assert!(from("b", LONG_TIMEOUT).exchange(far.address, &exchange()).await.is_ok());
     standin.heal(Cut { a: "b".into(), b: "a".into() });
-    assert!(from("a", PATIENCE).exchange(far.address, &exchange()).await.is_ok());
+    assert!(from("a", LONG_TIMEOUT).exchange(far.address, &exchange()).await.is_ok());
 }
--- a/crates/gateway/tests/kv_calls.rs
+++ b/crates/gateway/tests/kv_calls.rs
@@ -1,4 +1,4 @@
-//! The store's adapter against the stand-in when nothing fails.
+//! The adapter to the store against the stand-in platform, without faults.
 
 use std::time::Duration;
 
@@ -62,7 +62,11 @@
     assert_eq!(verdict.applied, applies);
     assert_eq!(store.read("out").await.expect("it is read").entries.len(), usize::from(applies));
     let shown = !applies && key == "old";
-    assert_eq!(verdict.current.len(), usize::from(shown), "a refusal shows the keys it looked at");
+    assert_eq!(
+        verdict.current.len(),
+        usize::from(shown),
+        "a failed transaction returns the guarded keys"
+    );
 }
 
 #[tokio::test]
--- a/crates/gateway/tests/kv_errors.rs
+++ b/crates/gateway/tests/kv_errors.rs
@@ -1,4 +1,4 @@
-//! The store's adapter when calls fail: whatever may have taken effect is `Unknown`.
+//! The adapter to the store when calls fail: a write that may have taken effect is `Unknown`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,13 +25,13 @@
 use tokio::time::timeout;
 use yare::parameterized;
 
-/// For calls that are to fail.
+/// Timeout of calls that are expected to fail.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// For calls that are to succeed, on however busy a machine.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of calls that are expected to succeed, also on a busy machine.
+const LONG_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The classes of error, without their texts.
+/// Error classes, without their texts.
 #[derive(Debug, PartialEq, Eq)]
 enum Class {
     Unavailable,
@@ -60,10 +60,10 @@
     (standin, client)
 }
 
-/// Whether the write is found once the store answers again.
+/// Returns `true` if the write is found once the store responds again.
 async fn applied(standin: &Standin) -> bool {
     standin.set_fault(Target::Store, Fault::default()).await.expect("the fault is switched off");
-    let store = Client::open(&standin.store_url(), PATIENCE);
+    let store = Client::open(&standin.store_url(), LONG_TIMEOUT);
     let found = store.read("k").await.expect("the store answers again");
     !found.entries.is_empty()
 }
@@ -79,12 +79,17 @@
     },
 )]
 #[test_macro(tokio::test)]
-async fn a_failing_store_is_told_by_class(fault: Fault, read: Class, commit: Class, takes: bool) {
+async fn a_failing_store_is_told_by_class(
+    fault: Fault,
+    read: Class,
+    commit: Class,
+    expect_applied: bool,
+) {
     let (standin, store) = open();
     standin.set_fault(Target::Store, fault).await.expect("the fault is switched on");
     assert_eq!(class(store.read("k").await), read);
     assert_eq!(class(store.commit(write()).await), commit);
-    assert_eq!(applied(&standin).await, takes);
+    assert_eq!(applied(&standin).await, expect_applied);
 }
 
 #[tokio::test]
@@ -96,7 +101,7 @@
     assert_eq!(class(store.grant(Duration::from_secs(1)).await), Class::Unknown);
     assert_eq!(class(store.read("k").await), Class::Unavailable);
     let mut found = applied(&standin).await;
-    // Nothing says how soon a late write is obeyed, only that it is.
+    // The delayed write is applied eventually, but without a time limit.
     while !found {
         tokio::time::sleep(Duration::from_millis(10)).await;
         found = applied(&standin).await;
@@ -104,7 +109,8 @@
     assert_eq!(standin.report().store.commits, 1);
 }
 
-/// Serves the same bytes to every connection's first request and then closes it; counts requests.
+/// Starts a server that sends the same bytes in response to the first request of each connection
+/// and then closes it. Returns a client of it and the counter of requests.
 async fn scripted(answer: String) -> (Client, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let url = format!("http://{}", listener.local_addr().expect("it is bound"));
@@ -125,13 +131,13 @@
     (Client::open(&url, CALL_TIMEOUT), requests)
 }
 
-/// A whole answer with this status and body, after which the connection is not used again.
+/// Returns a complete response with this status and body that announces the end of the connection.
 fn answer(status: u16, body: &str) -> String {
-    kept(status, body).replacen("\r\n", "\r\nconnection: close\r\n", 1)
+    keep_alive_answer(status, body).replacen("\r\n", "\r\nconnection: close\r\n", 1)
 }
 
-/// The same, but nothing says that the connection closes.
-fn kept(status: u16, body: &str) -> String {
+/// Returns the same response without announcing the end of the connection.
+fn keep_alive_answer(status: u16, body: &str) -> String {
     format!("HTTP/1.1 {status} x\r\ncontent-length: {}\r\n\r\n{body}", body.len())
 }
 
@@ -179,7 +185,7 @@
     let store_limits = Limits { reads: u64::MAX, writes: 2 };
     let plan = Plan { store_limits, ..Plan::bare() };
     let standin = cowslipchute_standin::open(&plan).expect("the stand-in opens");
-    let store = Client::open(&standin.store_url(), PATIENCE);
+    let store = Client::open(&standin.store_url(), LONG_TIMEOUT);
     let mut applied = 0;
     loop {
         match store.commit(write()).await {
@@ -196,15 +202,16 @@
 
 #[tokio::test]
 async fn a_write_over_a_connection_that_the_store_closes_is_sent_once() {
-    // The first answer keeps the connection open by its head, but the server then closes it.
-    let (store, requests) = scripted(kept(200, "{}")).await;
+    // By its header the response keeps the connection open, but the server closes it.
+    let (store, requests) = scripted(keep_alive_answer(200, "{}")).await;
     for sent in 1..=20 {
         let _ = store.commit(write()).await;
         assert!(requests.load(Ordering::SeqCst) <= sent);
     }
 }
 
-/// A port that neither accepts nor refuses, as behind a network partition: its queue is full.
+/// Returns a port that neither accepts nor refuses connections, as in a network partition, because
+/// its accept queue is full.
 async fn black_hole() -> (SocketAddr, Vec<TcpStream>, TcpListener) {
     let socket = TcpSocket::new_v4().expect("the system gives a socket");
     socket.bind(([127, 0, 0, 1], 0).into()).expect("a port is free");
@@ -226,14 +233,14 @@
     }
 }
 
-/// Set for the process that this test starts of itself.
+/// Environment variable set in the child process in which this test runs itself again.
 const CHILD: &str = "COWSLIPCHUTE_TEST_CHILD";
 
 #[tokio::test]
 async fn a_proxy_in_the_environment_is_not_used() {
     if std::env::var_os(CHILD).is_some() {
         let standin = cowslipchute_standin::open(&Plan::bare()).expect("the stand-in opens");
-        let store = Client::open(&standin.store_url(), PATIENCE);
+        let store = Client::open(&standin.store_url(), LONG_TIMEOUT);
         store.read("k").await.expect("the store is reached without the proxy");
         return;
     }
--- a/crates/gateway/tests/kv_watch.rs
+++ b/crates/gateway/tests/kv_watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the store's adapter against the stand-in.
+//! Watches of the adapter to the store against the stand-in platform.
 
 use std::time::Duration;
 
@@ -19,14 +19,14 @@
 use yare::parameterized;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-const SILENCE: Duration = Duration::from_millis(1000);
+const WATCH_SILENCE: Duration = Duration::from_millis(1000);
 
 fn open() -> (Standin, Client) {
     let plan = Plan { watch_progress: Duration::from_millis(50), ..Plan::bare() };
     let standin = cowslipchute_standin::open(&plan).expect("the stand-in opens");
     let origin = Origin { domain: "a".into(), instance: "entry-a-0".into() };
     let client = Client::open(&standin.store_url(), CALL_TIMEOUT)
-        .with_watch_silence(SILENCE)
+        .with_watch_silence(WATCH_SILENCE)
         .with_origin(origin);
     (standin, client)
 }
@@ -43,10 +43,10 @@
     store.commit(txn).await.expect("it is applied").revision
 }
 
-/// The next update that is no progress, in short.
+/// Returns a short description of the next update, progress messages skipped.
 async fn next(updates: &mut Receiver<Update>) -> String {
     loop {
-        match updates.recv().await.expect("an end is told before the channel closes") {
+        match updates.recv().await.expect("an `Ended` update precedes the closing of the channel") {
             Update::Progress(_) => {}
             Update::Put(entry) => return format!("put {} {}", entry.key, entry.revision),
             Update::Deleted { key, revision } => return format!("deleted {key} {revision}"),
@@ -72,7 +72,7 @@
         match updates.recv().await {
             Some(Update::Progress(revision)) if revision == fourth => break,
             Some(Update::Progress(revision)) => assert!(revision < fourth),
-            other => panic!("{other:?} is no progress"),
+            other => panic!("expected progress, got {other:?}"),
         }
     }
 }
@@ -120,7 +120,7 @@
         Err(error) => error,
         Ok(mut updates) => match updates.recv().await {
             Some(Update::Ended(error)) => error,
-            other => panic!("{other:?} is no end"),
+            other => panic!("expected the end of the watch, got {other:?}"),
         },
     };
     assert_eq!(error, Error::Compacted(second + 1));
--- a/crates/gateway/tests/kv_wire.rs
+++ b/crates/gateway/tests/kv_wire.rs
@@ -1,4 +1,5 @@
-//! Holds the messages to etcd's published gateway, since both our adapter and our stand-in use them.
+//! Checks the messages against etcd's published gateway, because both our adapter and the simulated
+//! platform use them.
 
 use cowslipchute_gateway::kv::wire;
 use serde_json::json;
