--- a/crates/follow/tests/spread.rs
+++ b/crates/follow/tests/spread.rs
@@ -141,11 +141,12 @@
         let network = Network::default();
         let members = watch::Sender::new(Vec::new());
         let mut fleet = Fleet { standin, network, members, instances: Vec::new() };
-        let places =
+        let placements =
             (0..domains.len() * per_domain).map(|number| (number, domains[number % domains.len()]));
-        let listed = places.clone().map(|(at, domain)| member(&format!("e{at}"), domain, at + 1));
+        let listed =
+            placements.clone().map(|(at, domain)| member(&format!("e{at}"), domain, at + 1));
         fleet.members.send_replace(listed.collect());
-        for (number, domain) in places {
+        for (number, domain) in placements {
             fleet.start(&format!("e{number}"), domain);
         }
         fleet
--- a/crates/gateway/tests/kv_errors.rs
+++ b/crates/gateway/tests/kv_errors.rs
@@ -111,7 +111,7 @@
 
 /// Starts a server that sends the same bytes in response to the first request of each connection
 /// and then closes it. Returns a client of it and the counter of requests.
-async fn scripted(answer: String) -> (Client, Arc<AtomicU32>) {
+async fn spawn_scripted_server(answer: String) -> (Client, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port is free");
     let url = format!("http://{}", listener.local_addr().expect("it is bound"));
     let requests = Arc::<AtomicU32>::default();
@@ -174,7 +174,7 @@
 )]
 #[test_macro(tokio::test)]
 async fn an_answer_is_told_by_class(answer: String, read: Class, commit: Class) {
-    let (store, requests) = scripted(answer).await;
+    let (store, requests) = spawn_scripted_server(answer).await;
     assert_eq!(class(store.read("k").await), read);
     assert_eq!(class(store.commit(write()).await), commit);
     assert_eq!(requests.load(Ordering::SeqCst), 2, "no call is sent twice");
@@ -203,7 +203,7 @@
 #[tokio::test]
 async fn a_write_over_a_connection_that_the_store_closes_is_sent_once() {
     // By its header the response keeps the connection open, but the server closes it.
-    let (store, requests) = scripted(keep_alive_answer(200, "{}")).await;
+    let (store, requests) = spawn_scripted_server(keep_alive_answer(200, "{}")).await;
     for sent in 1..=20 {
         let _ = store.commit(write()).await;
         assert!(requests.load(Ordering::SeqCst) <= sent);
--- a/crates/peer/src/identity.rs
+++ b/crates/peer/src/identity.rs
@@ -192,10 +192,10 @@
 
 fn certificates(origin: &str, pem: &[u8]) -> Result<Vec<CertificateDer<'static>>, Error> {
     let found: Result<Vec<_>, _> = CertificateDer::pem_slice_iter(pem).collect();
-    let problem = |problem: String| Error::Pem { origin: origin.to_owned(), problem };
-    let found = found.map_err(|error| problem(error.to_string()))?;
+    let pem_error = |problem: String| Error::Pem { origin: origin.to_owned(), problem };
+    let found = found.map_err(|error| pem_error(error.to_string()))?;
     if found.is_empty() {
-        return Err(problem("it holds no certificate".to_owned()));
+        return Err(pem_error("it holds no certificate".to_owned()));
     }
     Ok(found)
 }
--- a/crates/peer/tests/node.rs
+++ b/crates/peer/tests/node.rs
@@ -92,22 +92,22 @@
     let ours = Authority::generate().unwrap();
     let foreign = Authority::generate().unwrap();
     let (node, mut calls) = open(&ours.issue().unwrap().identity().unwrap());
-    // The stranger accepts our authority, so only our own check can reject it.
+    // The foreign peer accepts our authority, so only our own check can reject it.
     let accepting = foreign.issue().unwrap().identity_accepting(&[ours.pem()]).unwrap();
-    let (stranger, _calls) = open(&accepting);
-    let outcome = stranger.call(node.address(), &Call::Pull { after: 1 }).await;
+    let (foreign_peer, _calls) = open(&accepting);
+    let outcome = foreign_peer.call(node.address(), &Call::Pull { after: 1 }).await;
     assert!(matches!(outcome, Err(Error::Refused(_))), "{outcome:?}");
     assert_eq!(node.count().peers_refused, 1);
-    assert!(calls.try_recv().is_err(), "nothing of a stranger arrives");
+    assert!(calls.try_recv().is_err(), "no call of a foreign peer arrives");
 }
 
 #[tokio::test]
 async fn a_node_sends_nothing_to_a_peer_of_another_deployment() {
     let (node, _calls) = open(&Identity::generate().unwrap());
-    let (stranger, mut calls) = open(&Identity::generate().unwrap());
-    let outcome = node.call(stranger.address(), &Call::Pull { after: 1 }).await;
+    let (foreign_peer, mut calls) = open(&Identity::generate().unwrap());
+    let outcome = node.call(foreign_peer.address(), &Call::Pull { after: 1 }).await;
     assert!(matches!(outcome, Err(Error::Unsent(_))), "{outcome:?}");
-    assert!(calls.try_recv().is_err(), "nothing reaches a stranger");
+    assert!(calls.try_recv().is_err(), "no call reaches a foreign peer");
 }
 
 #[tokio::test]
@@ -135,11 +135,11 @@
     let (caller, _calls) = open(&identity);
     let (callee, mut calls) = open_at(LOOPBACK.into(), &identity, LONG_TIMEOUT, 1);
     let first = spawn_call(&caller, callee.address(), Call::Pull { after: 1 });
-    let held = calls.recv().await.unwrap();
+    let incoming = calls.recv().await.unwrap();
     let outcome = caller.call(callee.address(), &Call::Pull { after: 2 }).await;
     assert!(matches!(outcome, Err(Error::Refused(_))), "{outcome:?}");
     assert_eq!(callee.count().calls_refused, 1);
-    held.answer(items(1));
+    incoming.answer(items(1));
     assert_eq!(first.await.unwrap(), Ok(items(1)));
 }
 
@@ -228,15 +228,15 @@
     let mut given_up = 0;
     for polls in (1..40).step_by(3) {
         let call = push(frame::MAX_BYTES - 64);
-        let mut half = Box::pin(caller.call(callee.address(), &call));
+        let mut partial_call = Box::pin(caller.call(callee.address(), &call));
         for _ in 0..polls {
             tokio::select! {
                 biased;
-                _ = &mut half => break,
+                _ = &mut partial_call => break,
                 () = tokio::task::yield_now() => {}
             }
         }
-        drop(half);
+        drop(partial_call);
         let next = spawn_call(&caller, callee.address(), Call::Pull { after: polls });
         let mut incoming = calls.recv().await.unwrap();
         if incoming.call == call {
@@ -249,7 +249,7 @@
         incoming.answer(items(polls));
         assert_eq!(next.await.unwrap(), Ok(items(polls)));
     }
-    assert!(given_up > 0, "some calls are given up half way");
+    assert!(given_up > 0, "some calls are cancelled before they are sent completely");
 }
 
 #[tokio::test]
@@ -259,7 +259,7 @@
     let (callee, mut calls) = open(&identity);
     let address = callee.address();
     let pending = spawn_call(&caller, address, Call::Pull { after: 1 });
-    let held = calls.recv().await.unwrap();
+    let incoming = calls.recv().await.unwrap();
     let draining = tokio::spawn(async move {
         let drained = callee.drain(LONG_TIMEOUT).await;
         drop(callee);
@@ -278,7 +278,7 @@
         }
     };
     assert!(matches!(refused, Err(Error::Refused(_))), "{refused:?}");
-    held.answer(items(1));
+    incoming.answer(items(1));
     assert_eq!(pending.await.unwrap(), Ok(items(1)), "draining interrupts no accepted call");
     assert!(draining.await.unwrap());
 }
