--- a/bin/placer/src/api.rs
+++ b/bin/placer/src/api.rs
@@ -24,28 +24,28 @@
 use crate::status;
 use crate::status::Status;
 
-/// Most notes in one answer.
+/// Maximum number of notes in one response.
 const NOTES_MAX: usize = 1000;
 
-/// What the paths show.
+/// State that the paths serve.
 #[derive(Clone, Debug)]
 pub struct Context {
-    /// The placer as last published.
+    /// Most recently published status.
     pub status: watch::Receiver<Arc<Status>>,
-    /// The last notes.
+    /// Most recent notes.
     pub journal: Journal,
-    /// Asks the deciding duty.
+    /// Sends queries to the deciding duty.
     pub queries: mpsc::Sender<Query>,
-    /// Wakes it.
+    /// Wakes the deciding duty.
     pub bell: Bell,
 }
 
-/// A question about jobs.
+/// A query about jobs.
 #[derive(Debug)]
 pub struct Query {
     /// The job; all jobs if there is none.
     pub job: Option<String>,
-    /// Takes the answer.
+    /// Receives the response.
     pub reply: oneshot::Sender<Vec<status::Job>>,
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// The deciding duty has too many questions or is ending.
+/// Response when the deciding duty has too many queries or is ending.
 fn busy() -> Response {
     let code = Code::Busy;
     Response::builder()
--- a/bin/placer/src/decide.rs
+++ b/bin/placer/src/decide.rs
@@ -1,5 +1,5 @@
-//! The duty that decides: it holds the keeper, the board of homes and one cell decider for each
-//! cell that is owned, and carries their actions to the other duties.
+//! The duty that makes the decisions. It holds the ownership manager, the directory of job homes
+//! and one cell decider for each owned cell, and passes their actions on to the other duties.
 
 mod cells;
 mod homes;
@@ -48,17 +48,17 @@
 
 use host::Host;
 
-/// Values taken from one ring before the others get their turn.
+/// Number of values handled from one ring before the other rings are served.
 const TURN: usize = 256;
-/// How often the cells of the whole deployment are read.
+/// Interval between reads of the cells of the whole deployment.
 const CELLS_EVERY: Duration = Duration::from_secs(30);
-/// How soon a failed read of them, or of records, is tried again.
+/// Retry delay after a failed read of the cells or of records.
 const RETRY: Duration = Duration::from_millis(500);
 
-/// The rings that end here.
+/// Receiving ends of the duty's rings.
 #[derive(Debug)]
 pub struct Inputs {
-    /// Wakes the duty for any of them.
+    /// Wakes the duty when a value arrives on any ring.
     pub bell: Bell,
     /// From the store duty.
     pub store: ring::Receiver<Answer>,
@@ -74,7 +74,7 @@
     pub queries: mpsc::Receiver<Query>,
 }
 
-/// The rings that start here.
+/// Sending ends of the duty's rings.
 #[derive(Debug)]
 pub struct Outputs {
     /// To the store duty.
@@ -85,28 +85,28 @@
     pub link: ring::Sender<Speech>,
 }
 
-/// What the duty is opened with.
+/// Settings and handles that the duty is opened with.
 #[derive(Debug)]
 pub struct Context {
-    /// Settings of the keeper.
+    /// Settings of the ownership manager.
     pub keeper: ownership::Settings,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Takes notes for operators.
+    /// Records notes for operators.
     pub journal: Journal,
-    /// Counts.
+    /// Metrics of the placer.
     pub metrics: Metrics,
-    /// Whether the process wants work.
+    /// Readiness of the process for work.
     pub readiness: Readiness,
-    /// Takes the status for operators.
+    /// Publishes the status for operators.
     pub status: watch::Sender<Arc<Status>>,
-    /// Takes the listed instances, for the follower of the configuration.
+    /// Publishes the listed instances for the follower of the configuration.
     pub members: watch::Sender<Vec<list::Member>>,
-    /// Closed when the duty ends, which ends the watch duty.
+    /// Dropped when the duty ends, which ends the watch duty.
     pub ended: oneshot::Sender<()>,
 }
 
-/// The duty's state.
+/// State of the duty.
 #[derive(Debug)]
 pub struct Decide {
     context: Context,
@@ -124,7 +124,7 @@
 }
 
 impl Decide {
-    /// Opens the duty's state.
+    /// Returns the initial state of the duty.
     pub fn open(context: Context, outputs: Outputs) -> Decide {
         Decide {
             keeper: Manager::open(context.keeper.clone()),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Decides until every cell is given up after a stop was asked for, or the stop is forced.
+    /// Runs until every cell has been released after a requested stop, or until the stop is forced.
     pub async fn run(mut self, mut inputs: Inputs, mut stop: Stop) {
         let mut asked = false;
         while !self.drained && stop.stage() < Stage::Forced {
@@ -168,10 +168,10 @@
         self.publish_now();
     }
 
-    /// Takes what has come in and does what is due; tells whether more may be waiting.
+    /// Handles received messages and due timers; returns `true` if more messages may be waiting.
     fn turn(&mut self, inputs: &mut Inputs) -> bool {
-        // The keeper is stepped before anything else, so that it notices a pause of this process
-        // before anything that came in meanwhile is acted on.
+        // Step the ownership manager first, so that it detects a pause of this process before any
+        // message that arrived during the pause is handled.
         self.tell_keeper(Event::Tick);
         self.answer_queries(&mut inputs.queries);
         let mut more = drain(&mut inputs.store, |answer| self.on_answer(answer));
@@ -247,13 +247,13 @@
     }
 
     fn request(&mut self, request: Request) {
-        // The ring holds many times the calls that can be outstanding.
+        // The ring's capacity is many times the number of calls that can be in flight.
         if self.outputs.store.send(request).is_err() {
             debug_assert!(self.drained, "the store duty keeps up with bounded requests");
         }
     }
 
-    /// Walks the listed workers of a cell.
+    /// Iterates over the listed workers of a cell.
     fn cell_workers(&self, cell: &id::Cell) -> impl Iterator<Item = &list::Member> {
         let slice = cell.rsplit_once('/').and_then(|(_, slice)| slice.parse().ok());
         let members = self.view.iter().flat_map(|view| view.members.iter());
@@ -266,7 +266,7 @@
     }
 }
 
-/// Hands over what a ring holds, up to a turn's worth; tells whether more may be waiting.
+/// Handles up to `TURN` values from a ring; returns `true` if more may be waiting.
 fn drain<T>(receiver: &mut ring::Receiver<T>, mut handle: impl FnMut(T)) -> bool {
     for _ in 0..TURN {
         match receiver.look() {
--- a/bin/placer/src/decide/cells.rs
+++ b/bin/placer/src/decide/cells.rs
@@ -1,4 +1,4 @@
-//! Carries out what cells want, and tells them what became of it.
+//! Carries out the actions of cells and reports the results to them.
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::event::Event as LogEvent;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Steps a cell and carries out what it wants.
+    /// Steps a cell and carries out its actions.
     pub(super) fn tell_cell(&mut self, term: &Term, event: Event) {
         let now = self.now();
         let Some(host) = self.hosts.get_mut(term) else { return };
@@ -61,7 +61,7 @@
             Action::Record { batch, records, removed } => {
                 self.write_records(term, batch, &records, &removed);
             }
-            // The keeper has told it.
+            // The ownership manager has reported it.
             Action::Note { event: LogEvent::CellOwned, .. } => {}
             Action::Note { event, subject, run, reason } => {
                 self.heed_parking(term, event, &subject, run.is_some());
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Remembers a job that was parked as a whole: it may be able to run in another cell.
+    /// Records a job whose tasks are all parked: it may be able to run in another cell.
     fn heed_parking(&mut self, term: &Term, event: LogEvent, subject: &id::Instance, run: bool) {
         if event == LogEvent::TaskParked
             && !run
@@ -89,7 +89,7 @@
         exchange: worker::Exchange,
     ) {
         let Some(host) = self.hosts.get_mut(term) else { return };
-        // A cell that is being finished renews nothing and starts nothing.
+        // A cell that is being closed renews nothing and starts nothing.
         if host.phase != Phase::Active {
             return;
         }
@@ -130,7 +130,7 @@
         self.settle_host(&term);
     }
 
-    /// A worker that obeys a higher epoch shows that the cell has another owner.
+    /// Handles a worker that obeys a higher epoch, which shows that the cell has another owner.
     fn heed_epoch(&mut self, term: &Term, epoch: id::Epoch) {
         if epoch > term.epoch {
             self.tell_keeper(Tenure::HigherEpoch { cell: term.cell.clone(), epoch });
@@ -166,7 +166,7 @@
         self.tell_cell(term, Event::Listed { view: list::View { version, members } });
     }
 
-    /// Tells every cell its workers, after a new list or a new plan.
+    /// Sends every cell its workers, after a new list or a new plan.
     pub(super) fn list_cells(&mut self) {
         for term in self.terms() {
             self.tell_list(&term);
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Returns the part of a team's quota that one cell may use: the domain's share divided by its
-    /// cells. The parts never add up to more than the share.
+    /// Returns the fraction of a team's quota that one cell may use: the domain's share divided by
+    /// the number of its cells. The fractions never add up to more than the share.
     pub(super) fn share(&self, spec: &team::Spec) -> Amount {
         let domain = &*self.context.keeper.domain;
         let share = spec.shares.get(domain).copied().unwrap_or(Amount::ZERO);
--- a/bin/placer/src/decide/homes.rs
+++ b/bin/placer/src/decide/homes.rs
@@ -1,4 +1,4 @@
-//! The configuration and the jobs' homes.
+//! Applies the configuration and manages the homes of jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 use super::RETRY;
 use super::host;
 
-/// How often parked jobs are looked at for whether they can move to another cell.
+/// Interval between checks whether parked jobs can move to another cell.
 const DEPARTURES_EVERY: Duration = Duration::from_secs(1);
 
 impl Decide {
@@ -131,13 +131,15 @@
         }
     }
 
-    /// Tells a cell that a job is gone. While a worker of the cell may still run what is not known
-    /// yet, its tasks are only cancelled: its home and record have to stay until nothing of it can
-    /// be running, or one declared anew under its name could start elsewhere beside it.
+    /// Notifies a cell that a job was removed. While a worker of the cell may still have runs that
+    /// are not known yet, the job's tasks are only cancelled: its home and record must stay until
+    /// none of its runs can exist. Otherwise a new job of the same name could start elsewhere
+    /// beside the old runs.
     fn withdraw(&mut self, term: &Term, name: id::Job) {
         let Some(host) = self.hosts.get_mut(term) else { return };
         let ready = host.cell().is_some_and(|cell| cell.phase() == Phase::Ready);
-        // A cell that never heard of the job has to, so that it has its home removed.
+        // A cell that does not know the job must receive it first, so that it has the job's home
+        // removed.
         if !ready || !host.told.contains(&name) {
             let spec = job::Spec { tasks: 0, cancelled: true, ..job::Spec::default() };
             let spec = Arc::new(spec);
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Tells a cell that has become ready which jobs went away meanwhile.
+    /// Notifies a cell that has become ready of the jobs removed in the meantime.
     fn withdraw_waiting(&mut self, term: &Term) {
         let Some(host) = self.hosts.get_mut(term) else { return };
         if host.withdrawn.is_empty() {
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Tells a cell just loaded which jobs it has.
+    /// Sends the jobs of a newly loaded cell to it.
     pub(super) fn tell_jobs(&mut self, term: &Term) {
         let mut actions = Vec::new();
         self.board.add_owned_cell(&term.cell, &mut actions);
@@ -209,8 +211,8 @@
         self.carry_out_homes(actions);
     }
 
-    /// Lets jobs that no worker of their cell is large enough for look for another home. The cell
-    /// is told that they are gone, so that nothing of them can start meanwhile.
+    /// Lets jobs that are too large for every worker of their cell seek another home. The cell is
+    /// notified that they were removed, so that none of their tasks can start in the meantime.
     pub(super) fn tick_departures(&mut self) {
         let now = self.now();
         if now < self.departures_due {
@@ -226,7 +228,8 @@
         }
     }
 
-    /// Takes the parked jobs of a cell that can leave it: nothing of them runs or ever ran there.
+    /// Removes and returns the parked jobs of a cell that can leave it: none of their tasks runs or
+    /// ever ran there.
     fn departing(&mut self, term: &Term) -> Vec<id::Job> {
         let Some(host) = self.hosts.get_mut(term) else { return Vec::new() };
         let candidates = std::mem::take(&mut host.parked);
--- a/bin/placer/src/decide/host.rs
+++ b/bin/placer/src/decide/host.rs
@@ -1,4 +1,4 @@
-//! One cell that this placer owns, or is just ceasing to own.
+//! A cell that this placer owns, or whose ownership is ending.
 
 use std::collections::BTreeSet;
 
@@ -13,20 +13,20 @@
 use crate::records::Revisions;
 use crate::status;
 
-/// How far the cell has come.
+/// Phase of the cell's ownership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
     /// Its records are being read.
     Loading,
-    /// It decides.
+    /// The cell makes decisions.
     Active,
-    /// It starts nothing more and is being finished.
+    /// The cell starts nothing more and is being closed.
     Quiescing,
-    /// It is lost; what is on its way is running out.
+    /// Ownership is lost; exchanges and writes in flight are completing.
     Ended,
 }
 
-/// One cell and what is on its way for it.
+/// A cell and its operations in flight.
 #[derive(Debug)]
 pub(super) struct Host {
     pub(super) term: Term,
@@ -35,17 +35,17 @@
     pub(super) phase: Phase,
     pub(super) permit: Permit,
     pub(super) revisions: Revisions,
-    /// When to read the records again, if that failed.
+    /// Time to read the records again after a failed read.
     pub(super) load_at: Option<Time>,
     pub(super) exchanges: usize,
-    /// The batch being written.
+    /// Number of the batch being written.
     pub(super) writing: Option<u64>,
     pub(super) told: BTreeSet<id::Job>,
-    /// Jobs that were parked here, to be looked at for whether they can move.
+    /// Jobs parked in this cell, to be checked for a move to another cell.
     pub(super) parked: BTreeSet<id::Job>,
-    /// Jobs that are gone, to be told once every run in the cell is known.
+    /// Removed jobs, to be reported to the cell once every run in it is known.
     pub(super) withdrawn: BTreeSet<id::Job>,
-    /// Jobs that are moving away.
+    /// Jobs that are moving to another cell.
     pub(super) departing: BTreeSet<id::Job>,
     /// Jobs whose removal is in the batch being written.
     pub(super) leaving: Vec<id::Job>,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the decider, unless the cell is lost.
+    /// Returns the decider, unless ownership is lost.
     pub(super) fn cell(&mut self) -> Option<&mut Cell> {
         match self.phase {
             Phase::Active | Phase::Quiescing => Some(&mut self.cell),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Tells whether nothing is on its way any more.
+    /// Returns `true` if nothing is in flight.
     pub(super) fn is_idle(&self) -> bool {
         self.exchanges == 0 && self.writing.is_none()
     }
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Describes the cell, while it decides.
+    /// Returns the status of the cell, while it makes decisions.
     pub(super) fn detail(&self) -> Option<status::Detail> {
         (self.phase == Phase::Active).then(|| status::Detail::of(&self.cell))
     }
 
-    /// Describes one job of the cell, or all.
+    /// Returns the status of one job of the cell, or of all of them.
     pub(super) fn jobs(&self, only: Option<&str>) -> Vec<status::Job> {
         if self.phase != Phase::Active {
             return Vec::new();
--- a/bin/placer/src/decide/publish.rs
+++ b/bin/placer/src/decide/publish.rs
@@ -1,4 +1,4 @@
-//! What operators are shown.
+//! Publishes the status for operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use super::Decide;
 use super::host::Host;
 
-/// Least time between two publications of the status.
+/// Minimum interval between two publications of the status.
 const PUBLISH_EVERY: Duration = Duration::from_millis(250);
 
 impl Decide {
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Answers what the admin address asks about jobs.
+    /// Answers a query of the admin address about jobs.
     pub(super) fn answer_queries(&mut self, queries: &mut mpsc::Receiver<Query>) {
         while let Ok(query) = queries.try_recv() {
             let hosts = self.hosts.values();
             let jobs = hosts.flat_map(|host| host.jobs(query.job.as_deref())).collect();
-            // The asker may have gone away.
+            // The caller may have disconnected.
             let _ = query.reply.send(jobs);
         }
     }
--- a/bin/placer/src/decide/tenure.rs
+++ b/bin/placer/src/decide/tenure.rs
@@ -1,4 +1,4 @@
-//! Carries out what the keeper wants.
+//! Carries out the actions of the ownership manager.
 
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
@@ -20,7 +20,7 @@
 use super::host::Phase;
 
 impl Decide {
-    /// Steps the keeper and carries out what it wants.
+    /// Steps the ownership manager and carries out its actions.
     pub(super) fn tell_keeper(&mut self, event: Event) {
         let mut actions = Vec::new();
         let slices = self.keeper.plan().racks.len();
@@ -35,7 +35,7 @@
 
     fn carry_out(&mut self, action: Action) {
         if matches!(action, Action::Own { .. } | Action::Quiesce { .. } | Action::Stop { .. }) {
-            // Who owns what is shown at once.
+            // Publish changes of ownership immediately.
             self.published = Time::ZERO;
         }
         match action {
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Sends to the link duty. What a full ring refuses is asked again, by us or by the peer.
+    /// Sends to the link duty. A message that a full ring rejects is sent again later, by this
+    /// placer or by the peer.
     fn speak(&mut self, speech: Speech) {
         let _ = self.outputs.link.send(speech);
     }
@@ -72,7 +73,7 @@
         let host = Host::open(term.clone(), revision, former, cell);
         let earlier = self.hosts.insert(term.clone(), host);
         assert!(earlier.is_none(), "an epoch is owned once");
-        // Cells that were opened together should know of each other before they claim jobs.
+        // Cells opened together must know of each other before they claim jobs.
         self.cells_due = self.now();
         self.request(Request::Load { term });
     }
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Lets a cell start nothing more; it is ended when nothing of it is on its way.
+    /// Stops a cell from starting anything; it is closed once nothing of it is in flight.
     fn quiesce(&mut self, term: &Term) {
         let Some(host) = self.hosts.get_mut(term) else { return };
         match host.phase {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Forbids everything more for a cell.
+    /// Forbids all further sending for a cell.
     pub(super) fn end_host(&mut self, term: &Term) {
         if let Some(host) = self.hosts.get_mut(term) {
             host.permit.withdraw();
@@ -110,7 +111,7 @@
         self.settle_host(term);
     }
 
-    /// Tells the keeper when nothing of a cell that is being given up is on its way any more.
+    /// Notifies the ownership manager when a cell being released has nothing left in flight.
     pub(super) fn settle_host(&mut self, term: &Term) {
         let Some(host) = self.hosts.get(term) else { return };
         let ending = matches!(host.phase, Phase::Quiescing | Phase::Ended);
--- a/bin/placer/src/journal.rs
+++ b/bin/placer/src/journal.rs
@@ -1,4 +1,5 @@
-//! The last changes that the system made on its own, for operators.
+//! The most recent changes that the system made without an operator's request, for operators to
+//! read.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,14 +13,14 @@
 use slog::Logger;
 use slog::o;
 
-/// Notes kept in memory; the log has them all.
+/// Number of notes kept in memory; the log holds all of them.
 const NOTES_MAX: usize = 4096;
 
 /// One change.
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
 pub struct Note {
-    /// Rises by one with each note of this process.
+    /// Sequence number, increased by one with each note of this process.
     pub sequence: u64,
     /// Milliseconds since the process started.
     pub at_millis: u64,
@@ -27,31 +28,31 @@
     pub event: u16,
     /// Name of the event.
     pub name: &'static str,
-    /// The job, worker or cell.
+    /// Job, worker or cell that the note concerns.
     pub subject: id::Instance,
-    /// The job of the task, if it is about one.
+    /// Job of the task, if the note concerns one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub job: Option<id::Job>,
-    /// The task, if it is about one.
+    /// Task, if the note concerns one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub task: Option<id::TaskIndex>,
-    /// The run of the task.
+    /// Run of the task.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub attempt: Option<id::Attempt>,
-    /// Why.
+    /// Reason for the change.
     pub reason: String,
 }
 
-/// What a note is about.
+/// Subject of a note.
 #[derive(Clone, Debug)]
 pub struct Subject {
-    /// The job, worker or cell.
+    /// Job, worker or cell that the note concerns.
     pub name: id::Instance,
-    /// The job of the task, if it is about one.
+    /// Job of the task, if the note concerns one.
     pub job: Option<id::Job>,
-    /// The task, if it is about one.
+    /// Task, if the note concerns one.
     pub task: Option<id::TaskIndex>,
-    /// The run of the task.
+    /// Run of the task.
     pub attempt: Option<id::Attempt>,
 }
 
@@ -61,7 +62,7 @@
     notes: VecDeque<Note>,
 }
 
-/// Takes notes and gives them out; shared with the admin duty.
+/// Records notes and returns them on request; shared with the admin duty.
 #[derive(Clone, Debug)]
 pub struct Journal {
     logger: Logger,
@@ -74,7 +75,7 @@
         Journal { logger, kept: Arc::default() }
     }
 
-    /// Takes a note.
+    /// Records a note.
     pub fn note(&self, now: id::Time, event: Event, subject: Subject, reason: String) {
         let fields = o!(
             "subject" => subject.name.to_string(),
@@ -103,7 +104,7 @@
         kept.notes.push_back(note);
     }
 
-    /// Returns the notes with a sequence above `after`, oldest first, at most `limit`.
+    /// Returns at most `limit` notes with a sequence number above `after`, oldest first.
     pub fn after(&self, after: u64, limit: usize) -> Vec<Note> {
         let kept = self.kept.lock().expect("no holder of this lock panics");
         let newer = kept.notes.iter().filter(|note| note.sequence > after);
@@ -112,7 +113,7 @@
 }
 
 impl Subject {
-    /// A subject that may be about a run of a task.
+    /// Returns a subject that may name a run of a task.
     pub fn run(name: id::Instance, run: Option<Run>) -> Subject {
         match run {
             Some(Run { job, task, attempt }) => {
@@ -122,7 +123,7 @@
         }
     }
 
-    /// A subject that is no task.
+    /// Returns a subject that is not a task.
     pub fn plain(name: impl Into<id::Instance>) -> Subject {
         Subject { name: name.into(), job: None, task: None, attempt: None }
     }
--- a/bin/placer/src/lib.rs
+++ b/bin/placer/src/lib.rs
@@ -1,10 +1,11 @@
 //! The placer: owns cells of its failure domain and runs jobs' tasks on their workers.
 //!
-//! The process only carries messages. Who owns which cell is decided by `cowslipchute-tenure`, what
-//! is done with a cell by `cowslipchute-cell`; here are the duty threads around them, each with one
-//! job and joined by bounded rings: `decide` holds both, `workers` exchanges with workers, `store`
-//! calls the key-value service, `watch` follows the list and the configuration, `link` talks to
-//! other placers. [`process::spawn`] joins them over any adapters, so that tests put fakes there.
+//! The process only carries messages. `cowslipchute-tenure` decides which placer owns which cell,
+//! and `cowslipchute-cell` decides what happens in a cell. This crate runs the duty threads around
+//! them, connected by bounded rings: `decide` holds both, `workers` exchanges messages with
+//! workers, `store` calls the key-value service, `watch` follows the list and the configuration,
+//! and `link` talks to other placers. [`process::spawn`] connects them over any adapters, so that
+//! tests can use fakes.
 
 pub mod api;
 pub mod catalogue;
--- a/bin/placer/src/link.rs
+++ b/bin/placer/src/link.rs
@@ -20,34 +20,34 @@
 use crate::message::Speech;
 use crate::pump;
 
-/// One call of another process.
+/// A call from another process.
 #[derive(Debug)]
 pub struct Incoming {
-    /// What is asked.
+    /// Request of the caller.
     pub call: Call,
-    /// Takes the answer.
+    /// Receives the response.
     pub reply: oneshot::Sender<Reply>,
 }
 
-/// What the duty needs to know.
+/// Parameters of the duty.
 #[derive(Clone, Debug)]
 pub struct Context {
     /// This instance.
     pub instance: id::Instance,
-    /// Which life of it.
+    /// Incarnation of this instance.
     pub incarnation: id::Incarnation,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// How long a call may take.
+    /// Timeout of a call.
     pub timeout: Duration,
-    /// Answers what peers ask about the configuration.
+    /// Answers peers' requests about the configuration.
     pub follower: Handle,
 }
 
-/// Calls that wait for `decide`; one whose asker went away is dropped with the next answer.
+/// Calls that wait for `decide`; a call whose caller has gone is dropped with the next response.
 type Waiting = BTreeMap<CallId, oneshot::Sender<Reply>>;
 
-/// Talks until the ring from `decide` is closed.
+/// Handles calls until the ring from `decide` is closed.
 pub async fn run<P: Peers>(
     peers: P,
     context: Context,
@@ -68,7 +68,7 @@
                 }
                 Some(Speech::Reply { call, reply }) => {
                     if let Some(sender) = waiting.remove(&call) {
-                        // The asker may have given up; it asks again.
+                        // The caller may have timed out; it asks again.
                         let _ = sender.send(reply);
                     }
                     None
@@ -95,7 +95,7 @@
     }
 }
 
-/// Answers what needs no decision and passes on what does.
+/// Answers calls that need no decision and passes the others on.
 fn receive(
     context: &Context,
     number: CallId,
@@ -118,15 +118,16 @@
     None
 }
 
-/// Lets the follower answer; a call that it has no time for is dropped, and the peer asks again.
+/// Lets the follower answer a call. A call that it has no capacity for is dropped, and the peer
+/// asks again.
 async fn follow(follower: Handle, call: Call, reply: oneshot::Sender<Reply>) {
     if let Some(answer) = follower.answer(call).await {
         let _ = reply.send(answer);
     }
 }
 
-/// Asks a former owner whether it has stopped. First it has to name itself, because another life
-/// may answer at the same address, and what that one does proves nothing.
+/// Asks a previous owner whether it has stopped. The peer must identify itself first, because
+/// another incarnation may answer at the same address, and its answer proves nothing.
 async fn ask<P: Peers>(
     peers: &P,
     context: &Context,
--- a/bin/placer/src/main.rs
+++ b/bin/placer/src/main.rs
@@ -31,7 +31,7 @@
 use slog::Logger;
 use slog::o;
 
-/// Calls of peers that may be unanswered at once.
+/// Maximum number of unanswered calls from peers.
 const PEER_CALLS: usize = 256;
 
 fn main() -> ExitCode {
--- a/bin/placer/src/message.rs
+++ b/bin/placer/src/message.rs
@@ -1,4 +1,4 @@
-//! What the duties tell each other.
+//! Messages between the duties.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,16 +19,17 @@
 
 use crate::records;
 
-/// One time of owning a cell; what belongs to an earlier one is never taken for this one's.
+/// One period of ownership of a cell. Messages of an earlier period are never attributed to a later
+/// one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Term {
     /// The cell.
     pub cell: id::Cell,
-    /// The epoch.
+    /// Epoch of the ownership.
     pub epoch: id::Epoch,
 }
 
-/// Whether anything may still be sent for a term; shared between the duties that decide and send.
+/// Permission to send on behalf of a term; shared between the duties that decide and send.
 #[derive(Clone, Debug)]
 pub struct Permit {
     valid: Arc<AtomicBool>,
@@ -40,46 +41,46 @@
         Permit { valid: Arc::new(AtomicBool::new(true)) }
     }
 
-    /// Forbids sending for good.
+    /// Forbids sending permanently.
     pub fn withdraw(&self) {
         self.valid.store(false, Ordering::Release);
     }
 
-    /// Tells whether sending is allowed.
+    /// Returns `true` if sending is allowed.
     pub fn is_valid(&self) -> bool {
         self.valid.load(Ordering::Acquire)
     }
 }
 
-/// From `decide` to `workers`: one exchange to be made.
+/// From `decide` to `workers`: a request to perform one exchange.
 #[derive(Clone, Debug)]
 pub struct Errand {
-    /// For which term.
+    /// Term on whose behalf the request is sent.
     pub term: Term,
-    /// Checked right before the send.
+    /// Permission, checked right before the send.
     pub permit: Permit,
-    /// Its number.
+    /// Number of the exchange.
     pub sequence: Sequence,
     /// The worker.
     pub worker: id::Instance,
-    /// Where it is.
+    /// Address of the worker.
     pub address: SocketAddr,
-    /// What to send.
+    /// Content to send.
     pub exchange: worker::Exchange,
 }
 
-/// From `workers` to `decide`: how an exchange ended.
+/// From `workers` to `decide`: the result of an exchange.
 #[derive(Clone, Debug)]
 pub struct Return {
-    /// For which term.
+    /// Term on whose behalf the request was sent.
     pub term: Term,
-    /// Its number.
+    /// Number of the exchange.
     pub sequence: Sequence,
     /// The worker.
     pub worker: id::Instance,
-    /// What came of it.
+    /// Result of the exchange.
     pub outcome: Result<worker::Report, worker::Error>,
-    /// How long it took.
+    /// Duration of the exchange.
     pub took: Duration,
 }
 
@@ -88,43 +89,43 @@
 pub enum Request {
     /// Read the domain's ownership keys.
     Look {
-        /// The keeper's number.
+        /// Number assigned by the ownership manager.
         ticket: Ticket,
     },
-    /// Decide a transaction of the keeper.
+    /// Commit a transaction of the ownership manager.
     Commit {
-        /// The keeper's number.
+        /// Number assigned by the ownership manager.
         ticket: Ticket,
         /// The transaction.
         txn: kv::Txn,
     },
     /// Grant a lease.
     Grant {
-        /// The keeper's number.
+        /// Number assigned by the ownership manager.
         ticket: Ticket,
-        /// How long it lasts.
+        /// Time to live of the lease.
         ttl: Duration,
     },
     /// Renew a lease.
     Renew {
-        /// The keeper's number.
+        /// Number assigned by the ownership manager.
         ticket: Ticket,
         /// The lease.
         lease: kv::LeaseId,
     },
-    /// End a lease.
+    /// Revoke a lease.
     Revoke {
         /// The lease.
         lease: kv::LeaseId,
     },
-    /// Read the records of a cell just taken.
+    /// Read the records of a newly acquired cell.
     Load {
-        /// For which term.
+        /// Term that the records are read for.
         term: Term,
     },
     /// Write a batch of records.
     Write {
-        /// For which term.
+        /// Term that writes the batch.
         term: Term,
         /// The batch.
         batch: records::Batch,
@@ -134,48 +135,48 @@
         /// The transaction.
         txn: kv::Txn,
     },
-    /// Read which cells there are in the whole deployment.
+    /// List the cells of the whole deployment.
     Cells,
 }
 
 /// From `store` to `decide`.
 #[derive(Clone, Debug)]
 pub enum Answer {
-    /// Something that the keeper asked for.
+    /// Response to a request of the ownership manager.
     Keeper(Event),
-    /// A lease was ended, as far as can be told.
+    /// Result of a lease revocation, which may have failed.
     Revoked,
     /// The records of a cell.
     Loaded {
-        /// For which term.
+        /// Term that the records were read for.
         term: Term,
         /// The records.
         outcome: Result<records::Loaded, kv::Error>,
     },
-    /// How a batch of records ended.
+    /// Result of writing a batch of records.
     Written {
-        /// For which term.
+        /// Term that wrote the batch.
         term: Term,
-        /// The batch's number.
+        /// Number of the batch.
         number: u64,
-        /// How.
+        /// Result of the write.
         written: records::Written,
     },
-    /// How a claim of homes ended.
+    /// Result of a claim of homes.
     Claimed {
-        /// What was asked for.
+        /// Transaction that was requested.
         txn: kv::Txn,
-        /// The verdict.
+        /// Result of the transaction.
         outcome: Result<kv::Verdict, kv::Error>,
     },
     /// The cells of the whole deployment.
     Cells {
-        /// Their names.
+        /// Names of the cells.
         outcome: Result<Vec<id::Cell>, kv::Error>,
     },
 }
 
-/// One step in following a prefix of the store.
+/// One update while following a prefix of the store.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// Everything below the prefix, as of one revision.
@@ -190,7 +191,7 @@
     },
     /// A key was removed.
     Deleted {
-        /// The whole key.
+        /// Full name of the key.
         key: String,
         /// Revision of the removal.
         revision: id::Revision,
@@ -200,35 +201,35 @@
 /// From `watch` to `decide`.
 #[derive(Clone, Debug)]
 pub enum Sighting {
-    /// The platform's list.
+    /// The platform's list of instances.
     Listed(list::View),
     /// The list could not be read.
     ListFailed(String),
-    /// Something changed about the domain's cells.
+    /// A change to the domain's cells.
     Changed,
-    /// The jobs' homes.
+    /// A change to the homes of jobs.
     Homes(Step),
 }
 
 /// From `link` to `decide`.
 #[derive(Clone, Debug)]
 pub enum Heard {
-    /// Another placer asks whether we have stopped.
+    /// Another placer asks whether this one has stopped owning a cell.
     Release {
-        /// Number of the call, to be answered.
+        /// Number of the call, used to answer it.
         call: CallId,
         /// The cell.
         cell: id::Cell,
-        /// The asker's epoch.
+        /// Epoch of the caller.
         epoch: id::Epoch,
     },
-    /// A former owner has stopped.
+    /// A previous owner has stopped.
     Released {
         /// The cell.
         cell: id::Cell,
-        /// Our epoch.
+        /// Epoch of this placer.
         epoch: id::Epoch,
-        /// Who answered.
+        /// Instance that answered.
         owner: Owner,
     },
 }
@@ -236,13 +237,13 @@
 /// From `decide` to `link`.
 #[derive(Clone, Debug)]
 pub enum Speech {
-    /// Ask a former owner whether it has stopped.
+    /// Ask a previous owner whether it has stopped.
     Ask {
         /// The cell.
         cell: id::Cell,
-        /// Our epoch.
+        /// Epoch of this placer.
         epoch: id::Epoch,
-        /// Whom.
+        /// Previous owner to ask.
         owner: Owner,
     },
     /// Answer an incoming call.
--- a/bin/placer/src/metrics.rs
+++ b/bin/placer/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts and gauges of the placer.
+//! Counters and gauges of the placer.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 
 use crate::status::Status;
 
-/// Upper bounds of exchange times, in seconds.
+/// Upper bounds of the histogram of exchange times, in seconds.
 const BOUNDS: &[f64] = &[0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
 
-/// Counts and gauges; clones share them.
+/// Counters and gauges; clones share them.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     store_calls: IntCounterVec,
@@ -28,11 +28,11 @@
 }
 
 impl Metrics {
-    /// Opens the metrics in a registry.
+    /// Registers the metrics.
     ///
     /// # Errors
     ///
-    /// When the registry has a metric of one of these names already.
+    /// When the registry already has a metric with one of these names.
     pub fn open(registry: &Registry) -> prometheus::Result<Metrics> {
         let counter = |name: &str, help: &str, label: &str| {
             IntCounterVec::new(Opts::new(name, help), &[label])
@@ -97,7 +97,7 @@
         self.exchange_seconds.observe(took.as_secs_f64());
     }
 
-    /// Counts a change that the system made on its own.
+    /// Counts a change that the system made without an operator's request.
     pub fn event(&self, event: Event) {
         self.events.with_label_values(&[event.name()]).inc();
     }
--- a/bin/placer/src/peers.rs
+++ b/bin/placer/src/peers.rs
@@ -1,4 +1,4 @@
-//! The quinn node as the placer uses it.
+//! The placer's QUIC node, built on quinn.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
 
 use crate::link::Incoming;
 
-/// Calls of peers that may wait for the link duty.
+/// Maximum number of calls from peers that wait for the link duty.
 const QUEUE: usize = 256;
 
-/// Calls other processes through a node.
+/// Calls other processes through the node.
 #[derive(Clone, Debug)]
 pub struct Caller {
     node: Node,
@@ -37,15 +37,15 @@
 /// A running node.
 #[derive(Debug)]
 pub struct Open {
-    /// Calls others.
+    /// Client for calls to peers.
     pub caller: Caller,
-    /// Calls of others.
+    /// Calls from peers.
     pub incoming: mpsc::Receiver<Incoming>,
-    /// Carries both until the process ends.
+    /// Duty that runs the node until the process ends.
     pub duty: Duty,
 }
 
-/// Opens a node on a duty of its own, which runs its connections.
+/// Opens a node on its own duty, which runs its connections.
 ///
 /// # Errors
 ///
@@ -81,7 +81,7 @@
             return;
         }
         tokio::task::spawn_local(async move {
-            // An unanswered call is dropped, which tells the peer that its fate is unknown.
+            // An unanswered call is dropped; the peer then sees that its outcome is unknown.
             if let Ok(reply) = answer.await {
                 call.answer(reply);
             }
--- a/bin/placer/src/process.rs
+++ b/bin/placer/src/process.rs
@@ -1,4 +1,4 @@
-//! Joins the duties of a placer over any adapters.
+//! Connects the duties of a placer over any adapters.
 
 use std::io;
 use std::sync::Arc;
@@ -34,61 +34,61 @@
 use crate::watch as sightings;
 use crate::workers;
 
-/// Values that each ring holds. Exchanges are the most: one for each worker of the cells owned.
+/// Capacity of each ring. Exchanges need the most: one for each worker of the owned cells.
 const RING: usize = 8192;
-/// Questions of the admin address that may wait.
+/// Number of queries of the admin address that may wait.
 const QUERIES: usize = 16;
 
-/// What a placer is made of.
+/// Parts that a placer is built from.
 #[derive(Debug)]
 pub struct Parts<S, L, W, P> {
-    /// Settings of the keeper.
+    /// Settings of the ownership manager.
     pub keeper: ownership::Settings,
-    /// The key-value service.
+    /// Client of the key-value service.
     pub store: S,
-    /// The platform's list.
+    /// Client of the platform's list of instances.
     pub list: L,
-    /// The workers.
+    /// Client of the workers.
     pub worker: W,
-    /// Calls to other placers.
+    /// Client for calls to other placers.
     pub peers: P,
-    /// Calls of other placers.
+    /// Calls from other placers.
     pub incoming: mpsc::Receiver<Incoming>,
-    /// How long one call to the store or a peer may take.
+    /// Timeout of one call to the store or a peer.
     pub store_timeout: Duration,
-    /// How long one exchange may take.
+    /// Timeout of one exchange with a worker.
     pub worker_timeout: Duration,
-    /// Exchanges on their way at once.
+    /// Maximum number of exchanges in flight.
     pub exchanges: usize,
-    /// How often the list is read.
+    /// Interval between reads of the list.
     pub list_every: Duration,
     /// The log.
     pub logger: Logger,
-    /// Takes notes for operators.
+    /// Records notes for operators.
     pub journal: Journal,
-    /// Counts.
+    /// Metrics of the placer.
     pub metrics: Metrics,
-    /// Whether the process wants work.
+    /// Readiness of the process for work.
     pub readiness: Readiness,
-    /// How far the stop has come.
+    /// Progress of the shutdown.
     pub stop: Stop,
 }
 
-/// A running placer. It ends when its stop has come to its end.
+/// A running placer. It ends when its shutdown completes.
 #[derive(Debug)]
 pub struct Placer {
     duties: Vec<Duty>,
     follower: follow::Follower,
-    /// The placer as last published.
+    /// Most recently published status.
     pub status: watch::Receiver<Arc<Status>>,
-    /// The last notes.
+    /// Most recent notes.
     pub journal: Journal,
     queries: mpsc::Sender<api::Query>,
     bell: Bell,
 }
 
 impl Placer {
-    /// Returns what the admin address needs.
+    /// Returns the handles that the admin address needs.
     pub fn api(&self) -> api::Context {
         api::Context {
             status: self.status.clone(),
--- a/bin/placer/src/pump.rs
+++ b/bin/placer/src/pump.rs
@@ -1,4 +1,4 @@
-//! Carries values between a duty and its rings without losing or reordering any.
+//! Moves values between a duty and its rings without losing or reordering any.
 
 use std::future::Future;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
-/// How long a duty waits before it offers a value to a full ring again.
+/// Retry delay before a value is offered to a full ring again.
 const RETRY: Duration = Duration::from_millis(1);
 
-/// The other end of the ring is gone; the duty is to end.
+/// Error returned when the other end of the ring is gone and the duty must end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Closed;
 
-/// Puts a value into a ring, waiting while it is full.
+/// Sends a value to a ring, waiting while it is full.
 ///
 /// # Errors
 ///
@@ -32,8 +32,8 @@
     }
 }
 
-/// Handles every value of a ring, at most `limit` at once, and sends on what becomes of each.
-/// Ends when the ring is closed and all are handled.
+/// Handles every value of a ring, at most `limit` at once, and sends each result on. Returns when
+/// the ring is closed and all values are handled.
 pub async fn run<I, O, F, Fut>(
     mut inbox: Receiver<I>,
     mut outbox: Sender<O>,
--- a/bin/placer/src/records.rs
+++ b/bin/placer/src/records.rs
@@ -1,7 +1,7 @@
-//! Records of tasks in the store: read when a cell is taken, written in batches by its owner.
+//! Records of tasks in the store: read when a cell is acquired, written in batches by its owner.
 //!
 //! Each batch is guarded by the cell's key, so that an owner that lost the cell writes nothing, and
-//! by each record's own revision, so that a batch that was delayed on its way can't undo a later one.
+//! by each record's own revision, so that a delayed batch can't undo a later one.
 
 use std::collections::BTreeMap;
 
@@ -11,9 +11,9 @@
 use cowslipchute_ports::kv::Store;
 use cowslipchute_tenure::key;
 
-/// Changes in one transaction; the store takes 128 operations of each kind.
+/// Maximum number of changes in one transaction; the store accepts 128 operations of each kind.
 const CHANGES_MAX: usize = 100;
-/// Bytes in one transaction; the store takes a megabyte.
+/// Maximum size of one transaction in bytes; the store accepts one megabyte.
 const BYTES_MAX: usize = 800_000;
 
 /// Revisions of the records that the store holds.
@@ -22,24 +22,24 @@
 /// The records of a cell.
 #[derive(Clone, Debug, Default)]
 pub struct Loaded {
-    /// Those that can be read.
+    /// Records that can be decoded.
     pub records: Vec<Record>,
-    /// The revisions of all.
+    /// Revisions of all records.
     pub revisions: Revisions,
 }
 
 /// A batch to be written.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// The cell's number for it.
+    /// Number that the cell assigned to the batch.
     pub number: u64,
     /// Key of the cell's ownership.
     pub owner_key: String,
-    /// Revision at which that key has to stand.
+    /// Revision that this key must have.
     pub owner_revision: id::Revision,
     /// The cell.
     pub cell: id::Cell,
-    /// What is to be written.
+    /// Changes to write.
     pub edits: Vec<Edit>,
 }
 
@@ -48,33 +48,33 @@
 pub struct Edit {
     /// The job.
     pub job: id::Job,
-    /// Revision at which the record stands; nothing if there is none.
+    /// Current revision of the record; `None` if there is no record.
     pub revision: Option<id::Revision>,
-    /// The new value; nothing to remove it.
+    /// New value; `None` removes the record.
     pub value: Option<Vec<u8>>,
-    /// What is written in the same transaction because it must not come without this.
+    /// Operations that must take effect only together with this change.
     pub along: kv::Txn,
 }
 
-/// How a batch ended.
+/// Result of writing a batch.
 #[derive(Clone, Debug)]
 pub struct Written {
-    /// Whether all of it is in the store.
+    /// `true` if the whole batch is in the store.
     pub complete: bool,
-    /// Whether the cell's key has another revision, so that nothing can be written any more.
+    /// `true` if the cell's key has another revision, so that this owner can write nothing more.
     pub deposed: bool,
-    /// Revisions of the records that were learnt, whatever came of the batch.
+    /// Revisions observed during the write, whether or not the batch succeeded.
     pub revisions: Vec<Learnt>,
-    /// What went wrong.
+    /// Error of the write, if any.
     pub error: Option<kv::Error>,
 }
 
-/// What was learnt about one record's revision.
+/// Observed revision of one record.
 #[derive(Clone, Debug)]
 pub struct Learnt {
     /// The job.
     pub job: id::Job,
-    /// The revision; nothing if there is no record.
+    /// Revision; `None` if there is no record.
     pub revision: Option<id::Revision>,
 }
 
@@ -97,7 +97,7 @@
     Ok(loaded)
 }
 
-/// Writes a batch, in as many transactions as its size takes. Stops at the first that fails.
+/// Writes a batch, in as many transactions as its size requires. Stops at the first failure.
 pub async fn write<S: Store>(store: &S, batch: &Batch) -> Written {
     let mut written =
         Written { complete: true, deposed: false, revisions: Vec::new(), error: None };
@@ -118,7 +118,7 @@
     written
 }
 
-/// Splits a batch so that no transaction is too large.
+/// Splits a batch so that no transaction exceeds the limits.
 fn parts(edits: &[Edit]) -> Vec<&[Edit]> {
     let mut parts = Vec::new();
     let mut start = 0;
@@ -179,8 +179,8 @@
     }
 }
 
-/// Finds out by reading whether a part whose answer was lost is in the store. The parts of one
-/// transaction are there together or not at all, so each is compared.
+/// Reads the store to determine whether a transaction whose response was lost took effect. A
+/// transaction is atomic, so each of its changes is compared.
 async fn settle<S: Store>(
     store: &S,
     batch: &Batch,
@@ -205,14 +205,15 @@
         let revision = entry.map(|entry| entry.revision);
         written.revisions.push(Learnt { job: edit.job.clone(), revision });
     }
-    // Equal values count only while we are the owner: a later one may have written the same.
+    // Equal values count only while this placer is the owner: a later owner may have written the
+    // same.
     written.complete = applied && !written.deposed;
     if written.complete {
         written.error = None;
     }
 }
 
-/// Tells whether a change shows in the store.
+/// Returns `true` if the store reflects a change.
 async fn is_made<S: Store>(store: &S, change: &kv::Change) -> Result<bool, kv::Error> {
     Ok(match change {
         kv::Change::Put { key, value, .. } => {
@@ -222,7 +223,7 @@
     })
 }
 
-/// Reads one key; the prefix read may bring longer ones too.
+/// Reads one key; a prefix read may also return longer keys.
 async fn read_one<S: Store>(store: &S, key: &str) -> Result<Option<kv::Entry>, kv::Error> {
     let snapshot = store.read(key).await?;
     Ok(snapshot.entries.into_iter().find(|entry| entry.key == key))
--- a/bin/placer/src/status.rs
+++ b/bin/placer/src/status.rs
@@ -1,4 +1,4 @@
-//! What the admin address shows of this placer.
+//! Status of this placer, as shown at the admin address.
 
 use std::collections::BTreeMap;
 
@@ -9,34 +9,34 @@
 use cowslipchute_cell::status::Counts;
 use serde::Serialize;
 
-/// The workers of a cell that is ours.
+/// Workers of an owned cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Workers {
-    /// How many there are by health.
+    /// Number of workers by health.
     pub by_health: BTreeMap<&'static str, usize>,
-    /// How many may still run what we don't know of.
+    /// Number of workers that may still have runs unknown to this placer.
     pub unfenced: usize,
-    /// What they offer together.
+    /// Total capacity of the workers.
     pub capacity: Amount,
-    /// What is, or may be, taken.
+    /// Capacity that is, or may be, in use.
     pub committed: Amount,
 }
 
-/// What only the owner of a cell knows of it.
+/// Status of a cell that only its owner knows.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Detail {
-    /// Whether unclaimed tasks may start.
+    /// `true` if unclaimed tasks may start.
     pub phase: &'static str,
-    /// The tasks by state.
+    /// Number of tasks by state.
     pub tasks: Counts,
-    /// The workers.
+    /// Status of the workers.
     pub workers: Workers,
 }
 
 impl Detail {
-    /// Describes a cell.
+    /// Returns the status of a cell.
     pub fn of(cell: &cowslipchute_cell::cell::Cell) -> Detail {
         let mut workers = Workers { unfenced: cell.unfenced(), ..Workers::default() };
         for worker in cell.workers() {
@@ -52,34 +52,34 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Cell {
-    /// Its name.
+    /// Name of the cell.
     pub cell: id::Cell,
-    /// How this placer stands to it.
+    /// Relation of this placer to the cell.
     pub state: &'static str,
     /// The owner as last read from the store.
     pub owner: Option<id::Instance>,
-    /// Our epoch, if it is ours.
+    /// Epoch of this placer, if it owns the cell.
     pub epoch: Option<id::Epoch>,
-    /// Listed workers of the cell.
+    /// Number of listed workers of the cell.
     pub workers: usize,
-    /// Jobs told to the cell, if it is ours.
+    /// Number of jobs sent to the cell, if this placer owns it.
     pub jobs: usize,
-    /// Records in the store, if it is ours.
+    /// Number of records in the store, if this placer owns the cell.
     pub records: usize,
-    /// Exchanges on their way.
+    /// Number of exchanges in flight.
     pub in_flight: usize,
-    /// What only the owner knows.
+    /// Status that only the owner knows.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub detail: Option<Detail>,
 }
 
-/// The placer at one moment.
+/// Status of the placer at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Status {
-    /// Whether the platform's list shows this life of the instance.
+    /// `true` if the platform's list shows this incarnation of the instance.
     pub listed: bool,
-    /// Whether the store has answered since it last failed.
+    /// `true` if the store has answered since its last failure.
     pub store: bool,
     /// The cells of the failure domain.
     pub cells: Vec<Cell>,
@@ -93,9 +93,9 @@
     pub cell: id::Cell,
     /// The job.
     pub job: id::Job,
-    /// Its tasks by state; runs of every kind are counted as running.
+    /// Number of tasks by state; runs of every kind are counted as running.
     pub tasks: Counts,
-    /// Why its tasks may not start, if they may not.
+    /// Reason why the tasks must not start, if any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub parked: Option<String>,
 }
--- a/bin/placer/src/store.rs
+++ b/bin/placer/src/store.rs
@@ -17,15 +17,15 @@
 use crate::pump;
 use crate::records;
 
-/// Calls on their way at once. The keeper makes few, each cell one write.
+/// Maximum number of calls in flight. The ownership manager makes few, each cell one write.
 const CALLS_MAX: usize = 64;
 
-/// What the duty needs to know.
+/// Parameters of the duty.
 #[derive(Clone, Debug)]
 pub struct Context {
-    /// The failure domain whose ownership keys are looked at.
+    /// Failure domain whose ownership keys are read.
     pub domain: id::Domain,
-    /// How long any call may take.
+    /// Timeout of each call.
     pub timeout: Duration,
     /// Counts the calls.
     pub metrics: Metrics,
@@ -68,7 +68,7 @@
             Answer::Keeper(Event::Renewed { ticket, outcome })
         }
         Request::Revoke { lease } => {
-            // Nothing depends on it: an unrevoked lease lapses by itself.
+            // The result does not matter: a lease that was not revoked expires by itself.
             let _ = write_within(limit, store.revoke(lease)).await;
             Answer::Revoked
         }
--- a/bin/placer/src/watch.rs
+++ b/bin/placer/src/watch.rs
@@ -20,24 +20,24 @@
 use crate::metrics::Metrics;
 use crate::pump;
 
-/// Sightings that may wait within the duty.
+/// Maximum number of updates queued within the duty.
 const QUEUE: usize = 256;
-/// How long to wait before a watch that failed is opened again.
+/// Retry delay before a failed watch is opened again.
 const RETRY: Duration = Duration::from_millis(500);
 
-/// What the duty needs to know.
+/// Parameters of the duty.
 #[derive(Clone, Debug)]
 pub struct Context {
     /// The failure domain.
     pub domain: id::Domain,
-    /// How often the list is read.
+    /// Interval between reads of the list.
     pub every: Duration,
     /// Counts the calls.
     pub metrics: Metrics,
 }
 
-/// Follows everything until `decide` has ended, which drops the other end of `ended`. The ring's
-/// closing alone would be noticed only at the next sighting.
+/// Follows all sources until `decide` has ended, which drops the other end of `ended`. A closed
+/// ring alone would be noticed only at the next update.
 pub async fn run<S: Store, L: List>(
     store: S,
     list: L,
@@ -91,7 +91,8 @@
     }
 }
 
-/// Reads a prefix, then watches it from there; reads again only when the watch can't be resumed.
+/// Reads a prefix, then watches it from that revision; reads again only when the watch can't be
+/// resumed.
 async fn follow<S: Store>(
     store: S,
     prefix: String,
@@ -129,10 +130,11 @@
     }
 }
 
-/// Where to resume a watch; nothing within means that everything is to be read again.
+/// Revision at which to resume a watch; an inner `None` means that the whole prefix must be read
+/// again.
 type Resume = Option<id::Revision>;
 
-/// Passes on updates until the watch ends; nothing when nobody listens any more.
+/// Passes on updates until the watch ends; returns `None` when the receiver is gone.
 async fn pass_on(
     mut updates: mpsc::Receiver<Update>,
     from: id::Revision,
@@ -159,7 +161,8 @@
         };
         sender.send(wrap(step)).await.ok()?;
     }
-    // One transaction's changes share a revision; if the watch broke between them, resuming after
-    // it would miss the rest, so the last revision is asked for again. Every step may be repeated.
+    // All changes of a transaction share a revision. If the watch broke between them, resuming
+    // after that revision would miss the rest, so it resumes at the revision itself. Every update
+    // may be applied twice.
     Some(Some(seen.saturating_sub(1).max(from)))
 }
--- a/bin/placer/src/workers.rs
+++ b/bin/placer/src/workers.rs
@@ -1,4 +1,4 @@
-//! The duty that makes exchanges with workers.
+//! The duty that performs request/response exchanges with workers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,7 +11,7 @@
 use crate::message::Return;
 use crate::pump;
 
-/// Makes exchanges until the ring is closed, at most `limit` at once and each within `timeout`.
+/// Performs exchanges until the ring is closed, at most `limit` at once and each within `timeout`.
 pub async fn run<W: Worker>(
     client: W,
     limit: usize,
--- a/bin/placer/tests/bench/gate.rs
+++ b/bin/placer/tests/bench/gate.rs
@@ -1,4 +1,4 @@
-//! A store from which one process can be cut off.
+//! A store that one process can be disconnected from.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -10,7 +10,7 @@
 use cowslipchute_ports::kv::Store;
 use tokio::sync::mpsc;
 
-/// Cuts its stores off while it is shut.
+/// Disconnects its stores while it is shut.
 #[derive(Clone, Debug, Default)]
 pub struct Gate {
     shut: Arc<AtomicBool>,
--- a/bin/placer/tests/bench/mod.rs
+++ b/bin/placer/tests/bench/mod.rs
@@ -54,12 +54,12 @@
 use prometheus::Registry;
 
 pub const DOMAIN: &str = "a";
-/// The lease of the placers: short, so that tests are.
+/// Lease of the placers; short, to keep the tests fast.
 pub const LEASE: Duration = Duration::from_millis(1500);
 const LIMIT: Duration = Duration::from_secs(60);
 const CALL: Duration = Duration::from_millis(500);
 
-/// The stand-ins and what all placers share.
+/// Stand-ins and the state that all placers share.
 pub struct Bench {
     pub standin: Standin,
     pub store: kv::Client,
@@ -73,7 +73,7 @@
     pub switch: Switch,
     pub name: String,
     pub registry: Registry,
-    /// Cuts it off from the store.
+    /// Disconnects the placer from the store.
     pub gate: Gate,
     peers: cowslipchute_daemon::duty::Duty,
 }
@@ -89,14 +89,14 @@
         bench
     }
 
-    /// Opens one failure domain with a number of workers, and nothing else.
+    /// Opens one failure domain with the given number of workers and nothing else.
     pub fn with_workers(count: u16) -> Bench {
         let plan = Plan::bare();
         let workers = cowslipchute_standin::plan::Workers { per_domain: count, ..plan.workers };
         Bench::open(Plan { domains: vec![DOMAIN.into()], workers, ..plan })
     }
 
-    /// Makes the workers' leases short, so that waiting them out takes little time.
+    /// Shortens the workers' leases, so that they expire quickly.
     fn set_policy(&self) {
         let spec = policy::Spec {
             lease: Duration::from_millis(1500),
@@ -125,7 +125,7 @@
         self.commit(Change::Delete { key: key::config(Kind::Job, name) });
     }
 
-    /// Makes a change. Made again it is the same change, so a lost answer is no matter.
+    /// Applies a change. A repeated change is idempotent, so a lost response does no harm.
     fn commit(&self, change: Change) {
         let txn = Txn { guards: Vec::new(), changes: vec![change] };
         let commit = || self.runtime.block_on(self.store.commit(txn.clone())).ok();
@@ -137,7 +137,7 @@
         wait("the store answers", read).entries
     }
 
-    /// Starts a placer and lists it.
+    /// Starts a placer and adds it to the list.
     pub fn start(&self, name: &str, incarnation: id::Incarnation) -> Running {
         let address = free_address();
         self.standin.register(member(name, incarnation, address));
@@ -211,7 +211,7 @@
         self.runtime.block_on(call).expect("the admin address answers")
     }
 
-    /// Lets the platform's list hold an instance no more.
+    /// Removes an instance from the platform's list.
     pub fn unlist(&self, name: &str) {
         let url = format!("{}{}/{name}", self.standin.list_url(), list::INSTANCES);
         let call = async { reqwest::Client::new().delete(url).send().await };
@@ -219,14 +219,14 @@
         assert!(response.status().is_success());
     }
 
-    /// Waits until tasks have completed.
+    /// Waits until the given number of tasks has completed.
     pub fn await_done(&self, count: u64) {
         wait("the tasks complete", || {
             (self.standin.report().tasks.tasks_done >= count).then_some(())
         });
     }
 
-    /// Checks what must never have happened.
+    /// Checks the invariants that must never be violated.
     pub fn check(&self) {
         let violations = self.standin.violations();
         assert!(violations.is_empty(), "{violations:?}");
@@ -246,7 +246,7 @@
         self.switch.advance(Stage::Draining);
     }
 
-    /// Waits until it has stopped by itself, and returns how long that took.
+    /// Waits until the placer has stopped by itself, and returns the time that it took.
     pub fn join(self) -> Duration {
         let begun = Instant::now();
         self.placer.join();
@@ -260,7 +260,7 @@
         self.join();
     }
 
-    /// Ends it with whatever is in progress.
+    /// Stops the placer with operations in progress.
     pub fn force(self) {
         self.switch.advance(Stage::Forced);
         self.join();
@@ -273,7 +273,7 @@
     }
 }
 
-/// Looks again and again until there is something. The limit is only reached by a hang.
+/// Polls until a value is present. Only a hang reaches the limit.
 pub fn wait<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let begun = Instant::now();
     loop {
@@ -306,7 +306,7 @@
     socket.local_addr().expect("a bound socket has an address")
 }
 
-/// Returns an address that was free for TCP just now.
+/// Returns an address that was free for TCP at the time of the call.
 pub fn free_tcp_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("a bound listener has an address")
--- a/bin/placer/tests/process.rs
+++ b/bin/placer/tests/process.rs
@@ -1,4 +1,4 @@
-//! Placers in this process beside stand-ins of the platform over loopback.
+//! Runs placers in this process against stand-ins of the platform over loopback.
 
 mod bench;
 
@@ -17,7 +17,7 @@
 use cowslipchute_standin::fault::Target;
 use cowslipchute_tenure::home::Home;
 
-/// More than any worker has.
+/// More CPU than any worker has.
 const HUGE: Amount = Amount { cpu_milli: 1_000_000, memory_mib: 1, accelerators: 0 };
 
 #[test]
@@ -51,7 +51,7 @@
     bench.await_done(30);
     let report = bench.standin.report().tasks;
     println!("drained in {took:?}, {report:?}");
-    // Every lease was renewed by the next owner in time, so no run was lost.
+    // The next owner renewed every lease in time, so no run was lost.
     assert_eq!(report.lapsed, 0);
     assert_eq!(report.started, 30);
     second.stop();
@@ -216,9 +216,9 @@
     wait("tasks run", || (bench.standin.report().tasks.started >= 10).then_some(()));
     first.gate.shut();
     second.await_owner();
-    // The platform still lists the first one, so only its own word settles that it has stopped.
+    // The platform still lists the first placer, so only its own answer shows that it has stopped.
     wait("the cell is ready", || (second.notes("CellReady") > 0).then_some(()));
-    // Both the keeper and the cell tell that they go on without the store.
+    // Both the ownership manager and the cell report that they continue without the store.
     assert!(first.notes("CellIsolated") > 0);
     assert_eq!(first.notes("CellLost"), 1);
     bench.await_done(60);
--- a/bin/placer/tests/records.rs
+++ b/bin/placer/tests/records.rs
@@ -1,4 +1,4 @@
-//! Batches of records against a store in memory whose answers get lost.
+//! Writes batches of records to an in-memory store that loses responses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 const CELL: &str = "a/0";
 const OWNER: &str = "/cowslipchute/cell/a/0";
 
-/// What becomes of the next commit.
+/// Outcome of the next commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Loss {
     Applied,
