--- a/bin/operator/src/api.rs
+++ b/bin/operator/src/api.rs
@@ -39,34 +39,34 @@
 use crate::status::Lagging;
 use crate::watch as stream;
 
-/// Requests that may be in progress at once, streams left out.
+/// Maximum number of requests in progress, streams excluded.
 const REQUESTS_MAX: usize = 512;
-/// Streams of changes that may be open at once.
+/// Maximum number of open streams of changes.
 const WATCHES_MAX: usize = 64;
 
-/// What the interface works with.
+/// State that the interface serves from.
 pub struct Api<S, P> {
     /// The resources.
     pub resources: Resources<S>,
-    /// What is in force here.
+    /// Configuration in force at this instance.
     pub follow: Handle,
     /// The list of instances.
     pub members: watch::Receiver<Vec<Member>>,
-    /// The way to the other processes, if there is one.
+    /// Client for calls to the other processes, if there is one.
     pub peers: Option<P>,
-    /// How this process presents itself to them.
+    /// Identity that this process presents to them.
     pub me: Me,
-    /// The placers' events.
+    /// Reader of the placers' events.
     pub events: events::Reader,
-    /// What is counted.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// How far the stop of this process has come.
+    /// Progress of the shutdown.
     pub stop: Stop,
-    /// Bounds what is in progress.
+    /// Limits on requests and streams in progress.
     pub bounds: Bounds,
 }
 
-/// Bounds what is in progress at once.
+/// Limits on requests and streams in progress.
 #[derive(Clone, Debug)]
 pub struct Bounds {
     requests: Arc<Semaphore>,
@@ -82,14 +82,14 @@
     }
 }
 
-/// How this process presents itself to others.
+/// Identity that this process presents to others.
 #[derive(Clone, Debug)]
 pub struct Me {
     /// This instance.
     pub instance: Instance,
-    /// Which life of it.
+    /// Incarnation of this instance.
     pub incarnation: Incarnation,
-    /// Where it is.
+    /// Failure domain of this instance.
     pub domain: Domain,
 }
 
--- a/bin/operator/src/ask.rs
+++ b/bin/operator/src/ask.rs
@@ -1,4 +1,4 @@
-//! One call to every process of ours.
+//! Calls every process of the deployment.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
 use futures_util::stream;
 use tokio::time::timeout;
 
-/// Processes called at once.
+/// Maximum number of processes called at once.
 const CALLED_AT_ONCE: usize = 32;
-/// How long one process may take.
+/// Timeout of the call to one process.
 const ANSWER_WITHIN: Duration = Duration::from_millis(1000);
 
-/// What a process answered, if it did in time.
+/// Response of a process, if it answered in time.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The process as listed.
     pub member: Member,
-    /// Its reply.
+    /// Response of the process.
     pub reply: Option<Reply>,
 }
 
-/// Calls every live process of ours as listed, but `me`.
+/// Calls every live process of the deployment, as listed, except `me`.
 pub async fn all<P: Peers>(
     peers: &Option<P>,
     call: &Call,
--- a/bin/operator/src/drain.rs
+++ b/bin/operator/src/drain.rs
@@ -1,7 +1,7 @@
-//! Telling every process that an instance is leaving, ahead of the platform's list.
+//! Notifies every process that an instance is leaving, before the platform's list shows it.
 //!
-//! Nothing is stored: what the list says of an instance soon says so too, and a process that starts
-//! meanwhile goes by the list.
+//! Nothing is stored: the list soon shows the same, and a process that starts in the meantime uses
+//! the list.
 
 use cowslipchute_base::id::Incarnation;
 use cowslipchute_base::id::Instance;
@@ -11,21 +11,21 @@
 
 use crate::ask::Answer;
 
-/// How many were told.
+/// Result of announcing that an instance is leaving.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Drained {
     /// The leaving instance.
     pub instance: Instance,
-    /// Which life of it.
+    /// Incarnation of the instance.
     pub incarnation: Incarnation,
-    /// Live processes of ours, as listed, other than the one that told them.
+    /// Number of live processes of the deployment, as listed, other than the notifying one.
     pub processes: usize,
-    /// Those of them that have noted it.
+    /// Number of them that have recorded it.
     pub told: usize,
 }
 
-/// Sums up the answers.
+/// Summarizes the responses.
 pub fn sum(leaving: &Member, answers: &[Answer]) -> Drained {
     let noted = |answer: &&Answer| answer.reply == Some(Reply::Noted);
     Drained {
--- a/bin/operator/src/events.rs
+++ b/bin/operator/src/events.rs
@@ -1,4 +1,4 @@
-//! Events of the placers, merged.
+//! Merged events of the placers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,24 +8,24 @@
 use serde::Serialize;
 use serde_json::Value;
 
-/// How long a placer may take to give its events.
+/// Timeout for reading the events of one placer.
 const ANSWER_WITHIN: Duration = Duration::from_secs(2);
-/// Bytes that are read of one placer's events.
+/// Maximum number of bytes read of one placer's events.
 const ANSWER_MAX: usize = 4 << 20;
-/// Placers asked at once.
+/// Maximum number of placers queried at once.
 const ASKED_AT_ONCE: usize = 16;
-/// The field by which events are put into order.
+/// Field that the events are sorted by.
 const TIME: &str = "time";
-/// The field that says which placer an event comes from.
+/// Field that names the placer an event comes from.
 const FROM: &str = "from";
 
 /// Events of several placers.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Events {
-    /// By rising time where they tell it, else in each placer's own order.
+    /// Events in ascending order of time if they have one, otherwise in each placer's own order.
     pub events: Vec<Value>,
-    /// Placers that gave none because they did not answer.
+    /// Placers that did not answer.
     pub unreachable: Vec<SocketAddr>,
 }
 
@@ -37,11 +37,11 @@
 }
 
 impl Reader {
-    /// Opens a reader of the given placers' admin addresses.
+    /// Opens a reader for placers with the given admin addresses.
     ///
     /// # Errors
     ///
-    /// When the library can't set itself up.
+    /// When the HTTP client can't be initialized.
     pub fn open(placers: Vec<SocketAddr>) -> reqwest::Result<Reader> {
         let http = reqwest::Client::builder()
             .no_proxy()
@@ -51,7 +51,7 @@
         Ok(Reader { http, placers })
     }
 
-    /// Reads and merges.
+    /// Reads and merges the events.
     pub async fn read(&self) -> Events {
         let placers = stream::iter(self.placers.clone());
         let answers = placers.map(|placer| async move { (placer, self.ask(placer).await) });
@@ -81,7 +81,7 @@
     }
 }
 
-/// Adds where an event comes from.
+/// Adds the placer that an event comes from.
 fn tag(mut event: Value, placer: SocketAddr) -> Value {
     if let Value::Object(fields) = &mut event {
         fields.insert(String::from(FROM), Value::from(placer.to_string()));
@@ -89,7 +89,7 @@
     event
 }
 
-/// Reads one JSON array, or one object a line.
+/// Parses a JSON array, or one JSON object per line.
 pub fn parse(body: &[u8]) -> Option<Vec<Value>> {
     if let Ok(Value::Array(events)) = serde_json::from_slice(body) {
         return Some(events);
--- a/bin/operator/src/lane.rs
+++ b/bin/operator/src/lane.rs
@@ -1,11 +1,11 @@
 //! A lane: a key of the store that orders the writes of one operator process.
 //!
-//! Each write also puts its operation id into its lane's key, guarded by the revision that the last
-//! write left there. So when an answer is lost, the lane tells for sure what became of the write:
-//! if it holds the operation, the write took effect at the lane's revision, also if its resource was
-//! removed or replaced since; if not, one more write to the lane makes the lost one's guard fail for
-//! ever. A value's own operation id could tell neither of a removal nor that a write still on its
-//! way will never arrive.
+//! Each write also stores its operation id in its lane's key, guarded by the revision that the
+//! previous write left there. When a response is lost, the lane therefore shows the outcome: if it
+//! holds the operation id, the write took effect at the lane's revision, even if its resource has
+//! since been removed or replaced. If not, one more write to the lane makes the guard of the lost
+//! write fail forever. An operation id in the resource's value could show neither the outcome of a
+//! removal nor that a write in flight will never arrive.
 
 use std::time::Duration;
 
@@ -19,29 +19,30 @@
 use cowslipchute_ports::kv::Txn;
 use tokio::time::Instant;
 
-/// Wait between two tries to settle a write.
+/// Retry delay while determining the outcome of a write.
 const SETTLE_EVERY: Duration = Duration::from_millis(100);
-/// Tries of a write whose lane was moved by an older write or another life of the instance.
+/// Maximum number of attempts of a write whose lane was changed by an older write or by another
+/// incarnation of the instance.
 const TRIES: usize = 4;
 
-/// The content of a lane before its first write.
+/// Value of a lane before its first write.
 const FIRST: Operation = 0;
 
-/// A write for one lane.
+/// A write to be ordered by a lane.
 #[derive(Clone, Debug)]
 pub struct Write {
-    /// Its identity.
+    /// Operation id of the write.
     pub operation: Operation,
-    /// What must hold.
+    /// Conditions of the write.
     pub guards: Vec<Guard>,
-    /// What is changed.
+    /// Changes of the write.
     pub changes: Vec<Change>,
 }
 
-/// Why a write was not made, or isn't known to have been.
+/// Reason why a write was not made, or why its outcome is unknown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// A guard doesn't hold; the guarded keys as they are now. Nothing was changed.
+    /// A guard doesn't hold; contains the current entries of the guarded keys. Nothing was changed.
     Refused(Vec<Entry>),
     /// The store can't be reached; nothing was or will be changed.
     Down(String),
@@ -49,39 +50,39 @@
     Unknown(String),
 }
 
-/// How a write whose answer was lost has ended.
+/// Outcome of a write whose response was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Settled {
     Made(Revision),
     NotMade,
 }
 
-/// One lane, used by one write at a time.
+/// A lane, used by one write at a time.
 #[derive(Debug)]
 pub struct Lane {
     key: String,
-    /// Revision of the lane's key; nothing, or zero, when it has to be read.
+    /// Revision of the lane's key; `None` or zero when it has to be read.
     revision: Option<Revision>,
     settled: u64,
 }
 
 impl Lane {
-    /// Names a lane by its key; it is read with the first write.
+    /// Opens the lane with the given key, which is read with the first write.
     pub fn open(key: String) -> Lane {
         Lane { key, revision: None, settled: 0 }
     }
 
-    /// Counts the writes whose answer was lost and whose fate was found out.
+    /// Returns the number of writes whose response was lost and whose outcome was determined.
     pub fn settled(&self) -> u64 {
         self.settled
     }
 
-    /// Makes one write and, if its answer is lost, finds out what became of it before `within` has
-    /// passed. Returns the revision of the change.
+    /// Performs one write and, if its response is lost, determines its outcome within the time
+    /// `within`. Returns the revision of the change.
     ///
     /// # Errors
     ///
-    /// When the change was not made, or can't be told.
+    /// When the change was not made, or its outcome is unknown.
     pub async fn commit<S: Store>(
         &mut self,
         store: &S,
@@ -90,7 +91,8 @@
     ) -> Result<Revision, Error> {
         for _ in 0..TRIES {
             let expected = self.expected(store).await?;
-            // While the answer is out the lane's revision isn't known, also if this call is dropped.
+            // Until the response arrives, the lane's revision is unknown, also if this call is
+            // dropped.
             self.revision = None;
             match store.commit(self.txn(write, expected)).await {
                 Ok(verdict) if verdict.applied => {
@@ -117,12 +119,13 @@
         Err(Error::Down(String::from("the lane of this process is moved by another one")))
     }
 
-    /// Returns the revision of the lane's key, which is made first if it doesn't exist.
+    /// Returns the revision of the lane's key, which is created if it doesn't exist.
     ///
-    /// A write never goes by a missing key: a later life of this instance removes the lanes of
-    /// earlier ones, and a key that a write made and that was removed since looks just as missing.
+    /// A write is never guarded by a missing key: a later incarnation of this instance removes the
+    /// lanes of earlier ones, so a key that a write created and that was then removed looks the
+    /// same as one that never existed.
     async fn expected<S: Store>(&mut self, store: &S) -> Result<Revision, Error> {
-        // Nothing of the write is sent here, so whatever fails, it surely isn't made.
+        // No part of the write is sent here, so on any failure it is certain that it wasn't made.
         let down = |error: kv::Error| Error::Down(error.to_string());
         if let Some(revision) = self.revision.filter(|revision| *revision > 0) {
             return Ok(revision);
@@ -181,7 +184,7 @@
         }
     }
 
-    /// Reads the lane and, where the write isn't there yet, bars it from arriving later.
+    /// Reads the lane and, if the write isn't there yet, prevents it from taking effect later.
     async fn try_settle<S: Store>(
         &mut self,
         store: &S,
@@ -200,8 +203,8 @@
             return Some(Settled::NotMade);
         }
         if revision != expected {
-            // Only another life of this instance's name can have moved or removed the lane, perhaps
-            // after the write took effect: that can't be told any more.
+            // Only another incarnation of this instance can have changed or removed the lane,
+            // perhaps after the write took effect, so the outcome can no longer be determined.
             return None;
         }
         let guards = vec![Guard::Unchanged(self.key.clone(), expected)];
--- a/bin/operator/src/lib.rs
+++ b/bin/operator/src/lib.rs
@@ -1,9 +1,9 @@
 //! The operator process: the resource interface over HTTP.
 //!
-//! It checks what operators write, puts it into the platform's store under the revision that they
-//! saw, and says what is in force where. It decides nothing about requests or tasks and holds
-//! nothing of its own: any number of these processes may run side by side. The interface is
-//! described in `docs/OPERATING.md`, the ways that were weighed in `docs/design/config.md`.
+//! It validates what operators write, stores it under the revision that they read, and reports
+//! where each revision is in force. It makes no decisions about requests or tasks and holds no
+//! state of its own, so any number of these processes may run side by side. The interface is
+//! described in `docs/OPERATING.md`, the design alternatives in `docs/design/config.md`.
 
 pub mod api;
 pub mod ask;
--- a/bin/operator/src/listing.rs
+++ b/bin/operator/src/listing.rs
@@ -15,10 +15,10 @@
 use slog::o;
 use tokio::sync::watch;
 
-/// How often the list is read.
+/// Interval between reads of the list.
 const READ_EVERY: Duration = Duration::from_secs(1);
 
-/// Starts reading. The duty ends when the last receiver is dropped.
+/// Starts reading the list. The duty ends when the last receiver is dropped.
 ///
 /// # Errors
 ///
--- a/bin/operator/src/main.rs
+++ b/bin/operator/src/main.rs
@@ -1,4 +1,4 @@
-//! `cowslipchute-operator`: reads the settings, starts the duties, waits for the stop.
+//! `cowslipchute-operator`: reads the settings, starts the duties and waits for the shutdown.
 
 use std::hash::BuildHasher as _;
 use std::net::TcpListener;
@@ -33,11 +33,11 @@
 use prometheus::Registry;
 use slog::o;
 
-/// How long one call to the store may take.
+/// Timeout of one call to the store.
 const STORE_WITHIN: Duration = Duration::from_secs(2);
-/// How long one call to a peer may take.
+/// Timeout of one call to a peer.
 const PEER_WITHIN: Duration = Duration::from_secs(1);
-/// Calls of peers that may be unanswered at once.
+/// Maximum number of unanswered calls from peers.
 const PEER_CALLS: usize = 256;
 
 fn main() -> anyhow::Result<()> {
--- a/bin/operator/src/metrics.rs
+++ b/bin/operator/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the operator process counts.
+//! Metrics of the operator process.
 
 use cowslipchute_base::code::Code;
 use prometheus::IntCounterVec;
@@ -6,7 +6,7 @@
 use prometheus::Opts;
 use prometheus::Registry;
 
-/// The process's metrics.
+/// Metrics of the process.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     requests: IntCounterVec,
@@ -41,7 +41,7 @@
         self.requests.with_label_values(&[&code.number().to_string()]).inc();
     }
 
-    /// Notes the revision in force.
+    /// Records the revision in force.
     pub fn in_force(&self, revision: u64) {
         self.revision.set(i64::try_from(revision).unwrap_or(i64::MAX));
     }
--- a/bin/operator/src/problem.rs
+++ b/bin/operator/src/problem.rs
@@ -11,55 +11,55 @@
 use poem::http::header;
 use serde::Serialize;
 
-/// When a client should come back after the store was down or this process was busy.
+/// Value of the `Retry-After` header when the store was down or this process was busy.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Why a request was not answered as wanted.
+/// Reason why a request failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The number.
+    /// Number of the error.
     pub code: Code,
-    /// What happened, for a reader.
+    /// Description of the error for a human reader.
     pub text: String,
-    /// Path of the field or name of the header that is wrong.
+    /// Path of the invalid field or name of the invalid header.
     pub field: Option<String>,
-    /// What to do about it.
+    /// Advice on how to resolve the error.
     pub remedy: Option<String>,
-    /// The resource's revision as it is now.
+    /// Current revision of the resource.
     pub revision: Option<Revision>,
 }
 
 impl Problem {
-    /// Makes a problem with the code's own text.
+    /// Returns a problem with the text of its code.
     pub fn new(code: Code) -> Problem {
         Problem { code, text: code.text().to_owned(), field: None, remedy: None, revision: None }
     }
 
-    /// Says more than the code's own text does.
+    /// Adds detail to the text of the code.
     pub fn because(mut self, text: impl Into<String>) -> Problem {
         self.text = text.into();
         self
     }
 
-    /// Names the field.
+    /// Sets the invalid field.
     pub fn field(mut self, field: impl Into<String>) -> Problem {
         self.field = Some(field.into());
         self
     }
 
-    /// Says what to do.
+    /// Sets the advice.
     pub fn remedy(mut self, remedy: impl Into<String>) -> Problem {
         self.remedy = Some(remedy.into());
         self
     }
 
-    /// Tells the present revision.
+    /// Sets the current revision.
     pub fn revision(mut self, revision: Revision) -> Problem {
         self.revision = Some(revision);
         self
     }
 
-    /// Renders the answer.
+    /// Renders the response.
     pub fn response(&self) -> Response {
         let status = StatusCode::from_u16(self.code.status()).expect("the table holds statuses");
         let mut response = coded(self.code, status, &Body::from(self));
@@ -106,7 +106,7 @@
     }
 }
 
-/// Renders a JSON answer with the headers that carry its code.
+/// Renders a JSON response with the headers that carry its code.
 pub fn coded(code: Code, status: StatusCode, body: &impl Serialize) -> Response {
     let text = serde_json::to_vec(body).expect("answers always have a JSON form");
     Response::builder()
--- a/bin/operator/src/process.rs
+++ b/bin/operator/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: its duties and how they are joined.
+//! The operator process: its duties and their connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -35,31 +35,31 @@
 use crate::tidy;
 use crate::writer::Writer;
 
-/// Changes that may wait for the duty that counts them.
+/// Maximum number of changes queued for the duty that counts them.
 const CHANGES: usize = 256;
 
-/// What the process is started with.
+/// Parts that the process is built from.
 pub struct Parts<S, P> {
-    /// This instance and how it follows the configuration.
+    /// Identity of this instance and settings for following the configuration.
     pub follow: follow::Settings,
-    /// The platform's key-value service, for the resource interface.
+    /// Client of the platform's key-value service for the resource interface.
     pub store: S,
-    /// The same service for following it. A client of its own: the connections of a client live on
-    /// the duty that opened them, and the watch must not end with the duty of the interface.
+    /// Client of the same service for following it. It is separate because a client's connections
+    /// live on the duty that opened them, and the watch must not end with the interface's duty.
     pub follow_store: S,
-    /// The way to the other processes, if there is one.
+    /// Client for calls to the other processes, if there is one.
     pub peers: Option<P>,
     /// The list of instances.
     pub members: watch::Receiver<Vec<Member>>,
     /// Admin addresses of the placers.
     pub placers: Vec<SocketAddr>,
-    /// What is counted.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// Set once a configuration is in force.
+    /// Readiness, set once a configuration is in force.
     pub readiness: Readiness,
-    /// How far the stop of this process has come.
+    /// Progress of the shutdown.
     pub stop: Stop,
-    /// Time allowed for a planned stop.
+    /// Time allowed for a planned shutdown.
     pub stop_within: Duration,
 }
 
@@ -78,12 +78,13 @@
         self.address
     }
 
-    /// Returns a handle to what is in force here, by which peers are answered.
+    /// Returns a handle to the configuration in force at this instance, which peers' calls are
+    /// answered from.
     pub fn follow(&self) -> follow::Handle {
         self.follower.handle()
     }
 
-    /// Waits until the stop has come to its end: no request is in progress.
+    /// Waits until the shutdown completes and no request is in progress.
     pub fn join(self) {
         self.http.join();
         self.follower.join();
@@ -144,8 +145,8 @@
     Writer::open(store.clone(), &settings.instance, settings.incarnation, logger)
 }
 
-/// The duty that counts changes. This process needs no more of them: it reads what is in force
-/// through the follower's handle.
+/// Runs the duty that counts changes. This process needs nothing else of them: it reads the
+/// configuration in force through the follower's handle.
 fn count(
     mut changes: ring::Receiver<Change>,
     metrics: Metrics,
@@ -186,7 +187,7 @@
         let server = poem::Server::new_with_acceptor(acceptor);
         let serving = server.run_with_graceful_shutdown(interface, draining, Some(within));
         tokio::select! {
-            // Its errors are those of the accepted connections, which their clients see.
+            // The errors are those of accepted connections, which their clients see.
             _ = serving => {}
             () = forced.reached(Stage::Forced) => {}
         }
--- a/bin/operator/src/remote.rs
+++ b/bin/operator/src/remote.rs
@@ -1,4 +1,4 @@
-//! The duty that carries the links to peers and answers them.
+//! The duty that runs the connections to peers and answers their calls.
 
 use std::io;
 
@@ -14,16 +14,16 @@
 use cowslipchute_ports::peer::Reply;
 use tokio::sync::oneshot;
 
-/// A bound node whose duty waits for the follower that answers its peers.
+/// A bound node whose duty waits for the follower that answers peers.
 #[derive(Debug)]
 pub struct Remote {
-    /// The way to call peers.
+    /// Client for calls to peers.
     pub node: Node,
     follow: oneshot::Sender<Handle>,
     duty: Duty,
 }
 
-/// Binds the node's address. Peers are answered once [`Remote::answer`] was called.
+/// Binds the node's address. Peers are answered once [`Remote::answer`] has been called.
 ///
 /// # Errors
 ///
@@ -58,7 +58,8 @@
     Ok(Remote { node, follow, duty })
 }
 
-/// Lets the follower answer. A call that it can't take is dropped, and the peer asks again.
+/// Lets the follower answer a call. A call that it can't accept is dropped, and the peer asks
+/// again.
 async fn follow_up(handle: Handle, incoming: Incoming) {
     if let Some(reply) = handle.answer(incoming.call.clone()).await {
         incoming.answer(reply);
@@ -66,9 +67,9 @@
 }
 
 impl Remote {
-    /// Lets the follower answer peers. The duty ends with the process's stop.
+    /// Lets the follower answer peers. The duty ends when the process shuts down.
     pub fn answer(self, handle: Handle) -> Duty {
-        // A duty that has ended already is found out when it is joined.
+        // If the duty has already ended, joining it reports that.
         let _ = self.follow.send(handle);
         self.duty
     }
--- a/bin/operator/src/request.rs
+++ b/bin/operator/src/request.rs
@@ -1,4 +1,4 @@
-//! Reading what a client of the resource interface asks for.
+//! Parses requests to the resource interface.
 
 use std::time::Duration;
 
@@ -14,38 +14,38 @@
 
 use crate::problem::Problem;
 
-/// Largest body of a request.
+/// Maximum size of a request body in bytes.
 pub const BODY_MAX: usize = 256 * 1024;
-/// How long a body may take to arrive.
+/// Timeout for receiving a request body.
 const BODY_WITHIN: Duration = Duration::from_secs(10);
 
-/// Query of a stream.
+/// Query parameters of a stream.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 pub struct After {
-    /// Only what comes into force after this.
+    /// Revision after which changes are sent.
     #[serde(default)]
     pub after: Revision,
 }
 
-/// Query of a status.
+/// Query parameters of a status request.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 pub struct At {
-    /// The revision asked about; the one in force here if left out.
+    /// Revision asked about; by default, the one in force at this instance.
     pub revision: Option<Revision>,
 }
 
-/// A path, taken apart.
+/// A parsed path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Path {
     /// The stream of changes.
     Watch,
-    /// Where a revision is in force.
+    /// The instances where a revision is in force.
     Status,
     /// The placers' events.
     Events,
-    /// An instance that is leaving.
+    /// The announcement that an instance is leaving.
     Drain(String),
     /// All resources of a kind.
     Kind(Kind),
@@ -53,7 +53,7 @@
     Resource(Kind, String),
 }
 
-/// Takes a path apart.
+/// Parses a path.
 ///
 /// # Errors
 ///
@@ -80,20 +80,20 @@
     }
 }
 
-/// Reads the query.
+/// Parses the query.
 ///
 /// # Errors
 ///
-/// When a value isn't of its type.
+/// When a value has the wrong type.
 pub fn query<T: for<'de> Deserialize<'de>>(request: &Request) -> Result<T, Problem> {
     request.params().map_err(|error| Problem::new(Code::BadRequest).because(error.to_string()))
 }
 
-/// Reads the revision that a change is made from.
+/// Parses the revision that a change is based on.
 ///
 /// # Errors
 ///
-/// When the header is missing or holds none.
+/// When the header is missing or holds no revision.
 pub fn if_match(request: &Request) -> Result<Revision, Problem> {
     let wrong = |text: &str| {
         Problem::new(Code::BadRequest)
@@ -107,11 +107,11 @@
     text.parse().map_err(|_| wrong("the header holds no revision"))
 }
 
-/// Reads the resource of a body, which has to be of the path's kind and name.
+/// Reads the resource in a body, which must have the kind and name of the path.
 ///
 /// # Errors
 ///
-/// When the body is too large, late, no resource, or another one.
+/// When the body is too large, arrives too late, holds no resource, or holds a different one.
 pub async fn resource(
     request: &mut Request,
     kind: Kind,
--- a/bin/operator/src/resources.rs
+++ b/bin/operator/src/resources.rs
@@ -1,7 +1,8 @@
-//! What operators can do with resources: create, read, list, replace and remove.
+//! Operations on resources: create, read, list, replace and remove.
 //!
-//! Reads go to the store, so that a revision read here is one that a change may be made from. While
-//! the store is down they are answered from what is in force here, and say so.
+//! Reads go to the store, so that a change can be based on the revision that they return. While the
+//! store is down, they are answered from the configuration in force at this instance and marked as
+//! such.
 
 use cowslipchute_base::code::Code;
 use cowslipchute_base::event::Event;
@@ -33,7 +34,7 @@
 use crate::writer::Failure;
 use crate::writer::Writer;
 
-/// Tries of a removal that meets references made meanwhile.
+/// Maximum number of attempts of a removal that conflicts with concurrently created references.
 const REMOVE_TRIES: usize = 4;
 
 /// The resources of one deployment.
@@ -46,12 +47,12 @@
 }
 
 impl<S: Store> Resources<S> {
-    /// Works on the resources in a store; `follow` answers reads while the store is down.
+    /// Opens the resources in a store; `follow` answers reads while the store is down.
     pub fn open(store: S, writer: Writer<S>, follow: Handle, logger: Logger) -> Resources<S> {
         Resources { store, writer, follow, logger }
     }
 
-    /// Returns the log that changes are told to.
+    /// Returns the log that changes are recorded in.
     pub fn logger(&self) -> &Logger {
         &self.logger
     }
@@ -60,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// `Exists` with the present revision, `BadResource`, or what became of the write.
+    /// `Exists` with the current revision, `BadResource`, or the failure of the write.
     pub async fn create(&self, resource: Resource) -> Result<Revision, Problem> {
         check::resource(&resource)?;
         let key = key::config(resource.spec.kind(), &resource.name);
@@ -76,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// `Conflict` with the present revision, `NoResource`, `BadResource`, or what became of the
+    /// `Conflict` with the current revision, `NoResource`, `BadResource`, or the failure of the
     /// write.
     pub async fn replace(
         &self,
@@ -118,7 +119,8 @@
         let missing = references
             .iter()
             .find(|reference| current.iter().all(|entry| entry.key != target(reference)));
-        // With neither a reason in the target nor in the references, it changed back meanwhile.
+        // Neither the target nor the references explain the failure, so a concurrent change was
+        // reverted.
         Err(missing.map_or_else(|| Problem::new(Code::Conflict), dangling))
     }
 
@@ -126,7 +128,7 @@
     ///
     /// # Errors
     ///
-    /// `Conflict` with the present revision, `NoResource`, `InUse`, or what became of the write.
+    /// `Conflict` with the current revision, `NoResource`, `InUse`, or the failure of the write.
     pub async fn remove(
         &self,
         kind: Kind,
@@ -146,15 +148,16 @@
             if let Some(problem) = conflict(&current, &key, revision) {
                 return Err(self.conflicted(&key, problem));
             }
-            // A reference to something was made meanwhile, perhaps to this resource: look again.
+            // A reference to some resource was created concurrently, perhaps to this one: check
+            // again.
         }
         Err(Problem::new(Code::Busy).because("references are being changed all the time"))
     }
 
-    /// Makes sure that nothing refers to a resource, and returns the guard that keeps it so.
+    /// Checks that nothing refers to a resource, and returns the guard that keeps it so.
     async fn unreferred(&self, kind: Kind, name: &str) -> Result<Option<Guard>, Problem> {
         let Some(referrers) = reference::referrers(kind) else { return Ok(None) };
-        // The mark is read first: a reference made after this read moves it, and the guard fails.
+        // Read the mark first: a reference created after this read changes it, and the guard fails.
         let marks = self.store.read(key::REFERENCES).await.map_err(down)?.entries;
         let mark = marks.into_iter().find(|entry| entry.key == key::REFERENCES);
         let found = self.store.read(&key::config_kind(referrers)).await.map_err(down)?;
@@ -170,7 +173,7 @@
         Ok(Some(mark.map_or(missing, |mark| Guard::Unchanged(key, mark.revision))))
     }
 
-    /// Makes a write; the inner error holds the guarded keys as they are.
+    /// Performs a write; the inner error holds the current entries of the guarded keys.
     async fn commit(
         &self,
         key: &str,
@@ -203,7 +206,7 @@
     ///
     /// # Errors
     ///
-    /// `NoResource`, or `StoreDown` when nothing is in force here either.
+    /// `NoResource`, or `StoreDown` when nothing is in force at this instance either.
     pub async fn get(&self, kind: Kind, name: &str) -> Result<View, Problem> {
         let key = key::config(kind, name);
         let list = self.read(&key).await?;
@@ -215,7 +218,7 @@
     ///
     /// # Errors
     ///
-    /// `StoreDown` when nothing is in force here either.
+    /// `StoreDown` when nothing is in force at this instance either.
     pub async fn list(&self, kind: Kind) -> Result<view::List, Problem> {
         self.read(&key::config_kind(kind)).await
     }
@@ -245,7 +248,7 @@
     Problem::new(Code::BadResource).because(text).field(reference.field).remedy(remedy)
 }
 
-/// Tells why a change from `revision` was refused, if the target is the reason.
+/// Returns why a change based on `revision` was refused, if the target is the reason.
 fn conflict(current: &[Entry], key: &str, revision: Revision) -> Option<Problem> {
     let Some(found) = current.iter().find(|entry| entry.key == key) else {
         return Some(Problem::new(Code::NoResource));
--- a/bin/operator/src/status.rs
+++ b/bin/operator/src/status.rs
@@ -1,4 +1,4 @@
-//! On how many instances a revision is in force, and which ones lag.
+//! The instances where a revision is in force, and those that lag behind.
 
 use cowslipchute_base::id::Domain;
 use cowslipchute_base::id::Instance;
@@ -9,33 +9,33 @@
 
 use crate::ask::Answer;
 
-/// An instance where the revision is not in force, as far as is known.
+/// An instance where the revision is not known to be in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Lagging {
     /// The instance.
     pub instance: Instance,
-    /// Where it is.
+    /// Failure domain of the instance.
     pub domain: Domain,
-    /// The revision in force there; nothing when it didn't answer.
+    /// Revision in force there; `None` when the instance didn't answer.
     pub revision: Option<Revision>,
 }
 
-/// The spread of a revision.
+/// Propagation status of a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Status {
     /// The revision asked about.
     pub revision: Revision,
-    /// The answering process and the live ones that are listed beside it.
+    /// Number of processes: the answering one and the live ones listed beside it.
     pub instances: usize,
-    /// Those of them where the revision is in force.
+    /// Number of them where the revision is in force.
     pub in_force: usize,
-    /// The others.
+    /// Instances where it is not known to be in force.
     pub lagging: Vec<Lagging>,
 }
 
-/// Sums up the other processes' answers and what is in force here.
+/// Summarizes the other processes' responses and the revision in force at this instance.
 pub fn sum(me: Lagging, answers: Vec<Answer>, revision: Revision) -> Status {
     let mut all = vec![me];
     all.extend(answers.into_iter().map(|answer| {
@@ -48,7 +48,7 @@
     Status { revision, instances, in_force: instances - all.len(), lagging: all }
 }
 
-/// A stranger at a listed address doesn't count for the listed instance.
+/// An unexpected instance at a listed address doesn't count for the listed one.
 fn in_force(answer: &Answer) -> Option<Revision> {
     match &answer.reply {
         Some(Reply::Hello { instance, revision, .. }) if *instance == answer.member.instance => {
--- a/bin/operator/src/tidy.rs
+++ b/bin/operator/src/tidy.rs
@@ -1,8 +1,10 @@
-//! Removing the lanes of operator processes that are gone, so that they don't add up in the store.
+//! Removes the lanes of operator processes that have ended, so that they don't accumulate in the
+//! store.
 //!
-//! A lane is removed only when the platform's list doesn't show its life twice, a while apart, and
-//! the lane was not moved in between. Should its process live all the same, it loses nothing: its
-//! next write makes the lane again, and one that is being settled is told as unknown.
+//! A lane is removed only if two checks, some time apart, find its incarnation missing from the
+//! platform's list and the lane unchanged in between. If its process is still running, nothing is
+//! lost: its next write creates the lane again, and a write whose outcome is being determined is
+//! reported as unknown.
 
 use std::time::Duration;
 
@@ -17,22 +19,23 @@
 use cowslipchute_resource::key;
 use tokio::sync::watch;
 
-/// Time before the first look and between the looks: long after the list has caught up.
+/// Delay before the first check and between the checks; long enough for the list to catch up.
 const LOOK_AFTER: Duration = Duration::from_secs(60);
 
-/// Whose lane a key is.
+/// Owner of a lane, taken from its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Owner<'a> {
     instance: &'a str,
     incarnation: Incarnation,
 }
 
-/// Returns the prefix of the lanes of one life of an instance.
+/// Returns the prefix of the lanes of one incarnation of an instance.
 pub fn prefix(instance: &Instance, incarnation: Incarnation) -> String {
     format!("{}{instance}/{incarnation}/", key::OPERATOR)
 }
 
-/// Tidies once. What can't be removed now is left to the next process that starts.
+/// Removes stale lanes once. Lanes that can't be removed now are left to the next process that
+/// starts.
 pub async fn run<S: Store>(store: S, own: String, members: watch::Receiver<Vec<Member>>) {
     tokio::time::sleep(LOOK_AFTER).await;
     let first = orphans(&store, &own, &members).await;
@@ -44,12 +47,12 @@
     for entry in second.into_iter().filter(|entry| first.contains(entry)) {
         let guards = vec![Guard::Unchanged(entry.key.clone(), entry.revision)];
         let changes = vec![Change::Delete { key: entry.key }];
-        // Whether it was removed or not, nothing depends on it.
+        // Nothing depends on whether the removal succeeded.
         let _ = store.commit(Txn { guards, changes }).await;
     }
 }
 
-/// Reads the lanes whose process isn't listed. Without a list nothing can be said of any.
+/// Reads the lanes whose process isn't listed. Without a list, no lane can be judged.
 async fn orphans<S: Store>(
     store: &S,
     own: &str,
--- a/bin/operator/src/view.rs
+++ b/bin/operator/src/view.rs
@@ -7,14 +7,14 @@
 use cowslipchute_spread::batch::Batch;
 use serde::Serialize;
 
-/// Where a view was read.
+/// Source of a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Source {
-    /// In the store.
+    /// The store.
     Store,
-    /// In what is in force at this instance, because the store is down; it may be behind.
+    /// The configuration in force at this instance, because the store is down; it may be stale.
     InForce,
 }
 
@@ -22,9 +22,9 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct View {
-    /// Revision of its last change, from which the next one is made.
+    /// Revision of its last change, on which the next change is based.
     pub revision: Revision,
-    /// Where it was read.
+    /// Source of the resource.
     pub source: Source,
     /// The resource.
     pub resource: Resource,
@@ -36,19 +36,20 @@
 pub struct List {
     /// The revision.
     pub revision: Revision,
-    /// Where they were read.
+    /// Source of the resources.
     pub source: Source,
-    /// By rising key.
+    /// Resources in ascending order of their keys.
     pub items: Vec<View>,
 }
 
-/// Reads a stored value; one that can't be read is left out.
+/// Decodes a stored value; returns `None` if it can't be decoded.
 pub fn read(value: &[u8], revision: Revision, source: Source) -> Option<View> {
     let stored = Stored::from_bytes(value).ok()?;
     Some(View { revision, source, resource: stored.resource })
 }
 
-/// Reads what is in force at this instance below a prefix; nothing before the first configuration.
+/// Returns the resources below a prefix that are in force at this instance; `None` before the first
+/// configuration.
 pub async fn in_force(follow: &Handle, prefix: &str) -> Option<List> {
     let Batch { mut items, revision, .. } = follow.since(0).await?;
     if revision == 0 {
--- a/bin/operator/src/watch.rs
+++ b/bin/operator/src/watch.rs
@@ -1,4 +1,4 @@
-//! The stream of changes that come into force at this instance: one JSON object a line.
+//! The stream of changes that come into force at this instance, as one JSON object per line.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use serde::Serialize;
 use tokio::sync::watch;
 
-/// A line is sent at least so often, so that a client can tell a quiet stream from a dead one.
+/// Maximum interval between lines, so that a client can tell an idle stream from a dead one.
 const PROGRESS_EVERY: Duration = Duration::from_secs(5);
 
 /// One line of the stream.
@@ -26,7 +26,8 @@
 #[derive(Serialize)]
 #[serde(tag = "type", rename_all = "kebab-case")]
 pub enum Line {
-    /// What follows, up to the next `in-force`, is everything that exists; forget the rest.
+    /// Start of a snapshot: the lines up to the next `in-force` are everything that exists, and
+    /// earlier state is to be discarded.
     Whole,
     /// A resource was created or replaced.
     Put {
@@ -59,7 +60,8 @@
     first: bool,
 }
 
-/// Opens the stream of what comes into force after a revision. It ends with the process's stop.
+/// Opens the stream of changes that come into force after a revision. It ends when the process
+/// shuts down.
 pub fn open(
     follow: Handle,
     after: Revision,
--- a/bin/operator/src/writer.rs
+++ b/bin/operator/src/writer.rs
@@ -20,25 +20,26 @@
 use crate::lane::Write;
 use crate::tidy;
 
-/// Lanes of one process. Two keys may share one, which costs them only time.
+/// Number of lanes of one process. Two keys may share a lane, which costs only time.
 const LANES: usize = 8;
-/// Writes that may wait or be under way at once.
+/// Maximum number of writes waiting or in progress.
 const WRITES_MAX: usize = 256;
-/// How long a write may wait for its lane before it is refused.
+/// Time that a write may wait for its lane before it is refused.
 const LANE_WAIT: Duration = Duration::from_secs(2);
-/// How long a lost answer is settled before it is told as unknown.
+/// Time limit for determining the outcome of a write whose response was lost; after it, the outcome
+/// is reported as unknown.
 const SETTLE_WITHIN: Duration = Duration::from_secs(4);
 
-/// Why a write did not succeed.
+/// Reason why a write did not succeed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// The lane's verdict.
+    /// Failure reported by the lane.
     Lane(Error),
-    /// Too many writes wait here; this one was not begun.
+    /// Too many writes are waiting in this process; this one was not started.
     Busy,
 }
 
-/// The writes of one operator process.
+/// Writes of one operator process.
 #[derive(Debug)]
 pub struct Writer<S> {
     store: S,
@@ -48,7 +49,7 @@
 }
 
 impl<S: Store> Writer<S> {
-    /// Opens the lanes of one life of an instance.
+    /// Opens the lanes of one incarnation of an instance.
     pub fn open(
         store: S,
         instance: &Instance,
@@ -61,11 +62,11 @@
         Writer { store, lanes, permits: Semaphore::new(WRITES_MAX), logger }
     }
 
-    /// Makes a write that changes `key`.
+    /// Performs a write that changes `key`.
     ///
     /// # Errors
     ///
-    /// When the change was not made, or can't be told.
+    /// When the change was not made, or its outcome is unknown.
     pub async fn commit(&self, key: &str, write: &Write) -> Result<Revision, Failure> {
         let _permit = self.permits.try_acquire().map_err(|_| Failure::Busy)?;
         let lane = &self.lanes[place(key)];
@@ -83,7 +84,7 @@
     }
 }
 
-/// Chooses the lane of a key, the same for the life of the process.
+/// Returns the lane of a key, which stays the same while the process runs.
 fn place(key: &str) -> usize {
     let mut hasher = std::hash::DefaultHasher::new();
     hasher.write(key.as_bytes());
--- a/bin/operator/tests/fake/mod.rs
+++ b/bin/operator/tests/fake/mod.rs
@@ -1,6 +1,6 @@
-// Each test file uses a part of this.
+// Each test file uses only some of these helpers.
 #![allow(dead_code)]
-//! A store in memory whose next commits fail as told.
+//! An in-memory store whose next commits fail as configured.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -21,18 +21,18 @@
 use cowslipchute_ports::kv::Verdict;
 use tokio::sync::mpsc;
 
-/// What becomes of one commit.
+/// Outcome of one commit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// Decided and answered.
+    /// Committed and answered.
     Answered,
-    /// Refused before anything happened.
+    /// Refused before it had any effect.
     Refused,
-    /// Decided, but the answer is lost.
+    /// Committed, but the response is lost.
     AnswerLost,
-    /// Lost on its way.
+    /// Lost before it reaches the store.
     Lost,
-    /// Its answer is lost, and it arrives only when [`Fake::release`] is called.
+    /// The response is lost, and the commit arrives only when [`Fake::release`] is called.
     Delayed,
 }
 
@@ -42,7 +42,7 @@
     entries: BTreeMap<String, Entry>,
     fates: VecDeque<Fate>,
     delayed: Vec<Txn>,
-    /// Reads that still fail.
+    /// Number of reads that still fail.
     failing_reads: usize,
     commits: usize,
 }
@@ -54,17 +54,17 @@
 }
 
 impl Fake {
-    /// Tells what becomes of the next commits; later ones are answered.
+    /// Sets the outcomes of the next commits; later ones succeed and are answered.
     pub fn next(&self, fates: &[Fate]) {
         self.state.lock().expect("not poisoned").fates.extend(fates);
     }
 
-    /// Lets so many reads fail.
+    /// Makes the given number of reads fail.
     pub fn fail_reads(&self, count: usize) {
         self.state.lock().expect("not poisoned").failing_reads = count;
     }
 
-    /// Lets the delayed commits arrive; tells how many of them took effect.
+    /// Lets the delayed commits arrive; returns how many of them took effect.
     pub fn release(&self) -> usize {
         let mut state = self.state.lock().expect("not poisoned");
         let delayed = std::mem::take(&mut state.delayed);
@@ -76,7 +76,7 @@
         self.state.lock().expect("not poisoned").entries.get(key).cloned()
     }
 
-    /// Counts the commits that were sent.
+    /// Returns the number of commits that were sent.
     pub fn commits(&self) -> usize {
         self.state.lock().expect("not poisoned").commits
     }
--- a/bin/operator/tests/harness/mod.rs
+++ b/bin/operator/tests/harness/mod.rs
@@ -1,6 +1,6 @@
 //! Operator processes for tests.
 
-// Each test file uses a part of this.
+// Each test file uses only some of these helpers.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
 
 const LIMIT: Duration = Duration::from_secs(30);
 
-/// One operator process on a stand-in, and a client of it.
+/// An operator process with a stand-in of the platform, and a client of the process.
 pub struct Harness {
     pub operator: Option<Operator>,
     pub switch: Switch,
@@ -47,7 +47,7 @@
     peers: Option<Duty>,
 }
 
-/// An answer, taken apart.
+/// A parsed response.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -63,12 +63,12 @@
 }
 
 impl Harness {
-    /// Opens one that follows only the store.
+    /// Opens a process that follows only the store.
     pub fn open(standin: &Standin, instance: &str) -> Harness {
         Harness::spawn(standin, instance, "a", None)
     }
 
-    /// Opens one that is linked to the others with the same identity.
+    /// Opens a process that is linked to the others with the same identity.
     pub fn linked(standin: &Standin, instance: &str, domain: &str, identity: &Identity) -> Harness {
         Harness::spawn(standin, instance, domain, Some(identity.clone()))
     }
--- a/bin/operator/tests/interface.rs
+++ b/bin/operator/tests/interface.rs
@@ -1,4 +1,4 @@
-//! The resource interface against the stand-in of the store, over HTTP.
+//! Tests the resource interface over HTTP against the stand-in of the store.
 
 mod harness;
 
@@ -277,7 +277,7 @@
     (line["type"] == "in-force").then(|| line["revision"].as_u64().expect("a revision"))
 }
 
-/// The lines of a stream.
+/// Lines of a stream.
 #[derive(Default)]
 struct Lines {
     rest: Vec<u8>,
--- a/bin/operator/tests/lane.rs
+++ b/bin/operator/tests/lane.rs
@@ -1,4 +1,5 @@
-//! A lane always tells for sure what became of a write, as long as the store answers in the end.
+//! Checks that a lane always determines the outcome of a write, as long as the store eventually
+//! answers.
 
 mod fake;
 
@@ -19,7 +20,7 @@
 const LANE: &str = "/operator/o1/1/00";
 const WITHIN: Duration = Duration::from_secs(4);
 
-/// How a write ended, as its caller is told.
+/// Result of a write, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Told {
     Made,
@@ -60,8 +61,9 @@
     }
 }
 
-/// The fates of the write and of what settles it; failing reads; what is told; whether the value is
-/// in the store at the end, when everything that was delayed has arrived.
+/// Parameters: the outcomes of the write and of the writes that determine its outcome; the number
+/// of failing reads; the reported result; whether the value is in the store at the end, after every
+/// delayed commit has arrived.
 #[parameterized(
     answered = { &[Fate::Answered], 0, Told::Made, true },
     down = { &[Fate::Refused], 0, Told::NotMade, false },
@@ -80,7 +82,7 @@
     block_on(async {
         let store = Fake::default();
         let mut lane = Lane::open(String::from(LANE));
-        // The lane is known from an earlier write, so that only the settling reads.
+        // An earlier write makes the lane known, so that only determining the outcome needs reads.
         let first = Write { operation: 1, guards: Vec::new(), changes: Vec::new() };
         assert_eq!(told(&mut lane, &store, &first).await, Told::Made);
         store.next(fates);
--- a/bin/operator/tests/settings.rs
+++ b/bin/operator/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked before anything is started.
+//! Checks that settings are validated before anything is started.
 
 use cowslipchute_operator::settings;
 use cowslipchute_operator::settings::Settings;
--- a/bin/operator/tests/status.rs
+++ b/bin/operator/tests/status.rs
@@ -1,4 +1,5 @@
-//! Linked operator processes tell where a revision is in force and that an instance is leaving.
+//! Checks that linked operator processes report where a revision is in force and that an instance
+//! is leaving.
 
 mod harness;
 
--- a/bin/operator/tests/tidy.rs
+++ b/bin/operator/tests/tidy.rs
@@ -1,4 +1,4 @@
-//! Lanes of processes that are gone are removed, and no others.
+//! Checks that the lanes of ended processes are removed, and no others.
 
 mod fake;
 
@@ -64,14 +64,14 @@
         let own = tidy::prefix(&"o1".into(), 2);
         let tidying = tokio::spawn(tidy::run(store.clone(), own, listed));
         tokio::time::sleep(Duration::from_secs(90)).await;
-        // Between the looks: a process turns up in the list, and another one writes.
+        // Between the checks, one process appears in the list and another one writes.
         members.send_modify(|members| members.push(member("new", 1)));
         write(&store, &mut busy).await;
         tidying.await.expect("it ends");
         let left = |instance, incarnation| store.entry(&key(instance, incarnation)).is_some();
         assert!(left("o1", 2) && left("o2", 1) && left("new", 1) && left("busy", 1));
         assert!(!left("o1", 1) && !left("gone", 5));
-        // One whose lane was removed all the same makes it again.
+        // A process whose lane was removed anyway creates it again.
         write(&store, &mut Lane::open(key("gone", 5))).await;
         assert!(store.entry(&key("gone", 5)).is_some());
     });
--- a/bin/placer/src/decide/homes.rs
+++ b/bin/placer/src/decide/homes.rs
@@ -228,8 +228,8 @@
         }
     }
 
-    /// Removes and returns the parked jobs of a cell that can leave it: none of their tasks runs or
-    /// ever ran there.
+    /// Returns the parked jobs that can leave a cell, marked as departing: none of their tasks runs
+    /// or ever ran there.
     fn departing(&mut self, term: &Term) -> Vec<id::Job> {
         let Some(host) = self.hosts.get_mut(term) else { return Vec::new() };
         let candidates = std::mem::take(&mut host.parked);
--- a/bin/placer/src/status.rs
+++ b/bin/placer/src/status.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Detail {
-    /// `true` if unclaimed tasks may start.
+    /// Phase of the cell, which says whether unclaimed tasks may start.
     pub phase: &'static str,
     /// Number of tasks by state.
     pub tasks: Counts,
--- a/bin/placer/src/watch.rs
+++ b/bin/placer/src/watch.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// Revision at which to resume a watch; an inner `None` means that the whole prefix must be read
+/// Revision after which to resume a watch; an inner `None` means that the whole prefix must be read
 /// again.
 type Resume = Option<id::Revision>;
 
