--- a/bin/placer/src/settings.rs
+++ b/bin/placer/src/settings.rs
@@ -118,22 +118,22 @@
 }
 
 impl Settings {
-    /// Returns how long one call to the store may take.
+    /// Returns the timeout of one call to the store.
     pub fn store_timeout(&self) -> Duration {
         Duration::from_millis(self.store_timeout)
     }
 
-    /// Returns how long one exchange with a worker may take.
+    /// Returns the timeout of one exchange with a worker.
     pub fn worker_timeout(&self) -> Duration {
         Duration::from_millis(self.worker_timeout)
     }
 
-    /// Returns how often the list is read.
+    /// Returns the interval between reads of the list.
     pub fn list_every(&self) -> Duration {
         Duration::from_millis(self.list_every)
     }
 
-    /// Returns the keeper's part.
+    /// Returns the settings of the ownership manager.
     pub fn keeper(&self) -> ownership::Settings {
         ownership::Settings {
             instance: self.common.instance(),
