--- a/bin/operator/src/api.rs
+++ b/bin/operator/src/api.rs
@@ -55,7 +55,7 @@
     /// Client for calls to the other processes, if there is one.
     pub peers: Option<P>,
     /// Identity that this process presents to them.
-    pub me: Me,
+    pub identity: Identity,
     /// Reader of the placers' events.
     pub events: events::Reader,
     /// Metrics of the process.
@@ -63,19 +63,19 @@
     /// Progress of the shutdown.
     pub stop: Stop,
     /// Limits on requests and streams in progress.
-    pub bounds: Bounds,
+    pub limits: Limits,
 }
 
 /// Limits on requests and streams in progress.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub struct Limits {
     requests: Arc<Semaphore>,
     watches: Arc<Semaphore>,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
+impl Default for Limits {
+    fn default() -> Limits {
+        Limits {
             requests: Arc::new(Semaphore::new(REQUESTS_MAX)),
             watches: Arc::new(Semaphore::new(WATCHES_MAX)),
         }
@@ -84,7 +84,7 @@
 
 /// Identity that this process presents to others.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct Identity {
     /// This instance.
     pub instance: Instance,
     /// Incarnation of this instance.
@@ -93,9 +93,9 @@
     pub domain: Domain,
 }
 
-impl Me {
+impl Identity {
     fn hello(&self) -> Call {
-        let Me { instance, incarnation, domain } = self.clone();
+        let Identity { instance, incarnation, domain } = self.clone();
         Call::Hello { instance, incarnation, domain, revision: 0 }
     }
 }
@@ -122,7 +122,7 @@
     }
 
     async fn dispatch(&self, request: &mut Request) -> Result<(Code, Response), Problem> {
-        let _permit = self.bounds.requests.try_acquire().map_err(|_| Problem::new(Code::Busy))?;
+        let _permit = self.limits.requests.try_acquire().map_err(|_| Problem::new(Code::Busy))?;
         let path = request::path(request.uri().path())?;
         let method = request.method().clone();
         match (method, path) {
@@ -168,7 +168,7 @@
     fn watch(&self, request: &Request) -> Result<(Code, Response), Problem> {
         self.running()?;
         let query: After = request::query(request)?;
-        let permit = self.bounds.watches.clone().try_acquire_owned().map_err(|_| {
+        let permit = self.limits.watches.clone().try_acquire_owned().map_err(|_| {
             Problem::new(Code::Busy).because("too many streams of changes are open here")
         })?;
         let lines = stream::open(self.follow.clone(), query.after, self.stop.clone());
@@ -185,10 +185,10 @@
     async fn status(&self, request: &Request) -> Result<(Code, Response), Problem> {
         let query: At = request::query(request)?;
         let own = self.follow.in_force();
-        let answers = self.ask(&self.me.hello()).await;
+        let answers = self.ask(&self.identity.hello()).await;
         let me = Lagging {
-            instance: self.me.instance.clone(),
-            domain: self.me.domain.clone(),
+            instance: self.identity.instance.clone(),
+            domain: self.identity.domain.clone(),
             revision: Some(own),
         };
         Ok(found(&status::sum(me, answers, query.revision.unwrap_or(own))))
@@ -212,7 +212,7 @@
 
     async fn ask(&self, call: &Call) -> Vec<Answer> {
         let members = self.members.borrow().clone();
-        ask::all(&self.peers, call, &self.me.instance, &members).await
+        ask::all(&self.peers, call, &self.identity.instance, &members).await
     }
 }
 
--- a/bin/operator/src/ask.rs
+++ b/bin/operator/src/ask.rs
@@ -13,9 +13,9 @@
 use tokio::time::timeout;
 
 /// Maximum number of processes called at once.
-const CALLED_AT_ONCE: usize = 32;
+const CALLS_MAX: usize = 32;
 /// Timeout of the call to one process.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1000);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Response of a process, if it answered in time.
 #[derive(Clone, Debug)]
@@ -37,11 +37,11 @@
         members.iter().filter(|member| rank::is_follower(member) && member.instance != *me);
     let calls: Vec<_> =
         others.map(|member| one(peers.clone(), call.clone(), member.clone())).collect();
-    stream::iter(calls).buffered(CALLED_AT_ONCE).collect().await
+    stream::iter(calls).buffered(CALLS_MAX).collect().await
 }
 
 async fn one<P: Peers>(peers: Option<P>, call: Call, member: Member) -> Answer {
     let Some(peers) = peers else { return Answer { member, reply: None } };
-    let reply = timeout(ANSWER_WITHIN, peers.call(member.address, &call)).await;
+    let reply = timeout(CALL_TIMEOUT, peers.call(member.address, &call)).await;
     Answer { member, reply: reply.ok().and_then(Result::ok) }
 }
--- a/bin/operator/src/events.rs
+++ b/bin/operator/src/events.rs
@@ -9,15 +9,15 @@
 use serde_json::Value;
 
 /// Timeout for reading the events of one placer.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum number of bytes read of one placer's events.
-const ANSWER_MAX: usize = 4 << 20;
+const ANSWER_BYTES_MAX: usize = 4 << 20;
 /// Maximum number of placers queried at once.
-const ASKED_AT_ONCE: usize = 16;
+const QUERIES_MAX: usize = 16;
 /// Field that the events are sorted by.
-const TIME: &str = "time";
+const TIME_FIELD: &str = "time";
 /// Field that names the placer an event comes from.
-const FROM: &str = "from";
+const PLACER_FIELD: &str = "from";
 
 /// Events of several placers.
 #[derive(Clone, Debug, PartialEq)]
@@ -46,7 +46,7 @@
         let http = reqwest::Client::builder()
             .no_proxy()
             .redirect(reqwest::redirect::Policy::none())
-            .timeout(ANSWER_WITHIN)
+            .timeout(ANSWER_TIMEOUT)
             .build()?;
         Ok(Reader { http, placers })
     }
@@ -55,7 +55,7 @@
     pub async fn read(&self) -> Events {
         let placers = stream::iter(self.placers.clone());
         let answers = placers.map(|placer| async move { (placer, self.ask(placer).await) });
-        let answers: Vec<_> = answers.buffered(ASKED_AT_ONCE).collect().await;
+        let answers: Vec<_> = answers.buffered(QUERIES_MAX).collect().await;
         let mut merged = Events { events: Vec::new(), unreachable: Vec::new() };
         for (placer, events) in answers {
             match events {
@@ -63,7 +63,7 @@
                 None => merged.unreachable.push(placer),
             }
         }
-        merged.events.sort_by_key(|event| event.get(TIME).and_then(Value::as_u64));
+        merged.events.sort_by_key(|event| event.get(TIME_FIELD).and_then(Value::as_u64));
         merged
     }
 
@@ -72,7 +72,7 @@
         let mut response = response.error_for_status().ok()?;
         let mut body = Vec::new();
         while let Some(chunk) = response.chunk().await.ok()? {
-            if body.len() + chunk.len() > ANSWER_MAX {
+            if body.len() + chunk.len() > ANSWER_BYTES_MAX {
                 return None;
             }
             body.extend_from_slice(&chunk);
@@ -84,7 +84,7 @@
 /// Adds the placer that an event comes from.
 fn tag(mut event: Value, placer: SocketAddr) -> Value {
     if let Value::Object(fields) = &mut event {
-        fields.insert(String::from(FROM), Value::from(placer.to_string()));
+        fields.insert(String::from(PLACER_FIELD), Value::from(placer.to_string()));
     }
     event
 }
--- a/bin/operator/src/lane.rs
+++ b/bin/operator/src/lane.rs
@@ -20,13 +20,13 @@
 use tokio::time::Instant;
 
 /// Retry delay while determining the outcome of a write.
-const SETTLE_EVERY: Duration = Duration::from_millis(100);
+const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Maximum number of attempts of a write whose lane was changed by an older write or by another
 /// incarnation of the instance.
-const TRIES: usize = 4;
+const ATTEMPTS_MAX: usize = 4;
 
 /// Value of a lane before its first write.
-const FIRST: Operation = 0;
+const INITIAL: Operation = 0;
 
 /// A write to be ordered by a lane.
 #[derive(Clone, Debug)]
@@ -89,7 +89,7 @@
         write: &Write,
         within: Duration,
     ) -> Result<Revision, Error> {
-        for _ in 0..TRIES {
+        for _ in 0..ATTEMPTS_MAX {
             let expected = self.expected(store).await?;
             // Until the response arrives, the lane's revision is unknown, also if this call is
             // dropped.
@@ -134,7 +134,7 @@
             return Ok(entry.revision);
         }
         let guards = vec![Guard::Missing(self.key.clone())];
-        let txn = Txn { guards, changes: vec![self.mark(FIRST)] };
+        let txn = Txn { guards, changes: vec![self.mark(INITIAL)] };
         let verdict = store.commit(txn).await.map_err(down)?;
         Ok(if verdict.applied { verdict.revision } else { self.found(&verdict.current) })
     }
@@ -177,10 +177,10 @@
                 Some(Settled::NotMade) => return Err(Error::Down(lost.to_string())),
                 None => {}
             }
-            if Instant::now() + SETTLE_EVERY >= deadline {
+            if Instant::now() + SETTLE_RETRY_DELAY >= deadline {
                 return Err(Error::Unknown(lost.to_string()));
             }
-            tokio::time::sleep(SETTLE_EVERY).await;
+            tokio::time::sleep(SETTLE_RETRY_DELAY).await;
         }
     }
 
--- a/bin/operator/src/main.rs
+++ b/bin/operator/src/main.rs
@@ -34,11 +34,11 @@
 use slog::o;
 
 /// Timeout of one call to the store.
-const STORE_WITHIN: Duration = Duration::from_secs(2);
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout of one call to a peer.
-const PEER_WITHIN: Duration = Duration::from_secs(1);
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of unanswered calls from peers.
-const PEER_CALLS: usize = 256;
+const PEER_CALLS_MAX: usize = 256;
 
 fn main() -> anyhow::Result<()> {
     let settings = parse_or_exit(settings::settings());
@@ -56,7 +56,7 @@
     let origin = Origin { domain: common.domain(), instance: common.instance() };
     let list = list::Client::open(&settings.list).with_origin(origin.clone());
     let (members, _list) = listing::spawn(list, logger.clone())?;
-    let store = || kv::Client::open(&settings.store, STORE_WITHIN).with_origin(origin.clone());
+    let store = || kv::Client::open(&settings.store, STORE_TIMEOUT).with_origin(origin.clone());
     let parts = Parts {
         follow: follow_settings(&settings, &logger),
         store: store(),
@@ -100,8 +100,8 @@
     let settings = node::Settings {
         address: links.listen,
         identity,
-        call_timeout: PEER_WITHIN,
-        calls: PEER_CALLS,
+        call_timeout: PEER_TIMEOUT,
+        calls: PEER_CALLS_MAX,
     };
     remote::bind(settings, stop.clone()).unwrap_or_else(|error| unbound("--peer-listen", &error))
 }
--- a/bin/operator/src/process.rs
+++ b/bin/operator/src/process.rs
@@ -27,8 +27,8 @@
 use tokio::sync::watch;
 
 use crate::api::Api;
-use crate::api::Bounds;
-use crate::api::Me;
+use crate::api::Identity;
+use crate::api::Limits;
 use crate::events;
 use crate::metrics::Metrics;
 use crate::resources::Resources;
@@ -36,7 +36,7 @@
 use crate::writer::Writer;
 
 /// Maximum number of changes queued for the duty that counts them.
-const CHANGES: usize = 256;
+const CHANGES_MAX: usize = 256;
 
 /// Parts that the process is built from.
 pub struct Parts<S, P> {
@@ -103,9 +103,9 @@
 ) -> io::Result<Operator> {
     listener.set_nonblocking(true)?;
     let address = listener.local_addr()?;
-    let (changes, counted) = ring::open(CHANGES);
+    let (changes, counted) = ring::open(CHANGES_MAX);
     let logger = parts.follow.logger.clone();
-    let me = me(&parts.follow);
+    let identity = identity(&parts.follow);
     let own = tidy::prefix(&parts.follow.instance, parts.follow.incarnation);
     let tidying = tidy::run(parts.store.clone(), own, parts.members.clone());
     let writer = writer(&parts.store, &parts.follow, logger.clone());
@@ -122,19 +122,19 @@
         follow: follower.handle(),
         members: parts.members,
         peers: parts.peers,
-        me,
+        identity,
         events: events::Reader::open(parts.placers).map_err(io::Error::other)?,
         metrics: parts.metrics,
         stop: parts.stop.clone(),
-        bounds: Bounds::default(),
+        limits: Limits::default(),
     };
     let readiness = parts.readiness;
     let http = serve(api, listener, tidying, parts.stop_within, readiness)?;
     Ok(Operator { address, follower, http, count })
 }
 
-fn me(settings: &follow::Settings) -> Me {
-    Me {
+fn identity(settings: &follow::Settings) -> Identity {
+    Identity {
         instance: settings.instance.clone(),
         incarnation: settings.incarnation,
         domain: settings.domain.clone(),
--- a/bin/operator/src/request.rs
+++ b/bin/operator/src/request.rs
@@ -15,9 +15,9 @@
 use crate::problem::Problem;
 
 /// Maximum size of a request body in bytes.
-pub const BODY_MAX: usize = 256 * 1024;
+pub const BODY_BYTES_MAX: usize = 256 * 1024;
 /// Timeout for receiving a request body.
-const BODY_WITHIN: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Query parameters of a stream.
 #[derive(Clone, Copy, Debug)]
@@ -117,12 +117,12 @@
     kind: Kind,
     name: Option<&str>,
 ) -> Result<Resource, Problem> {
-    let reading = request.take_body().into_bytes_limit(BODY_MAX);
+    let reading = request.take_body().into_bytes_limit(BODY_BYTES_MAX);
     let late = |_| Problem::new(Code::BadRequest).because("the body did not arrive in time");
-    let body = timeout(BODY_WITHIN, reading).await.map_err(late)?;
+    let body = timeout(BODY_TIMEOUT, reading).await.map_err(late)?;
     let body = body.map_err(|error| match error {
         ReadBodyError::PayloadTooLarge => Problem::new(Code::TooLarge)
-            .because(format!("the body is over {BODY_MAX} bytes"))
+            .because(format!("the body is over {BODY_BYTES_MAX} bytes"))
             .remedy("split it into smaller resources"),
         error => Problem::new(Code::BadRequest).because(error.to_string()),
     })?;
--- a/bin/operator/src/resources.rs
+++ b/bin/operator/src/resources.rs
@@ -35,7 +35,7 @@
 use crate::writer::Writer;
 
 /// Maximum number of attempts of a removal that conflicts with concurrently created references.
-const REMOVE_TRIES: usize = 4;
+const REMOVE_ATTEMPTS_MAX: usize = 4;
 
 /// The resources of one deployment.
 #[derive(Debug)]
@@ -136,9 +136,9 @@
         revision: Revision,
     ) -> Result<Revision, Problem> {
         let key = key::config(kind, name);
-        for _ in 0..REMOVE_TRIES {
+        for _ in 0..REMOVE_ATTEMPTS_MAX {
             let mut guards = vec![Guard::Unchanged(key.clone(), revision)];
-            guards.extend(self.unreferred(kind, name).await?);
+            guards.extend(self.check_unreferenced(kind, name).await?);
             let changes = vec![Change::Delete { key: key.clone() }];
             let write = Write { operation: rand::random(), guards, changes };
             let current = match self.commit(&key, &write).await? {
@@ -155,7 +155,7 @@
     }
 
     /// Checks that nothing refers to a resource, and returns the guard that keeps it so.
-    async fn unreferred(&self, kind: Kind, name: &str) -> Result<Option<Guard>, Problem> {
+    async fn check_unreferenced(&self, kind: Kind, name: &str) -> Result<Option<Guard>, Problem> {
         let Some(referrers) = reference::referrers(kind) else { return Ok(None) };
         // Read the mark first: a reference created after this read changes it, and the guard fails.
         let marks = self.store.read(key::REFERENCES).await.map_err(down)?.entries;
--- a/bin/operator/src/tidy.rs
+++ b/bin/operator/src/tidy.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 
 /// Delay before the first check and between the checks; long enough for the list to catch up.
-const LOOK_AFTER: Duration = Duration::from_secs(60);
+const CHECK_DELAY: Duration = Duration::from_secs(60);
 
 /// Owner of a lane, taken from its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,12 +37,12 @@
 /// Removes stale lanes once. Lanes that can't be removed now are left to the next process that
 /// starts.
 pub async fn run<S: Store>(store: S, own: String, members: watch::Receiver<Vec<Member>>) {
-    tokio::time::sleep(LOOK_AFTER).await;
+    tokio::time::sleep(CHECK_DELAY).await;
     let first = orphans(&store, &own, &members).await;
     if first.is_empty() {
         return;
     }
-    tokio::time::sleep(LOOK_AFTER).await;
+    tokio::time::sleep(CHECK_DELAY).await;
     let second = orphans(&store, &own, &members).await;
     for entry in second.into_iter().filter(|entry| first.contains(entry)) {
         let guards = vec![Guard::Unchanged(entry.key.clone(), entry.revision)];
--- a/bin/operator/src/writer.rs
+++ b/bin/operator/src/writer.rs
@@ -25,10 +25,10 @@
 /// Maximum number of writes waiting or in progress.
 const WRITES_MAX: usize = 256;
 /// Time that a write may wait for its lane before it is refused.
-const LANE_WAIT: Duration = Duration::from_secs(2);
+const LANE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time limit for determining the outcome of a write whose response was lost; after it, the outcome
 /// is reported as unknown.
-const SETTLE_WITHIN: Duration = Duration::from_secs(4);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Reason why a write did not succeed.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -69,10 +69,10 @@
     /// When the change was not made, or its outcome is unknown.
     pub async fn commit(&self, key: &str, write: &Write) -> Result<Revision, Failure> {
         let _permit = self.permits.try_acquire().map_err(|_| Failure::Busy)?;
-        let lane = &self.lanes[place(key)];
-        let mut lane = timeout(LANE_WAIT, lane.lock()).await.map_err(|_| Failure::Busy)?;
+        let lane = &self.lanes[lane_index(key)];
+        let mut lane = timeout(LANE_TIMEOUT, lane.lock()).await.map_err(|_| Failure::Busy)?;
         let settled = lane.settled();
-        let result = lane.commit(&self.store, write, SETTLE_WITHIN).await;
+        let result = lane.commit(&self.store, write, SETTLE_TIMEOUT).await;
         if let Err(Error::Unknown(problem)) = &result {
             let fields = o!("key" => key.to_owned(), "problem" => problem.clone());
             log::emit(&self.logger, Event::StoreUnsettled, fields);
@@ -85,7 +85,7 @@
 }
 
 /// Returns the lane of a key, which stays the same while the process runs.
-fn place(key: &str) -> usize {
+fn lane_index(key: &str) -> usize {
     let mut hasher = std::hash::DefaultHasher::new();
     hasher.write(key.as_bytes());
     (hasher.finish() % LANES as u64) as usize
--- a/bin/placer/src/decide.rs
+++ b/bin/placer/src/decide.rs
@@ -36,12 +36,12 @@
 use crate::journal::Journal;
 use crate::journal::Subject;
 use crate::message::Answer;
-use crate::message::Errand;
-use crate::message::Heard;
+use crate::message::Completion;
+use crate::message::Exchange;
+use crate::message::Inbound;
+use crate::message::Observation;
+use crate::message::Outbound;
 use crate::message::Request;
-use crate::message::Return;
-use crate::message::Sighting;
-use crate::message::Speech;
 use crate::message::Term;
 use crate::metrics::Metrics;
 use crate::status::Status;
@@ -49,11 +49,11 @@
 use host::Host;
 
 /// Number of values handled from one ring before the other rings are served.
-const TURN: usize = 256;
+const TURN_MAX: usize = 256;
 /// Interval between reads of the cells of the whole deployment.
 const CELLS_EVERY: Duration = Duration::from_secs(30);
 /// Retry delay after a failed read of the cells or of records.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Receiving ends of the duty's rings.
 #[derive(Debug)]
@@ -63,11 +63,11 @@
     /// From the store duty.
     pub store: ring::Receiver<Answer>,
     /// From the workers duty.
-    pub workers: ring::Receiver<Return>,
+    pub workers: ring::Receiver<Completion>,
     /// From the watch duty.
-    pub watch: ring::Receiver<Sighting>,
+    pub watch: ring::Receiver<Observation>,
     /// From the link duty.
-    pub link: ring::Receiver<Heard>,
+    pub link: ring::Receiver<Inbound>,
     /// From the follower of the configuration.
     pub config: ring::Receiver<Change>,
     /// From the admin duty.
@@ -80,16 +80,16 @@
     /// To the store duty.
     pub store: ring::Sender<Request>,
     /// To the workers duty.
-    pub workers: ring::Sender<Errand>,
+    pub workers: ring::Sender<Exchange>,
     /// To the link duty.
-    pub link: ring::Sender<Speech>,
+    pub link: ring::Sender<Outbound>,
 }
 
 /// Settings and handles that the duty is opened with.
 #[derive(Debug)]
 pub struct Context {
     /// Settings of the ownership manager.
-    pub keeper: ownership::Settings,
+    pub ownership: ownership::Settings,
     /// Clock of the process.
     pub clock: Clock,
     /// Records notes for operators.
@@ -111,8 +111,8 @@
 pub struct Decide {
     context: Context,
     outputs: Outputs,
-    keeper: Manager,
-    board: Directory,
+    manager: Manager,
+    directory: Directory,
     catalogue: Catalogue,
     view: Option<list::View>,
     hosts: BTreeMap<Term, Host>,
@@ -127,8 +127,8 @@
     /// Returns the initial state of the duty.
     pub fn open(context: Context, outputs: Outputs) -> Decide {
         Decide {
-            keeper: Manager::open(context.keeper.clone()),
-            board: Directory::open(context.keeper.rank_delay),
+            manager: Manager::open(context.ownership.clone()),
+            directory: Directory::open(context.ownership.rank_delay),
             context,
             outputs,
             catalogue: Catalogue::default(),
@@ -149,7 +149,7 @@
             if stop.stage() == Stage::Draining && !asked {
                 asked = true;
                 self.context.readiness.set(false);
-                self.tell_keeper(Event::Drain);
+                self.step_manager(Event::Drain);
             }
             let more = self.turn(&mut inputs);
             self.publish();
@@ -172,16 +172,16 @@
     fn turn(&mut self, inputs: &mut Inputs) -> bool {
         // Step the ownership manager first, so that it detects a pause of this process before any
         // message that arrived during the pause is handled.
-        self.tell_keeper(Event::Tick);
+        self.step_manager(Event::Tick);
         self.answer_queries(&mut inputs.queries);
         let mut more = drain(&mut inputs.store, |answer| self.on_answer(answer));
-        more |= drain(&mut inputs.link, |heard| self.on_heard(heard));
+        more |= drain(&mut inputs.link, |inbound| self.on_inbound(inbound));
         more |= drain(&mut inputs.config, |change| self.on_config(change));
-        more |= drain(&mut inputs.watch, |sighting| self.on_sighting(sighting));
-        if self.keeper.is_suspended() {
+        more |= drain(&mut inputs.watch, |observation| self.on_observation(observation));
+        if self.manager.is_suspended() {
             return more;
         }
-        more |= drain(&mut inputs.workers, |back| self.on_return(back));
+        more |= drain(&mut inputs.workers, |completion| self.on_completion(completion));
         self.tick_cells();
         self.tick_homes();
         self.tick_departures();
@@ -194,31 +194,31 @@
 
     fn next_due(&self) -> Time {
         let now = self.now();
-        let mut due = self.keeper.next_due(now);
-        if self.keeper.is_suspended() {
+        let mut due = self.manager.next_due(now);
+        if self.manager.is_suspended() {
             return due;
         }
         due = due.min(self.cells_due);
-        due = due.min(self.board.next_due().unwrap_or(due));
+        due = due.min(self.directory.next_due().unwrap_or(due));
         for host in self.hosts.values() {
             due = due.min(host.next_due().unwrap_or(due));
         }
         due
     }
 
-    fn on_heard(&mut self, heard: Heard) {
-        self.tell_keeper(match heard {
-            Heard::Release { call, cell, epoch } => Event::StoppedQueried { call, cell, epoch },
-            Heard::Released { cell, epoch, owner } => Event::StopConfirmed { cell, epoch, owner },
+    fn on_inbound(&mut self, inbound: Inbound) {
+        self.step_manager(match inbound {
+            Inbound::Release { call, cell, epoch } => Event::StoppedQueried { call, cell, epoch },
+            Inbound::Released { cell, epoch, owner } => Event::StopConfirmed { cell, epoch, owner },
         });
     }
 
-    fn on_sighting(&mut self, sighting: Sighting) {
-        match sighting {
-            Sighting::Listed(view) => self.on_list(view),
-            Sighting::ListFailed(error) => self.on_list_failed(error),
-            Sighting::Changed => self.tell_keeper(Event::Changed),
-            Sighting::Homes(step) => self.on_homes(&step),
+    fn on_observation(&mut self, observation: Observation) {
+        match observation {
+            Observation::Listed(view) => self.on_list(view),
+            Observation::ListFailed(error) => self.on_list_failed(error),
+            Observation::Changed => self.step_manager(Event::Changed),
+            Observation::Homes(step) => self.on_homes(&step),
         }
     }
 
@@ -229,14 +229,14 @@
         }
         self.context.members.send_replace(view.members.clone());
         self.view = Some(view.clone());
-        self.tell_keeper(Event::Listed { view });
-        self.list_cells();
+        self.step_manager(Event::Listed { view });
+        self.send_workers_to_all();
     }
 
     fn on_list_failed(&mut self, error: String) {
         if !self.list_stale {
             self.list_stale = true;
-            let instance = self.context.keeper.instance.clone();
+            let instance = self.context.ownership.instance.clone();
             self.note(LogEvent::ListStale, Subject::plain(instance), error);
         }
     }
@@ -259,8 +259,8 @@
         let members = self.view.iter().flat_map(|view| view.members.iter());
         members.filter(move |member| {
             member.role == list::Role::Worker
-                && member.domain == self.context.keeper.domain
-                && self.keeper.plan().cell_index(&member.rack) == slice
+                && member.domain == self.context.ownership.domain
+                && self.manager.plan().cell_index(&member.rack) == slice
                 && slice.is_some()
         })
     }
@@ -268,7 +268,7 @@
 
 /// Handles up to `TURN` values from a ring; returns `true` if more may be waiting.
 fn drain<T>(receiver: &mut ring::Receiver<T>, mut handle: impl FnMut(T)) -> bool {
-    for _ in 0..TURN {
+    for _ in 0..TURN_MAX {
         match receiver.look() {
             Look::Value(value) => handle(value),
             Look::Empty | Look::Closed => return false,
--- a/bin/placer/src/decide/cells.rs
+++ b/bin/placer/src/decide/cells.rs
@@ -16,9 +16,9 @@
 
 use crate::journal::Subject;
 use crate::message::Answer;
-use crate::message::Errand;
+use crate::message::Completion;
+use crate::message::Exchange;
 use crate::message::Request;
-use crate::message::Return;
 use crate::message::Term;
 use crate::records::Batch;
 use crate::records::Edit;
@@ -26,13 +26,13 @@
 use crate::records::Written;
 
 use super::Decide;
-use super::RETRY;
+use super::RETRY_DELAY;
 use super::host::Phase;
 
 impl Decide {
     pub(super) fn on_answer(&mut self, answer: Answer) {
         match answer {
-            Answer::Keeper(event) => self.tell_keeper(event),
+            Answer::Keeper(event) => self.step_manager(event),
             Answer::Revoked => {}
             Answer::Loaded { term, outcome } => self.on_loaded(&term, outcome),
             Answer::Written { term, number, written } => self.on_written(&term, number, written),
@@ -42,7 +42,7 @@
     }
 
     /// Steps a cell and carries out its actions.
-    pub(super) fn tell_cell(&mut self, term: &Term, event: Event) {
+    pub(super) fn step_cell(&mut self, term: &Term, event: Event) {
         let now = self.now();
         let Some(host) = self.hosts.get_mut(term) else { return };
         let Some(cell) = host.cell() else { return };
@@ -64,14 +64,20 @@
             // The ownership manager has reported it.
             Action::Note { event: LogEvent::CellOwned, .. } => {}
             Action::Note { event, subject, run, reason } => {
-                self.heed_parking(term, event, &subject, run.is_some());
+                self.record_parked_job(term, event, &subject, run.is_some());
                 self.note(event, Subject::run(subject, run), reason);
             }
         }
     }
 
     /// Records a job whose tasks are all parked: it may be able to run in another cell.
-    fn heed_parking(&mut self, term: &Term, event: LogEvent, subject: &id::Instance, run: bool) {
+    fn record_parked_job(
+        &mut self,
+        term: &Term,
+        event: LogEvent,
+        subject: &id::Instance,
+        run: bool,
+    ) {
         if event == LogEvent::TaskParked
             && !run
             && let Some(host) = self.hosts.get_mut(term)
@@ -94,7 +100,7 @@
             return;
         }
         let permit = host.permit.clone();
-        let errand = Errand {
+        let request = Exchange {
             term: term.clone(),
             permit,
             sequence,
@@ -103,37 +109,37 @@
             exchange,
         };
         host.exchanges += 1;
-        if self.outputs.workers.send(errand).is_err() {
+        if self.outputs.workers.send(request).is_err() {
             host.exchanges -= 1;
             self.context.metrics.exchange("refused", std::time::Duration::ZERO);
-            self.tell_cell(term, Event::Failed { sequence, worker, maybe_received: false });
+            self.step_cell(term, Event::Failed { sequence, worker, maybe_received: false });
         }
     }
 
-    pub(super) fn on_return(&mut self, back: Return) {
-        let Some(host) = self.hosts.get_mut(&back.term) else { return };
+    pub(super) fn on_completion(&mut self, completion: Completion) {
+        let Some(host) = self.hosts.get_mut(&completion.term) else { return };
         host.exchanges -= 1;
-        let (term, sequence, worker) = (back.term, back.sequence, back.worker);
-        match back.outcome {
+        let (term, sequence, worker) = (completion.term, completion.sequence, completion.worker);
+        match completion.outcome {
             Ok(report) => {
-                self.context.metrics.exchange("reported", back.took);
-                self.heed_epoch(&term, report.epoch);
-                self.tell_cell(&term, Event::Reported { sequence, report });
+                self.context.metrics.exchange("reported", completion.took);
+                self.check_epoch(&term, report.epoch);
+                self.step_cell(&term, Event::Reported { sequence, report });
             }
             Err(error) => {
                 let maybe_received = matches!(error, worker::Error::Unknown(_));
                 let outcome = if maybe_received { "unknown" } else { "unsent" };
-                self.context.metrics.exchange(outcome, back.took);
-                self.tell_cell(&term, Event::Failed { sequence, worker, maybe_received });
+                self.context.metrics.exchange(outcome, completion.took);
+                self.step_cell(&term, Event::Failed { sequence, worker, maybe_received });
             }
         }
         self.settle_host(&term);
     }
 
     /// Handles a worker that obeys a higher epoch, which shows that the cell has another owner.
-    fn heed_epoch(&mut self, term: &Term, epoch: id::Epoch) {
+    fn check_epoch(&mut self, term: &Term, epoch: id::Epoch) {
         if epoch > term.epoch {
-            self.tell_keeper(Tenure::HigherEpoch { cell: term.cell.clone(), epoch });
+            self.step_manager(Tenure::HigherEpoch { cell: term.cell.clone(), epoch });
         }
     }
 
@@ -144,7 +150,7 @@
             return;
         }
         let Ok(loaded) = outcome else {
-            host.load_at = Some(now + RETRY);
+            host.load_at = Some(now + RETRY_DELAY);
             return;
         };
         host.load_at = None;
@@ -152,24 +158,24 @@
         host.revisions = loaded.revisions;
         let former = host.former;
         let spec = self.catalogue.policy.clone();
-        self.tell_cell(term, Event::Policy { spec });
+        self.step_cell(term, Event::Policy { spec });
         let owned = Event::OwnershipAcquired { epoch: term.epoch, former, records: loaded.records };
-        self.tell_cell(term, owned);
-        self.tell_shares(term);
-        self.tell_list(term);
-        self.tell_jobs(term);
+        self.step_cell(term, owned);
+        self.send_shares(term);
+        self.send_workers(term);
+        self.send_jobs(term);
     }
 
-    pub(super) fn tell_list(&mut self, term: &Term) {
+    pub(super) fn send_workers(&mut self, term: &Term) {
         let Some(version) = self.view.as_ref().map(|view| view.version) else { return };
         let members = self.cell_workers(&term.cell).cloned().collect();
-        self.tell_cell(term, Event::Listed { view: list::View { version, members } });
+        self.step_cell(term, Event::Listed { view: list::View { version, members } });
     }
 
     /// Sends every cell its workers, after a new list or a new plan.
-    pub(super) fn list_cells(&mut self) {
+    pub(super) fn send_workers_to_all(&mut self) {
         for term in self.terms() {
-            self.tell_list(&term);
+            self.send_workers(&term);
         }
     }
 
@@ -177,19 +183,19 @@
         self.hosts.keys().cloned().collect()
     }
 
-    fn tell_shares(&mut self, term: &Term) {
+    fn send_shares(&mut self, term: &Term) {
         for (team, spec) in self.catalogue.teams.clone() {
             let amount = Some(self.share(&spec));
-            self.tell_cell(term, Event::Share { team, amount });
+            self.step_cell(term, Event::Share { team, amount });
         }
     }
 
     /// Returns the fraction of a team's quota that one cell may use: the domain's share divided by
     /// the number of its cells. The fractions never add up to more than the share.
     pub(super) fn share(&self, spec: &team::Spec) -> Amount {
-        let domain = &*self.context.keeper.domain;
+        let domain = &*self.context.ownership.domain;
         let share = spec.shares.get(domain).copied().unwrap_or(Amount::ZERO);
-        let slices = self.keeper.plan().cell_count().max(1);
+        let slices = self.manager.plan().cell_count().max(1);
         Amount {
             cpu_milli: share.cpu_milli / slices,
             memory_mib: share.memory_mib / slices,
@@ -201,7 +207,7 @@
         let Some(host) = self.hosts.get_mut(term) else { return };
         assert!(host.writing.is_none(), "a cell has one batch in flight");
         host.writing = Some(number);
-        host.leaving = gone.to_vec();
+        host.removing = gone.to_vec();
         let owner_key = format!("{CELL}{}", term.cell);
         let mut edits = Vec::with_capacity(records.len() + gone.len());
         for record in records {
@@ -212,7 +218,7 @@
         }
         for job in gone {
             let depart = host.departing.contains(job);
-            let along = self.board.begin_removal(job, &term.cell, depart).unwrap_or_default();
+            let along = self.directory.begin_removal(job, &term.cell, depart).unwrap_or_default();
             let revision = host.revisions.get(job).copied();
             edits.push(Edit { job: job.clone(), revision, value: None, along });
         }
@@ -230,12 +236,12 @@
                 None => host.revisions.remove(&learnt.job),
             };
         }
-        let leaving = std::mem::take(&mut host.leaving);
+        let leaving = std::mem::take(&mut host.removing);
         if written.complete {
-            self.tell_cell(term, Event::BatchStored { batch: number });
+            self.step_cell(term, Event::BatchStored { batch: number });
             self.on_left(term, &leaving);
         } else {
-            self.on_write_failed(term, number, written.deposed, written.error);
+            self.on_write_failed(term, number, written.ownership_lost, written.error);
         }
         self.settle_host(term);
     }
@@ -243,7 +249,7 @@
     fn on_left(&mut self, term: &Term, jobs: &[id::Job]) {
         let mut actions = Vec::new();
         for job in jobs {
-            self.board.removal_written(job, &mut actions);
+            self.directory.removal_written(job, &mut actions);
             if let Some(host) = self.hosts.get_mut(term) {
                 host.departing.remove(job);
             }
@@ -262,13 +268,13 @@
             let reason = format!("epoch {} no longer stands in the store", term.epoch);
             let subject = Subject::plain(term.cell.clone());
             self.note(LogEvent::RecordRefused, subject, reason);
-            self.tell_keeper(Tenure::Changed);
+            self.step_manager(Tenure::Changed);
         }
         if let Some(error) = error {
             let subject = Subject::plain(term.cell.clone());
             self.note(LogEvent::StoreUnsettled, subject, error.to_string());
         }
-        self.tell_cell(term, Event::BatchFailed { batch: number });
+        self.step_cell(term, Event::BatchFailed { batch: number });
     }
 
     pub(super) fn tick_cells(&mut self) {
@@ -282,7 +288,7 @@
                 host.load_at = None;
                 self.request(Request::Load { term });
             } else {
-                self.tell_cell(&term, Event::Tick);
+                self.step_cell(&term, Event::Tick);
             }
         }
     }
--- a/bin/placer/src/decide/homes.rs
+++ b/bin/placer/src/decide/homes.rs
@@ -23,7 +23,7 @@
 
 use super::CELLS_EVERY;
 use super::Decide;
-use super::RETRY;
+use super::RETRY_DELAY;
 use super::host;
 
 /// Interval between checks whether parked jobs can move to another cell.
@@ -42,13 +42,13 @@
         match spec {
             Spec::Job(spec) => {
                 let mut actions = Vec::new();
-                self.board.declared(self.now(), &name, &Arc::new(spec), &mut actions);
+                self.directory.declared(self.now(), &name, &Arc::new(spec), &mut actions);
                 self.carry_out_homes(actions);
             }
             Spec::Team(spec) => {
                 let amount = Some(self.share(&spec));
                 self.catalogue.teams.insert(name.clone(), Arc::new(spec));
-                self.tell_all(&Event::Share { team: name, amount });
+                self.step_all_cells(&Event::Share { team: name, amount });
             }
             Spec::Policy(spec) => self.on_policy(spec),
             Spec::Service(_) => {}
@@ -59,12 +59,12 @@
         match kind {
             Kind::Job => {
                 let mut actions = Vec::new();
-                self.board.undeclared(name, &mut actions);
+                self.directory.undeclared(name, &mut actions);
                 self.carry_out_homes(actions);
             }
             Kind::Team => {
                 self.catalogue.teams.remove(name);
-                self.tell_all(&Event::Share { team: name.clone(), amount: None });
+                self.step_all_cells(&Event::Share { team: name.clone(), amount: None });
             }
             Kind::Policy => self.on_policy(policy::Spec::default()),
             Kind::Service => {}
@@ -74,24 +74,24 @@
     fn on_policy(&mut self, spec: policy::Spec) {
         let spec = Arc::new(spec);
         self.catalogue.policy = spec.clone();
-        self.tell_all(&Event::Policy { spec });
+        self.step_all_cells(&Event::Policy { spec });
     }
 
     fn on_in_force(&mut self, revision: id::Revision) {
         let mut actions = Vec::new();
-        self.board.set_declared_revision(revision, &mut actions);
+        self.directory.set_declared_revision(revision, &mut actions);
         self.carry_out_homes(actions);
         if !self.catalogue.read {
             self.catalogue.read = true;
-            let instance = self.context.keeper.instance.clone();
+            let instance = self.context.ownership.instance.clone();
             let reason = format!("revision {revision}");
             self.note(LogEvent::ConfigApplied, Subject::plain(instance), reason);
         }
     }
 
-    fn tell_all(&mut self, event: &Event) {
+    fn step_all_cells(&mut self, event: &Event) {
         for term in self.terms() {
-            self.tell_cell(&term, event.clone());
+            self.step_cell(&term, event.clone());
         }
     }
 
@@ -100,12 +100,12 @@
         let mut actions = Vec::new();
         match step {
             Step::Whole { snapshot } => {
-                self.board.load_homes(now, &snapshot.entries, &mut actions);
+                self.directory.load_homes(now, &snapshot.entries, &mut actions);
             }
-            Step::Put { entry } => self.board.update_home(now, entry, &mut actions),
+            Step::Put { entry } => self.directory.update_home(now, entry, &mut actions),
             Step::Deleted { key, revision } => {
                 if let Some(name) = key.strip_prefix(HOME) {
-                    self.board.remove_home(now, name, *revision);
+                    self.directory.remove_home(now, name, *revision);
                 }
             }
         }
@@ -118,8 +118,8 @@
                 directory::Action::Claim { txn } => self.request(Request::Claim { txn }),
                 directory::Action::Assigned { cell, name, spec } => {
                     if let Some(term) = self.active_term(&cell) {
-                        self.remember(&term, &name, true);
-                        self.tell_cell(&term, Event::Job { name, spec });
+                        self.set_job_sent(&term, &name, true);
+                        self.step_cell(&term, Event::Job { name, spec });
                     }
                 }
                 directory::Action::Removed { cell, name } => {
@@ -140,14 +140,14 @@
         let ready = host.cell().is_some_and(|cell| cell.phase() == Phase::Ready);
         // A cell that does not know the job must receive it first, so that it has the job's home
         // removed.
-        if !ready || !host.told.contains(&name) {
+        if !ready || !host.sent_jobs.contains(&name) {
             let spec = job::Spec { tasks: 0, cancelled: true, ..job::Spec::default() };
             let spec = Arc::new(spec);
-            self.tell_cell(term, Event::Job { name: name.clone(), spec });
+            self.step_cell(term, Event::Job { name: name.clone(), spec });
         }
         if ready {
-            self.remember(term, &name, false);
-            self.tell_cell(term, Event::JobRemoved { name });
+            self.set_job_sent(term, &name, false);
+            self.step_cell(term, Event::JobRemoved { name });
         } else if let Some(host) = self.hosts.get_mut(term) {
             host.withdrawn.insert(name);
         }
@@ -169,21 +169,21 @@
         self.hosts.keys().find(|term| &*term.cell == cell && active(term)).cloned()
     }
 
-    fn remember(&mut self, term: &Term, job: &id::Job, told: bool) {
+    fn set_job_sent(&mut self, term: &Term, job: &id::Job, sent: bool) {
         let Some(host) = self.hosts.get_mut(term) else { return };
-        if told {
-            host.told.insert(job.clone());
+        if sent {
+            host.sent_jobs.insert(job.clone());
             host.departing.remove(job);
             host.withdrawn.remove(job);
         } else {
-            host.told.remove(job);
+            host.sent_jobs.remove(job);
         }
     }
 
     /// Sends the jobs of a newly loaded cell to it.
-    pub(super) fn tell_jobs(&mut self, term: &Term) {
+    pub(super) fn send_jobs(&mut self, term: &Term) {
         let mut actions = Vec::new();
-        self.board.add_owned_cell(&term.cell, &mut actions);
+        self.directory.add_owned_cell(&term.cell, &mut actions);
         self.carry_out_homes(actions);
     }
 
@@ -194,20 +194,20 @@
             self.request(Request::Cells);
         }
         let mut actions = Vec::new();
-        self.board.tick(now, &mut actions);
+        self.directory.tick(now, &mut actions);
         self.carry_out_homes(actions);
     }
 
     pub(super) fn on_cells(&mut self, outcome: Result<Vec<id::Cell>, kv::Error>) {
         match outcome {
-            Ok(cells) => self.board.set_cells(cells),
-            Err(_) => self.cells_due = self.now() + RETRY,
+            Ok(cells) => self.directory.set_cells(cells),
+            Err(_) => self.cells_due = self.now() + RETRY_DELAY,
         }
     }
 
     pub(super) fn on_claimed(&mut self, txn: &kv::Txn, outcome: Result<kv::Verdict, kv::Error>) {
         let mut actions = Vec::new();
-        self.board.claim_ended(self.now(), outcome, txn, RETRY, &mut actions);
+        self.directory.claim_ended(self.now(), outcome, txn, RETRY_DELAY, &mut actions);
         self.carry_out_homes(actions);
     }
 
@@ -222,8 +222,8 @@
         for term in self.terms() {
             self.withdraw_waiting(&term);
             for job in self.departing(&term) {
-                self.remember(&term, &job, false);
-                self.tell_cell(&term, Event::JobRemoved { name: job });
+                self.set_job_sent(&term, &job, false);
+                self.step_cell(&term, Event::JobRemoved { name: job });
             }
         }
     }
@@ -246,7 +246,7 @@
         let mut departing = Vec::new();
         for job in parked {
             let recorded = host.revisions.contains_key(&job) || host.writing.is_some();
-            if unstarted(&job) && !recorded && self.board.can_move(&job) {
+            if unstarted(&job) && !recorded && self.directory.can_move(&job) {
                 host.departing.insert(job.clone());
                 departing.push(job);
             } else {
--- a/bin/placer/src/decide/host.rs
+++ b/bin/placer/src/decide/host.rs
@@ -40,7 +40,7 @@
     pub(super) exchanges: usize,
     /// Number of the batch being written.
     pub(super) writing: Option<u64>,
-    pub(super) told: BTreeSet<id::Job>,
+    pub(super) sent_jobs: BTreeSet<id::Job>,
     /// Jobs parked in this cell, to be checked for a move to another cell.
     pub(super) parked: BTreeSet<id::Job>,
     /// Removed jobs, to be reported to the cell once every run in it is known.
@@ -48,7 +48,7 @@
     /// Jobs that are moving to another cell.
     pub(super) departing: BTreeSet<id::Job>,
     /// Jobs whose removal is in the batch being written.
-    pub(super) leaving: Vec<id::Job>,
+    pub(super) removing: Vec<id::Job>,
     cell: Cell,
 }
 
@@ -64,11 +64,11 @@
             load_at: None,
             exchanges: 0,
             writing: None,
-            told: BTreeSet::new(),
+            sent_jobs: BTreeSet::new(),
             parked: BTreeSet::new(),
             withdrawn: BTreeSet::new(),
             departing: BTreeSet::new(),
-            leaving: Vec::new(),
+            removing: Vec::new(),
             cell,
         }
     }
--- a/bin/placer/src/decide/publish.rs
+++ b/bin/placer/src/decide/publish.rs
@@ -40,11 +40,11 @@
     }
 
     fn status(&self) -> Status {
-        let cells = self.keeper.cell_statuses().map(|standing| {
+        let cells = self.manager.cell_statuses().map(|standing| {
             let host = self.hosts.values().find(|host| host.is_current(&standing.cell));
             status::Cell {
                 workers: self.cell_workers(&standing.cell).count(),
-                jobs: host.map_or(0, |host| host.told.len()),
+                jobs: host.map_or(0, |host| host.sent_jobs.len()),
                 records: host.map_or(0, |host| host.revisions.len()),
                 in_flight: host.map_or(0, |host| host.exchanges),
                 detail: host.and_then(Host::detail),
@@ -55,8 +55,8 @@
             }
         });
         Status {
-            listed: self.keeper.is_listed(),
-            store: self.keeper.reaches_store(),
+            listed: self.manager.is_listed(),
+            store: self.manager.reaches_store(),
             cells: cells.collect(),
         }
     }
--- a/bin/placer/src/decide/tenure.rs
+++ b/bin/placer/src/decide/tenure.rs
@@ -11,8 +11,8 @@
 use cowslipchute_tenure::rank;
 
 use crate::journal::Subject;
+use crate::message::Outbound;
 use crate::message::Request;
-use crate::message::Speech;
 use crate::message::Term;
 
 use super::Decide;
@@ -21,15 +21,15 @@
 
 impl Decide {
     /// Steps the ownership manager and carries out its actions.
-    pub(super) fn tell_keeper(&mut self, event: Event) {
+    pub(super) fn step_manager(&mut self, event: Event) {
         let mut actions = Vec::new();
-        let slices = self.keeper.plan().racks.len();
-        self.keeper.step(self.now(), event, &mut actions);
+        let slices = self.manager.plan().racks.len();
+        self.manager.step(self.now(), event, &mut actions);
         for action in actions {
             self.carry_out(action);
         }
-        if self.keeper.plan().racks.len() != slices {
-            self.list_cells();
+        if self.manager.plan().racks.len() != slices {
+            self.send_workers_to_all();
         }
     }
 
@@ -47,13 +47,13 @@
             Action::Own { cell, epoch, revision, former } => {
                 self.open_host(Term { cell, epoch }, revision, former);
             }
-            Action::PreviousOwners { cell, former } => self.tell_former(&cell, former),
+            Action::PreviousOwners { cell, former } => self.set_previous_owners(&cell, former),
             Action::Quiesce { cell, epoch } => self.quiesce(&Term { cell, epoch }),
             Action::Stop { cell, epoch } => self.end_host(&Term { cell, epoch }),
             Action::QueryStopped { cell, epoch, owner } => {
-                self.speak(Speech::Ask { cell, epoch, owner });
+                self.send_to_link(Outbound::Ask { cell, epoch, owner });
             }
-            Action::Answer { call, reply } => self.speak(Speech::Reply { call, reply }),
+            Action::Answer { call, reply } => self.send_to_link(Outbound::Reply { call, reply }),
             Action::Note { event, subject, reason } => {
                 self.note(event, Subject::plain(subject), reason);
             }
@@ -63,12 +63,12 @@
 
     /// Sends to the link duty. A message that a full ring rejects is sent again later, by this
     /// placer or by the peer.
-    fn speak(&mut self, speech: Speech) {
-        let _ = self.outputs.link.send(speech);
+    fn send_to_link(&mut self, outbound: Outbound) {
+        let _ = self.outputs.link.send(outbound);
     }
 
     fn open_host(&mut self, term: Term, revision: id::Revision, former: Former) {
-        let seed = rank::weight(&term.cell, &self.context.keeper.instance) ^ term.epoch;
+        let seed = rank::weight(&term.cell, &self.context.ownership.instance) ^ term.epoch;
         let cell = Cell::open(cell::Settings { cell: term.cell.clone(), seed });
         let host = Host::open(term.clone(), revision, former, cell);
         let earlier = self.hosts.insert(term.clone(), host);
@@ -78,13 +78,13 @@
         self.request(Request::Load { term });
     }
 
-    fn tell_former(&mut self, cell: &id::Cell, former: Former) {
+    fn set_previous_owners(&mut self, cell: &id::Cell, former: Former) {
         let current = self.hosts.values_mut().find(|host| host.is_current(cell));
         let Some(host) = current else { return };
         host.former = former;
         if host.phase == Phase::Active {
             let term = host.term.clone();
-            self.tell_cell(&term, CellEvent::Former { former });
+            self.step_cell(&term, CellEvent::Former { former });
         }
     }
 
@@ -107,7 +107,7 @@
             host.permit.withdraw();
             host.phase = Phase::Ended;
         }
-        self.board.remove_owned_cell(&term.cell);
+        self.directory.remove_owned_cell(&term.cell);
         self.settle_host(term);
     }
 
@@ -119,11 +119,11 @@
             return;
         }
         if host.phase == Phase::Quiescing {
-            self.board.remove_owned_cell(&term.cell);
+            self.directory.remove_owned_cell(&term.cell);
         }
         host.permit.withdraw();
         self.hosts.remove(term);
         let (cell, epoch) = (term.cell.clone(), term.epoch);
-        self.tell_keeper(Event::Quiesced { cell, epoch });
+        self.step_manager(Event::Quiesced { cell, epoch });
     }
 }
--- a/bin/placer/src/link.rs
+++ b/bin/placer/src/link.rs
@@ -16,8 +16,8 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use crate::message::Heard;
-use crate::message::Speech;
+use crate::message::Inbound;
+use crate::message::Outbound;
 use crate::pump;
 
 /// A call from another process.
@@ -52,21 +52,21 @@
     peers: P,
     context: Context,
     mut incoming: mpsc::Receiver<Incoming>,
-    mut inbox: ring::Receiver<Speech>,
-    mut outbox: ring::Sender<Heard>,
+    mut inbox: ring::Receiver<Outbound>,
+    mut outbox: ring::Sender<Inbound>,
 ) {
     let mut waiting = Waiting::new();
     let mut last: CallId = 0;
     let mut asking = FuturesUnordered::new();
     let mut listening = true;
     loop {
-        let heard = tokio::select! {
-            speech = inbox.recv() => match speech {
-                Some(Speech::Ask { cell, epoch, owner }) => {
+        let inbound = tokio::select! {
+            outbound = inbox.recv() => match outbound {
+                Some(Outbound::Ask { cell, epoch, owner }) => {
                     asking.push(ask(&peers, &context, cell, epoch, owner));
                     None
                 }
-                Some(Speech::Reply { call, reply }) => {
+                Some(Outbound::Reply { call, reply }) => {
                     if let Some(sender) = waiting.remove(&call) {
                         // The caller may have timed out; it asks again.
                         let _ = sender.send(reply);
@@ -75,7 +75,7 @@
                 }
                 None => return,
             },
-            Some(heard) = asking.next(), if !asking.is_empty() => heard,
+            Some(inbound) = asking.next(), if !asking.is_empty() => inbound,
             call = incoming.recv(), if listening => match call {
                 Some(call) => {
                     last += 1;
@@ -87,8 +87,8 @@
                 }
             },
         };
-        if let Some(heard) = heard
-            && pump::push(&mut outbox, heard).await.is_err()
+        if let Some(inbound) = inbound
+            && pump::push(&mut outbox, inbound).await.is_err()
         {
             return;
         }
@@ -101,12 +101,12 @@
     number: CallId,
     incoming: Incoming,
     waiting: &mut Waiting,
-) -> Option<Heard> {
+) -> Option<Inbound> {
     let reply = match incoming.call {
         Call::Release { cell, epoch } => {
             waiting.retain(|_, sender| !sender.is_closed());
             waiting.insert(number, incoming.reply);
-            return Some(Heard::Release { call: number, cell, epoch });
+            return Some(Inbound::Release { call: number, cell, epoch });
         }
         call @ (Call::Hello { .. } | Call::Pull { .. } | Call::Push { .. }) => {
             tokio::task::spawn_local(follow(context.follower.clone(), call, incoming.reply));
@@ -134,7 +134,7 @@
     cell: id::Cell,
     epoch: id::Epoch,
     owner: Owner,
-) -> Option<Heard> {
+) -> Option<Inbound> {
     let hello = Call::Hello {
         instance: context.instance.clone(),
         incarnation: context.incarnation,
@@ -152,7 +152,7 @@
     let release = peers.call(address, &release);
     let reply = tokio::time::timeout(context.timeout, release).await.ok()?.ok()?;
     match reply {
-        Reply::Released => Some(Heard::Released { cell, epoch, owner }),
+        Reply::Released => Some(Inbound::Released { cell, epoch, owner }),
         _ => None,
     }
 }
--- a/bin/placer/src/main.rs
+++ b/bin/placer/src/main.rs
@@ -32,7 +32,7 @@
 use slog::o;
 
 /// Maximum number of unanswered calls from peers.
-const PEER_CALLS: usize = 256;
+const PEER_CALLS_MAX: usize = 256;
 
 fn main() -> ExitCode {
     let settings = settings::parse_or_exit(parser());
@@ -84,12 +84,12 @@
         address: settings.peer_listen,
         identity,
         call_timeout: settings.store_timeout(),
-        calls: PEER_CALLS,
+        calls: PEER_CALLS_MAX,
     };
     let peers = peers::open(node, stop.clone())
         .with_context(|| format!("can't bind {}", settings.peer_listen))?;
     let parts = Parts {
-        keeper: settings.keeper(),
+        ownership: settings.ownership(),
         store: kv::Client::open(&settings.store, settings.store_timeout())
             .with_origin(origin.clone()),
         list: list::Client::open(&settings.list).with_origin(origin.clone()),
--- a/bin/placer/src/message.rs
+++ b/bin/placer/src/message.rs
@@ -54,7 +54,7 @@
 
 /// From `decide` to `workers`: a request to perform one exchange.
 #[derive(Clone, Debug)]
-pub struct Errand {
+pub struct Exchange {
     /// Term on whose behalf the request is sent.
     pub term: Term,
     /// Permission, checked right before the send.
@@ -71,7 +71,7 @@
 
 /// From `workers` to `decide`: the result of an exchange.
 #[derive(Clone, Debug)]
-pub struct Return {
+pub struct Completion {
     /// Term on whose behalf the request was sent.
     pub term: Term,
     /// Number of the exchange.
@@ -200,7 +200,7 @@
 
 /// From `watch` to `decide`.
 #[derive(Clone, Debug)]
-pub enum Sighting {
+pub enum Observation {
     /// The platform's list of instances.
     Listed(list::View),
     /// The list could not be read.
@@ -213,7 +213,7 @@
 
 /// From `link` to `decide`.
 #[derive(Clone, Debug)]
-pub enum Heard {
+pub enum Inbound {
     /// Another placer asks whether this one has stopped owning a cell.
     Release {
         /// Number of the call, used to answer it.
@@ -236,7 +236,7 @@
 
 /// From `decide` to `link`.
 #[derive(Clone, Debug)]
-pub enum Speech {
+pub enum Outbound {
     /// Ask a previous owner whether it has stopped.
     Ask {
         /// The cell.
--- a/bin/placer/src/metrics.rs
+++ b/bin/placer/src/metrics.rs
@@ -13,7 +13,8 @@
 use crate::status::Status;
 
 /// Upper bounds of the histogram of exchange times, in seconds.
-const BOUNDS: &[f64] = &[0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
+const EXCHANGE_BUCKETS_SECONDS: &[f64] =
+    &[0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0];
 
 /// Counters and gauges; clones share them.
 #[derive(Clone, Debug)]
@@ -54,7 +55,9 @@
                 "Exchanges with workers, by how they ended.",
                 "outcome",
             )?,
-            exchange_seconds: Histogram::with_opts(seconds.buckets(BOUNDS.to_vec()))?,
+            exchange_seconds: Histogram::with_opts(
+                seconds.buckets(EXCHANGE_BUCKETS_SECONDS.to_vec()),
+            )?,
             events: counter(
                 "cowslipchute_placer_events_total",
                 "Changes that the system made on its own, by event; starts, completions and evictions among them.",
--- a/bin/placer/src/peers.rs
+++ b/bin/placer/src/peers.rs
@@ -20,7 +20,7 @@
 use crate::link::Incoming;
 
 /// Maximum number of calls from peers that wait for the link duty.
-const QUEUE: usize = 256;
+const QUEUE_MAX: usize = 256;
 
 /// Calls other processes through the node.
 #[derive(Clone, Debug)]
@@ -53,7 +53,7 @@
 pub fn open(settings: node::Settings, mut stop: Stop) -> io::Result<Open> {
     let (opened, outcome) = channel::channel();
     let duty = duty::spawn("peers", move || async move {
-        let (sender, incoming) = mpsc::channel(QUEUE);
+        let (sender, incoming) = mpsc::channel(QUEUE_MAX);
         match Node::open(settings) {
             Ok((node, calls)) => {
                 let caller = Caller { node: node.clone() };
--- a/bin/placer/src/process.rs
+++ b/bin/placer/src/process.rs
@@ -35,15 +35,15 @@
 use crate::workers;
 
 /// Capacity of each ring. Exchanges need the most: one for each worker of the owned cells.
-const RING: usize = 8192;
+const RING_CAPACITY: usize = 8192;
 /// Number of queries of the admin address that may wait.
-const QUERIES: usize = 16;
+const QUERIES_MAX: usize = 16;
 
 /// Parts that a placer is built from.
 #[derive(Debug)]
 pub struct Parts<S, L, W, P> {
     /// Settings of the ownership manager.
-    pub keeper: ownership::Settings,
+    pub ownership: ownership::Settings,
     /// Client of the key-value service.
     pub store: S,
     /// Client of the platform's list of instances.
@@ -124,17 +124,17 @@
     P: Peers,
 {
     let bell = Bell::default();
-    let (to_store, store_inbox) = ring::open(RING);
-    let (to_workers, workers_inbox) = ring::open(RING);
-    let (to_link, link_inbox) = ring::open(RING);
-    let (store_outbox, from_store) = ring::open_with(RING, bell.clone());
-    let (workers_outbox, from_workers) = ring::open_with(RING, bell.clone());
-    let (watch_outbox, from_watch) = ring::open_with(RING, bell.clone());
-    let (link_outbox, from_link) = ring::open_with(RING, bell.clone());
-    let (changes, from_follower) = ring::open_with(RING, bell.clone());
+    let (to_store, store_inbox) = ring::open(RING_CAPACITY);
+    let (to_workers, workers_inbox) = ring::open(RING_CAPACITY);
+    let (to_link, link_inbox) = ring::open(RING_CAPACITY);
+    let (store_outbox, from_store) = ring::open_with(RING_CAPACITY, bell.clone());
+    let (workers_outbox, from_workers) = ring::open_with(RING_CAPACITY, bell.clone());
+    let (watch_outbox, from_watch) = ring::open_with(RING_CAPACITY, bell.clone());
+    let (link_outbox, from_link) = ring::open_with(RING_CAPACITY, bell.clone());
+    let (changes, from_follower) = ring::open_with(RING_CAPACITY, bell.clone());
     let (members_sender, members) = watch::channel(Vec::new());
     let (status_sender, status) = watch::channel(Arc::default());
-    let (queries, asked) = mpsc::channel(QUERIES);
+    let (queries, asked) = mpsc::channel(QUERIES_MAX);
     let inputs = decide::Inputs {
         bell: bell.clone(),
         store: from_store,
@@ -146,7 +146,7 @@
     };
     let outputs = decide::Outputs { store: to_store, workers: to_workers, link: to_link };
     let journal = parts.journal.clone();
-    let settings = parts.keeper.clone();
+    let settings = parts.ownership.clone();
 
     let context = store::Context {
         domain: settings.domain.clone(),
@@ -194,7 +194,7 @@
         duty::spawn("watch", move || sightings::run(client, list, context, ended, watch_outbox))?;
 
     let context = decide::Context {
-        keeper: settings,
+        ownership: settings,
         clock: Clock::start(),
         journal: parts.journal,
         metrics: parts.metrics,
--- a/bin/placer/src/pump.rs
+++ b/bin/placer/src/pump.rs
@@ -10,7 +10,7 @@
 use futures_util::stream::FuturesUnordered;
 
 /// Retry delay before a value is offered to a full ring again.
-const RETRY: Duration = Duration::from_millis(1);
+const RETRY_DELAY: Duration = Duration::from_millis(1);
 
 /// Error returned when the other end of the ring is gone and the duty must end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
             Err(SendError::Closed(_)) => return Err(Closed),
             Err(SendError::Full(back)) => value = back,
         }
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
--- a/bin/placer/src/records.rs
+++ b/bin/placer/src/records.rs
@@ -62,16 +62,16 @@
     /// `true` if the whole batch is in the store.
     pub complete: bool,
     /// `true` if the cell's key has another revision, so that this owner can write nothing more.
-    pub deposed: bool,
+    pub ownership_lost: bool,
     /// Revisions observed during the write, whether or not the batch succeeded.
-    pub revisions: Vec<Learnt>,
+    pub revisions: Vec<Observed>,
     /// Error of the write, if any.
     pub error: Option<kv::Error>,
 }
 
 /// Observed revision of one record.
 #[derive(Clone, Debug)]
-pub struct Learnt {
+pub struct Observed {
     /// The job.
     pub job: id::Job,
     /// Revision; `None` if there is no record.
@@ -100,7 +100,7 @@
 /// Writes a batch, in as many transactions as its size requires. Stops at the first failure.
 pub async fn write<S: Store>(store: &S, batch: &Batch) -> Written {
     let mut written =
-        Written { complete: true, deposed: false, revisions: Vec::new(), error: None };
+        Written { complete: true, ownership_lost: false, revisions: Vec::new(), error: None };
     for part in parts(&batch.edits) {
         match store.commit(txn(batch, part)).await {
             Ok(verdict) if verdict.applied => note_applied(part, verdict.revision, &mut written),
@@ -164,7 +164,7 @@
 fn note_applied(part: &[Edit], revision: id::Revision, written: &mut Written) {
     for edit in part {
         let revision = edit.value.as_ref().map(|_| revision);
-        written.revisions.push(Learnt { job: edit.job.clone(), revision });
+        written.revisions.push(Observed { job: edit.job.clone(), revision });
     }
 }
 
@@ -172,10 +172,10 @@
     written.complete = false;
     let at = |key: &str| verdict.current.iter().find(|entry| entry.key == key);
     let owner = at(&batch.owner_key);
-    written.deposed = owner.is_none_or(|entry| entry.revision != batch.owner_revision);
+    written.ownership_lost = owner.is_none_or(|entry| entry.revision != batch.owner_revision);
     for edit in part {
         let revision = at(&key::record(&batch.cell, &edit.job)).map(|entry| entry.revision);
-        written.revisions.push(Learnt { job: edit.job.clone(), revision });
+        written.revisions.push(Observed { job: edit.job.clone(), revision });
     }
 }
 
@@ -191,7 +191,7 @@
     written.complete = false;
     written.error = Some(kv::Error::Unknown(why));
     let Ok(owner) = read_one(store, &batch.owner_key).await else { return };
-    written.deposed = owner.is_none_or(|entry| entry.revision != batch.owner_revision);
+    written.ownership_lost = owner.is_none_or(|entry| entry.revision != batch.owner_revision);
     let mut applied = true;
     for edit in part {
         let key = key::record(&batch.cell, &edit.job);
@@ -203,11 +203,11 @@
             applied &= made;
         }
         let revision = entry.map(|entry| entry.revision);
-        written.revisions.push(Learnt { job: edit.job.clone(), revision });
+        written.revisions.push(Observed { job: edit.job.clone(), revision });
     }
     // Equal values count only while this placer is the owner: a later owner may have written the
     // same.
-    written.complete = applied && !written.deposed;
+    written.complete = applied && !written.ownership_lost;
     if written.complete {
         written.error = None;
     }
--- a/bin/placer/src/settings.rs
+++ b/bin/placer/src/settings.rs
@@ -134,7 +134,7 @@
     }
 
     /// Returns the settings of the ownership manager.
-    pub fn keeper(&self) -> ownership::Settings {
+    pub fn ownership(&self) -> ownership::Settings {
         ownership::Settings {
             instance: self.common.instance(),
             incarnation: self.common.incarnation,
--- a/bin/placer/src/watch.rs
+++ b/bin/placer/src/watch.rs
@@ -15,15 +15,15 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use crate::message::Sighting;
+use crate::message::Observation;
 use crate::message::Step;
 use crate::metrics::Metrics;
 use crate::pump;
 
 /// Maximum number of updates queued within the duty.
-const QUEUE: usize = 256;
+const QUEUE_MAX: usize = 256;
 /// Retry delay before a failed watch is opened again.
-const RETRY: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Parameters of the duty.
 #[derive(Clone, Debug)]
@@ -43,11 +43,11 @@
     list: L,
     context: Context,
     mut ended: oneshot::Receiver<()>,
-    mut outbox: ring::Sender<Sighting>,
+    mut outbox: ring::Sender<Observation>,
 ) {
-    let (sender, mut receiver) = mpsc::channel(QUEUE);
+    let (sender, mut receiver) = mpsc::channel(QUEUE_MAX);
     let changed = |step| match step {
-        Step::Whole { .. } | Step::Put { .. } | Step::Deleted { .. } => Sighting::Changed,
+        Step::Whole { .. } | Step::Put { .. } | Step::Deleted { .. } => Observation::Changed,
     };
     let cells = key::domain(&context.domain);
     let duties = [
@@ -55,7 +55,7 @@
         tokio::task::spawn_local(follow(
             store.clone(),
             HOME.to_owned(),
-            Sighting::Homes,
+            Observation::Homes,
             context.clone(),
             sender.clone(),
         )),
@@ -64,9 +64,9 @@
     loop {
         tokio::select! {
             _ = &mut ended => break,
-            sighting = receiver.recv() => {
-                let Some(sighting) = sighting else { break };
-                if pump::push(&mut outbox, sighting).await.is_err() {
+            observation = receiver.recv() => {
+                let Some(observation) = observation else { break };
+                if pump::push(&mut outbox, observation).await.is_err() {
                     break;
                 }
             }
@@ -77,15 +77,17 @@
     }
 }
 
-async fn follow_list<L: List>(list: L, context: Context, sender: mpsc::Sender<Sighting>) {
+async fn follow_list<L: List>(list: L, context: Context, sender: mpsc::Sender<Observation>) {
     let mut reader = Reader::open(list, vec![context.domain], context.every);
     loop {
-        let sighting = match reader.read().await {
-            Read::Changed(view) => Sighting::Listed(view),
-            Read::Lost(error) | Read::StillLost(error) => Sighting::ListFailed(error.to_string()),
+        let observation = match reader.read().await {
+            Read::Changed(view) => Observation::Listed(view),
+            Read::Lost(error) | Read::StillLost(error) => {
+                Observation::ListFailed(error.to_string())
+            }
             Read::Unchanged => continue,
         };
-        if sender.send(sighting).await.is_err() {
+        if sender.send(observation).await.is_err() {
             return;
         }
     }
@@ -96,9 +98,9 @@
 async fn follow<S: Store>(
     store: S,
     prefix: String,
-    wrap: impl Fn(Step) -> Sighting,
+    wrap: impl Fn(Step) -> Observation,
     context: Context,
-    sender: mpsc::Sender<Sighting>,
+    sender: mpsc::Sender<Observation>,
 ) {
     let mut after = None;
     loop {
@@ -107,7 +109,7 @@
             None => {
                 context.metrics.store_call("follow");
                 let Ok(snapshot) = store.read(&prefix).await else {
-                    tokio::time::sleep(RETRY).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 };
                 let revision = snapshot.revision;
@@ -126,7 +128,7 @@
             Err(Error::Compacted(_)) => None,
             Err(_) => Some(from),
         };
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -138,8 +140,8 @@
 async fn pass_on(
     mut updates: mpsc::Receiver<Update>,
     from: id::Revision,
-    wrap: &impl Fn(Step) -> Sighting,
-    sender: &mpsc::Sender<Sighting>,
+    wrap: &impl Fn(Step) -> Observation,
+    sender: &mpsc::Sender<Observation>,
 ) -> Option<Resume> {
     let mut seen = from;
     while let Some(update) = updates.recv().await {
--- a/bin/placer/src/workers.rs
+++ b/bin/placer/src/workers.rs
@@ -7,8 +7,8 @@
 use cowslipchute_ports::worker;
 use cowslipchute_ports::worker::Worker;
 
-use crate::message::Errand;
-use crate::message::Return;
+use crate::message::Completion;
+use crate::message::Exchange;
 use crate::pump;
 
 /// Performs exchanges until the ring is closed, at most `limit` at once and each within `timeout`.
@@ -16,29 +16,29 @@
     client: W,
     limit: usize,
     timeout: Duration,
-    inbox: ring::Receiver<Errand>,
-    outbox: ring::Sender<Return>,
+    inbox: ring::Receiver<Exchange>,
+    outbox: ring::Sender<Completion>,
 ) {
-    pump::run(inbox, outbox, limit, |errand| {
+    pump::run(inbox, outbox, limit, |request| {
         let client = client.clone();
-        async move { make(&client, timeout, errand).await }
+        async move { make(&client, timeout, request).await }
     })
     .await;
 }
 
-async fn make<W: Worker>(client: &W, timeout: Duration, errand: Errand) -> Return {
+async fn make<W: Worker>(client: &W, timeout: Duration, request: Exchange) -> Completion {
     let begun = Instant::now();
-    let outcome = if errand.permit.is_valid() {
-        let call = client.exchange(errand.address, &errand.exchange);
+    let outcome = if request.permit.is_valid() {
+        let call = client.exchange(request.address, &request.exchange);
         let late = |_| Err(worker::Error::Unknown(String::from("no answer in time")));
         tokio::time::timeout(timeout, call).await.unwrap_or_else(late)
     } else {
         Err(worker::Error::Unsent(String::from("the cell was given up")))
     };
-    Return {
-        term: errand.term,
-        sequence: errand.sequence,
-        worker: errand.worker,
+    Completion {
+        term: request.term,
+        sequence: request.sequence,
+        worker: request.worker,
         outcome,
         took: begun.elapsed(),
     }
--- a/bin/placer/tests/bench/mod.rs
+++ b/bin/placer/tests/bench/mod.rs
@@ -161,7 +161,7 @@
         let store = kv::Client::open(&self.standin.store_url(), CALL);
         let origin = Origin { domain: DOMAIN.into(), instance: name.into() };
         let parts = Parts {
-            keeper: ownership::Settings {
+            ownership: ownership::Settings {
                 instance: name.into(),
                 incarnation,
                 address,
--- a/bin/placer/tests/records.rs
+++ b/bin/placer/tests/records.rs
@@ -168,7 +168,7 @@
     memory.lose(loss);
     let written = write(&memory, 1, vec![edit("report", None, Some("new"))]);
     assert_eq!(written.complete, complete);
-    assert!(!written.deposed);
+    assert!(!written.ownership_lost);
     assert_eq!(memory.value(&record("report")).is_some(), complete);
     assert_eq!(written.revisions[0].revision.is_some(), complete);
 }
@@ -182,7 +182,7 @@
     let at = memory.put(&record("report"), b"old");
     memory.put(OWNER, b"another");
     let written = write(&memory, 1, vec![edit("report", Some(at), value)]);
-    assert!(written.deposed && !written.complete);
+    assert!(written.ownership_lost && !written.complete);
     assert_eq!(memory.value(&record("report")).as_deref(), Some(&b"old"[..]));
 }
 
@@ -193,7 +193,7 @@
     memory.put(&record("report"), b"same");
     memory.lose(Loss::Dropped);
     let written = write(&memory, 1, vec![edit("report", None, Some("same"))]);
-    assert!(written.deposed && !written.complete);
+    assert!(written.ownership_lost && !written.complete);
 }
 
 #[test]
@@ -202,7 +202,7 @@
     let first = memory.put(&record("report"), b"first");
     let second = memory.put(&record("report"), b"second");
     let written = write(&memory, 1, vec![edit("report", Some(first), Some("late"))]);
-    assert!(!written.complete && !written.deposed);
+    assert!(!written.complete && !written.ownership_lost);
     assert_eq!(written.revisions[0].revision, Some(second));
     assert_eq!(memory.value(&record("report")).as_deref(), Some(&b"second"[..]));
 }
