--- a/bin/operator/src/tidy.rs
+++ b/bin/operator/src/tidy.rs
@@ -75,7 +75,7 @@
 }
 
 fn owner(key: &str) -> Option<Owner<'_>> {
-    let (life, _lane) = key.strip_prefix(key::OPERATOR)?.rsplit_once('/')?;
-    let (instance, incarnation) = life.rsplit_once('/')?;
+    let (path, _lane) = key.strip_prefix(key::OPERATOR)?.rsplit_once('/')?;
+    let (instance, incarnation) = path.rsplit_once('/')?;
     Some(Owner { instance, incarnation: incarnation.parse().ok()? })
 }
--- a/bin/placer/src/decide/cells.rs
+++ b/bin/placer/src/decide/cells.rs
@@ -32,7 +32,7 @@
 impl Decide {
     pub(super) fn on_answer(&mut self, answer: Answer) {
         match answer {
-            Answer::Keeper(event) => self.step_manager(event),
+            Answer::Ownership(event) => self.step_manager(event),
             Answer::Revoked => {}
             Answer::Loaded { term, outcome } => self.on_loaded(&term, outcome),
             Answer::Written { term, number, written } => self.on_written(&term, number, written),
--- a/bin/placer/src/decide/homes.rs
+++ b/bin/placer/src/decide/homes.rs
@@ -99,7 +99,7 @@
         let now = self.now();
         let mut actions = Vec::new();
         match step {
-            Step::Whole { snapshot } => {
+            Step::Snapshot { snapshot } => {
                 self.directory.load_homes(now, &snapshot.entries, &mut actions);
             }
             Step::Put { entry } => self.directory.update_home(now, entry, &mut actions),
--- a/bin/placer/src/decide/tenure.rs
+++ b/bin/placer/src/decide/tenure.rs
@@ -39,7 +39,7 @@
             self.published = Time::ZERO;
         }
         match action {
-            Action::ReadDomain { ticket } => self.request(Request::Look { ticket }),
+            Action::ReadDomain { ticket } => self.request(Request::ReadDomain { ticket }),
             Action::Commit { ticket, txn } => self.request(Request::Commit { ticket, txn }),
             Action::Grant { ticket, ttl } => self.request(Request::Grant { ticket, ttl }),
             Action::Renew { ticket, lease } => self.request(Request::Renew { ticket, lease }),
@@ -51,7 +51,7 @@
             Action::Quiesce { cell, epoch } => self.quiesce(&Term { cell, epoch }),
             Action::Stop { cell, epoch } => self.end_host(&Term { cell, epoch }),
             Action::QueryStopped { cell, epoch, owner } => {
-                self.send_to_link(Outbound::Ask { cell, epoch, owner });
+                self.send_to_link(Outbound::Query { cell, epoch, owner });
             }
             Action::Answer { call, reply } => self.send_to_link(Outbound::Reply { call, reply }),
             Action::Note { event, subject, reason } => {
--- a/bin/placer/src/link.rs
+++ b/bin/placer/src/link.rs
@@ -62,7 +62,7 @@
     loop {
         let inbound = tokio::select! {
             outbound = inbox.recv() => match outbound {
-                Some(Outbound::Ask { cell, epoch, owner }) => {
+                Some(Outbound::Query { cell, epoch, owner }) => {
                     asking.push(ask(&peers, &context, cell, epoch, owner));
                     None
                 }
--- a/bin/placer/src/message.rs
+++ b/bin/placer/src/message.rs
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug)]
 pub enum Request {
     /// Read the domain's ownership keys.
-    Look {
+    ReadDomain {
         /// Number assigned by the ownership manager.
         ticket: Ticket,
     },
@@ -143,7 +143,7 @@
 #[derive(Clone, Debug)]
 pub enum Answer {
     /// Response to a request of the ownership manager.
-    Keeper(Event),
+    Ownership(Event),
     /// Result of a lease revocation, which may have failed.
     Revoked,
     /// The records of a cell.
@@ -180,7 +180,7 @@
 #[derive(Clone, Debug)]
 pub enum Step {
     /// Everything below the prefix, as of one revision.
-    Whole {
+    Snapshot {
         /// The entries.
         snapshot: kv::Snapshot,
     },
@@ -238,7 +238,7 @@
 #[derive(Clone, Debug)]
 pub enum Outbound {
     /// Ask a previous owner whether it has stopped.
-    Ask {
+    Query {
         /// The cell.
         cell: id::Cell,
         /// Epoch of this placer.
--- a/bin/placer/src/store.rs
+++ b/bin/placer/src/store.rs
@@ -50,22 +50,22 @@
     context.metrics.store_call(kind(&request));
     let limit = context.timeout;
     match request {
-        Request::Look { ticket } => {
+        Request::ReadDomain { ticket } => {
             let prefix = key::domain(&context.domain);
             let outcome = read_within(limit, store.read(&prefix)).await;
-            Answer::Keeper(Event::DomainRead { ticket, outcome })
+            Answer::Ownership(Event::DomainRead { ticket, outcome })
         }
         Request::Commit { ticket, txn } => {
             let outcome = write_within(limit, store.commit(txn)).await;
-            Answer::Keeper(Event::Committed { ticket, outcome })
+            Answer::Ownership(Event::Committed { ticket, outcome })
         }
         Request::Grant { ticket, ttl } => {
             let outcome = write_within(limit, store.grant(ttl)).await;
-            Answer::Keeper(Event::Granted { ticket, outcome })
+            Answer::Ownership(Event::Granted { ticket, outcome })
         }
         Request::Renew { ticket, lease } => {
             let outcome = write_within(limit, store.keep_alive(lease)).await;
-            Answer::Keeper(Event::Renewed { ticket, outcome })
+            Answer::Ownership(Event::Renewed { ticket, outcome })
         }
         Request::Revoke { lease } => {
             // The result does not matter: a lease that was not revoked expires by itself.
@@ -114,7 +114,7 @@
 
 fn kind(request: &Request) -> &'static str {
     match request {
-        Request::Look { .. } => "look",
+        Request::ReadDomain { .. } => "look",
         Request::Commit { .. } => "own",
         Request::Grant { .. } => "grant",
         Request::Renew { .. } => "renew",
--- a/bin/placer/src/watch.rs
+++ b/bin/placer/src/watch.rs
@@ -47,7 +47,7 @@
 ) {
     let (sender, mut receiver) = mpsc::channel(QUEUE_MAX);
     let changed = |step| match step {
-        Step::Whole { .. } | Step::Put { .. } | Step::Deleted { .. } => Observation::Changed,
+        Step::Snapshot { .. } | Step::Put { .. } | Step::Deleted { .. } => Observation::Changed,
     };
     let cells = key::domain(&context.domain);
     let duties = [
@@ -113,7 +113,7 @@
                     continue;
                 };
                 let revision = snapshot.revision;
-                if sender.send(wrap(Step::Whole { snapshot })).await.is_err() {
+                if sender.send(wrap(Step::Snapshot { snapshot })).await.is_err() {
                     return;
                 }
                 revision
