--- a/bin/operator/src/api.rs
+++ b/bin/operator/src/api.rs
@@ -39,63 +39,63 @@
 use crate::status::Lagging;
 use crate::watch as stream;
 
-/// Requests that may be in progress at once, streams left out.
+/// Maximum number of requests in progress, streams excluded.
 const REQUESTS_MAX: usize = 512;
-/// Streams of changes that may be open at once.
+/// Maximum number of open streams of changes.
 const WATCHES_MAX: usize = 64;
 
-/// What the interface works with.
+/// State that the interface serves from.
 pub struct Api<S, P> {
     /// The resources.
     pub resources: Resources<S>,
-    /// What is in force here.
+    /// Configuration in force at this instance.
     pub follow: Handle,
     /// The list of instances.
     pub members: watch::Receiver<Vec<Member>>,
-    /// The way to the other processes, if there is one.
+    /// Client for calls to the other processes, if there is one.
     pub peers: Option<P>,
-    /// How this process presents itself to them.
-    pub me: Me,
-    /// The placers' events.
+    /// Identity that this process presents to them.
+    pub identity: Identity,
+    /// Reader of the placers' events.
     pub events: events::Reader,
-    /// What is counted.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// How far the stop of this process has come.
+    /// Progress of the shutdown.
     pub stop: Stop,
-    /// Bounds what is in progress.
-    pub bounds: Bounds,
+    /// Limits on requests and streams in progress.
+    pub limits: Limits,
 }
 
-/// Bounds what is in progress at once.
+/// Limits on requests and streams in progress.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub struct Limits {
     requests: Arc<Semaphore>,
     watches: Arc<Semaphore>,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
+impl Default for Limits {
+    fn default() -> Limits {
+        Limits {
             requests: Arc::new(Semaphore::new(REQUESTS_MAX)),
             watches: Arc::new(Semaphore::new(WATCHES_MAX)),
         }
     }
 }
 
-/// How this process presents itself to others.
+/// Identity that this process presents to others.
 #[derive(Clone, Debug)]
-pub struct Me {
+pub struct Identity {
     /// This instance.
     pub instance: Instance,
-    /// Which life of it.
+    /// Incarnation of this instance.
     pub incarnation: Incarnation,
-    /// Where it is.
+    /// Failure domain of this instance.
     pub domain: Domain,
 }
 
-impl Me {
+impl Identity {
     fn hello(&self) -> Call {
-        let Me { instance, incarnation, domain } = self.clone();
+        let Identity { instance, incarnation, domain } = self.clone();
         Call::Hello { instance, incarnation, domain, revision: 0 }
     }
 }
@@ -122,7 +122,7 @@
     }
 
     async fn dispatch(&self, request: &mut Request) -> Result<(Code, Response), Problem> {
-        let _permit = self.bounds.requests.try_acquire().map_err(|_| Problem::new(Code::Busy))?;
+        let _permit = self.limits.requests.try_acquire().map_err(|_| Problem::new(Code::Busy))?;
         let path = request::path(request.uri().path())?;
         let method = request.method().clone();
         match (method, path) {
@@ -168,7 +168,7 @@
     fn watch(&self, request: &Request) -> Result<(Code, Response), Problem> {
         self.running()?;
         let query: After = request::query(request)?;
-        let permit = self.bounds.watches.clone().try_acquire_owned().map_err(|_| {
+        let permit = self.limits.watches.clone().try_acquire_owned().map_err(|_| {
             Problem::new(Code::Busy).because("too many streams of changes are open here")
         })?;
         let lines = stream::open(self.follow.clone(), query.after, self.stop.clone());
@@ -185,10 +185,10 @@
     async fn status(&self, request: &Request) -> Result<(Code, Response), Problem> {
         let query: At = request::query(request)?;
         let own = self.follow.in_force();
-        let answers = self.ask(&self.me.hello()).await;
+        let answers = self.ask(&self.identity.hello()).await;
         let me = Lagging {
-            instance: self.me.instance.clone(),
-            domain: self.me.domain.clone(),
+            instance: self.identity.instance.clone(),
+            domain: self.identity.domain.clone(),
             revision: Some(own),
         };
         Ok(found(&status::sum(me, answers, query.revision.unwrap_or(own))))
@@ -212,7 +212,7 @@
 
     async fn ask(&self, call: &Call) -> Vec<Answer> {
         let members = self.members.borrow().clone();
-        ask::all(&self.peers, call, &self.me.instance, &members).await
+        ask::all(&self.peers, call, &self.identity.instance, &members).await
     }
 }
 
--- a/bin/operator/src/main.rs
+++ b/bin/operator/src/main.rs
@@ -1,4 +1,4 @@
-//! `cowslipchute-operator`: reads the settings, starts the duties, waits for the stop.
+//! `cowslipchute-operator`: reads the settings, starts the duties and waits for the shutdown.
 
 use std::hash::BuildHasher as _;
 use std::net::TcpListener;
@@ -33,12 +33,12 @@
 use prometheus::Registry;
 use slog::o;
 
-/// How long one call to the store may take.
-const STORE_WITHIN: Duration = Duration::from_secs(2);
-/// How long one call to a peer may take.
-const PEER_WITHIN: Duration = Duration::from_secs(1);
-/// Calls of peers that may be unanswered at once.
-const PEER_CALLS: usize = 256;
+/// Timeout of one call to the store.
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of one call to a peer.
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of unanswered calls from peers.
+const PEER_CALLS_MAX: usize = 256;
 
 fn main() -> anyhow::Result<()> {
     let settings = parse_or_exit(settings::settings());
@@ -56,7 +56,7 @@
     let origin = Origin { domain: common.domain(), instance: common.instance() };
     let list = list::Client::open(&settings.list).with_origin(origin.clone());
     let (members, _list) = listing::spawn(list, logger.clone())?;
-    let store = || kv::Client::open(&settings.store, STORE_WITHIN).with_origin(origin.clone());
+    let store = || kv::Client::open(&settings.store, STORE_TIMEOUT).with_origin(origin.clone());
     let parts = Parts {
         follow: follow_settings(&settings, &logger),
         store: store(),
@@ -100,8 +100,8 @@
     let settings = node::Settings {
         address: links.listen,
         identity,
-        call_timeout: PEER_WITHIN,
-        calls: PEER_CALLS,
+        call_timeout: PEER_TIMEOUT,
+        calls: PEER_CALLS_MAX,
     };
     remote::bind(settings, stop.clone()).unwrap_or_else(|error| unbound("--peer-listen", &error))
 }
--- a/bin/operator/src/request.rs
+++ b/bin/operator/src/request.rs
@@ -1,4 +1,4 @@
-//! Reading what a client of the resource interface asks for.
+//! Parses requests to the resource interface.
 
 use std::time::Duration;
 
@@ -14,38 +14,38 @@
 
 use crate::problem::Problem;
 
-/// Largest body of a request.
-pub const BODY_MAX: usize = 256 * 1024;
-/// How long a body may take to arrive.
-const BODY_WITHIN: Duration = Duration::from_secs(10);
+/// Maximum size of a request body in bytes.
+pub const BODY_BYTES_MAX: usize = 256 * 1024;
+/// Timeout for receiving a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Query of a stream.
+/// Query parameters of a stream.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 pub struct After {
-    /// Only what comes into force after this.
+    /// Revision after which changes are sent.
     #[serde(default)]
     pub after: Revision,
 }
 
-/// Query of a status.
+/// Query parameters of a status request.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
 pub struct At {
-    /// The revision asked about; the one in force here if left out.
+    /// Revision asked about; by default, the one in force at this instance.
     pub revision: Option<Revision>,
 }
 
-/// A path, taken apart.
+/// A parsed path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Path {
     /// The stream of changes.
     Watch,
-    /// Where a revision is in force.
+    /// The instances where a revision is in force.
     Status,
     /// The placers' events.
     Events,
-    /// An instance that is leaving.
+    /// The announcement that an instance is leaving.
     Drain(String),
     /// All resources of a kind.
     Kind(Kind),
@@ -53,7 +53,7 @@
     Resource(Kind, String),
 }
 
-/// Takes a path apart.
+/// Parses a path.
 ///
 /// # Errors
 ///
@@ -80,20 +80,20 @@
     }
 }
 
-/// Reads the query.
+/// Parses the query.
 ///
 /// # Errors
 ///
-/// When a value isn't of its type.
+/// When a value has the wrong type.
 pub fn query<T: for<'de> Deserialize<'de>>(request: &Request) -> Result<T, Problem> {
     request.params().map_err(|error| Problem::new(Code::BadRequest).because(error.to_string()))
 }
 
-/// Reads the revision that a change is made from.
+/// Parses the revision that a change is based on.
 ///
 /// # Errors
 ///
-/// When the header is missing or holds none.
+/// When the header is missing or holds no revision.
 pub fn if_match(request: &Request) -> Result<Revision, Problem> {
     let wrong = |text: &str| {
         Problem::new(Code::BadRequest)
@@ -107,22 +107,22 @@
     text.parse().map_err(|_| wrong("the header holds no revision"))
 }
 
-/// Reads the resource of a body, which has to be of the path's kind and name.
+/// Reads the resource in a body, which must have the kind and name of the path.
 ///
 /// # Errors
 ///
-/// When the body is too large, late, no resource, or another one.
+/// When the body is too large, arrives too late, holds no resource, or holds a different one.
 pub async fn resource(
     request: &mut Request,
     kind: Kind,
     name: Option<&str>,
 ) -> Result<Resource, Problem> {
-    let reading = request.take_body().into_bytes_limit(BODY_MAX);
+    let reading = request.take_body().into_bytes_limit(BODY_BYTES_MAX);
     let late = |_| Problem::new(Code::BadRequest).because("the body did not arrive in time");
-    let body = timeout(BODY_WITHIN, reading).await.map_err(late)?;
+    let body = timeout(BODY_TIMEOUT, reading).await.map_err(late)?;
     let body = body.map_err(|error| match error {
         ReadBodyError::PayloadTooLarge => Problem::new(Code::TooLarge)
-            .because(format!("the body is over {BODY_MAX} bytes"))
+            .because(format!("the body is over {BODY_BYTES_MAX} bytes"))
             .remedy("split it into smaller resources"),
         error => Problem::new(Code::BadRequest).because(error.to_string()),
     })?;
--- a/bin/placer/src/decide.rs
+++ b/bin/placer/src/decide.rs
@@ -1,5 +1,5 @@
-//! The duty that decides: it holds the keeper, the board of homes and one cell decider for each
-//! cell that is owned, and carries their actions to the other duties.
+//! The duty that makes the decisions. It holds the ownership manager, the directory of job homes
+//! and one cell decider for each owned cell, and passes their actions on to the other duties.
 
 mod cells;
 mod homes;
@@ -36,83 +36,83 @@
 use crate::journal::Journal;
 use crate::journal::Subject;
 use crate::message::Answer;
-use crate::message::Errand;
-use crate::message::Heard;
+use crate::message::Completion;
+use crate::message::Exchange;
+use crate::message::Inbound;
+use crate::message::Observation;
+use crate::message::Outbound;
 use crate::message::Request;
-use crate::message::Return;
-use crate::message::Sighting;
-use crate::message::Speech;
 use crate::message::Term;
 use crate::metrics::Metrics;
 use crate::status::Status;
 
 use host::Host;
 
-/// Values taken from one ring before the others get their turn.
-const TURN: usize = 256;
-/// How often the cells of the whole deployment are read.
+/// Number of values handled from one ring before the other rings are served.
+const TURN_MAX: usize = 256;
+/// Interval between reads of the cells of the whole deployment.
 const CELLS_EVERY: Duration = Duration::from_secs(30);
-/// How soon a failed read of them, or of records, is tried again.
-const RETRY: Duration = Duration::from_millis(500);
+/// Retry delay after a failed read of the cells or of records.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The rings that end here.
+/// Receiving ends of the duty's rings.
 #[derive(Debug)]
 pub struct Inputs {
-    /// Wakes the duty for any of them.
+    /// Wakes the duty when a value arrives on any ring.
     pub bell: Bell,
     /// From the store duty.
     pub store: ring::Receiver<Answer>,
     /// From the workers duty.
-    pub workers: ring::Receiver<Return>,
+    pub workers: ring::Receiver<Completion>,
     /// From the watch duty.
-    pub watch: ring::Receiver<Sighting>,
+    pub watch: ring::Receiver<Observation>,
     /// From the link duty.
-    pub link: ring::Receiver<Heard>,
+    pub link: ring::Receiver<Inbound>,
     /// From the follower of the configuration.
     pub config: ring::Receiver<Change>,
     /// From the admin duty.
     pub queries: mpsc::Receiver<Query>,
 }
 
-/// The rings that start here.
+/// Sending ends of the duty's rings.
 #[derive(Debug)]
 pub struct Outputs {
     /// To the store duty.
     pub store: ring::Sender<Request>,
     /// To the workers duty.
-    pub workers: ring::Sender<Errand>,
+    pub workers: ring::Sender<Exchange>,
     /// To the link duty.
-    pub link: ring::Sender<Speech>,
+    pub link: ring::Sender<Outbound>,
 }
 
-/// What the duty is opened with.
+/// Settings and handles that the duty is opened with.
 #[derive(Debug)]
 pub struct Context {
-    /// Settings of the keeper.
-    pub keeper: ownership::Settings,
-    /// The process's clock.
+    /// Settings of the ownership manager.
+    pub ownership: ownership::Settings,
+    /// Clock of the process.
     pub clock: Clock,
-    /// Takes notes for operators.
+    /// Records notes for operators.
     pub journal: Journal,
-    /// Counts.
+    /// Metrics of the placer.
     pub metrics: Metrics,
-    /// Whether the process wants work.
+    /// Readiness of the process for work.
     pub readiness: Readiness,
-    /// Takes the status for operators.
+    /// Publishes the status for operators.
     pub status: watch::Sender<Arc<Status>>,
-    /// Takes the listed instances, for the follower of the configuration.
+    /// Publishes the listed instances for the follower of the configuration.
     pub members: watch::Sender<Vec<list::Member>>,
-    /// Closed when the duty ends, which ends the watch duty.
+    /// Dropped when the duty ends, which ends the watch duty.
     pub ended: oneshot::Sender<()>,
 }
 
-/// The duty's state.
+/// State of the duty.
 #[derive(Debug)]
 pub struct Decide {
     context: Context,
     outputs: Outputs,
-    keeper: Manager,
-    board: Directory,
+    manager: Manager,
+    directory: Directory,
     catalogue: Catalogue,
     view: Option<list::View>,
     hosts: BTreeMap<Term, Host>,
@@ -124,11 +124,11 @@
 }
 
 impl Decide {
-    /// Opens the duty's state.
+    /// Returns the initial state of the duty.
     pub fn open(context: Context, outputs: Outputs) -> Decide {
         Decide {
-            keeper: Manager::open(context.keeper.clone()),
-            board: Directory::open(context.keeper.rank_delay),
+            manager: Manager::open(context.ownership.clone()),
+            directory: Directory::open(context.ownership.rank_delay),
             context,
             outputs,
             catalogue: Catalogue::default(),
@@ -142,14 +142,14 @@
         }
     }
 
-    /// Decides until every cell is given up after a stop was asked for, or the stop is forced.
+    /// Runs until every cell has been released after a requested stop, or until the stop is forced.
     pub async fn run(mut self, mut inputs: Inputs, mut stop: Stop) {
         let mut asked = false;
         while !self.drained && stop.stage() < Stage::Forced {
             if stop.stage() == Stage::Draining && !asked {
                 asked = true;
                 self.context.readiness.set(false);
-                self.tell_keeper(Event::Drain);
+                self.step_manager(Event::Drain);
             }
             let more = self.turn(&mut inputs);
             self.publish();
@@ -168,20 +168,20 @@
         self.publish_now();
     }
 
-    /// Takes what has come in and does what is due; tells whether more may be waiting.
+    /// Handles received messages and due timers; returns `true` if more messages may be waiting.
     fn turn(&mut self, inputs: &mut Inputs) -> bool {
-        // The keeper is stepped before anything else, so that it notices a pause of this process
-        // before anything that came in meanwhile is acted on.
-        self.tell_keeper(Event::Tick);
+        // Step the ownership manager first, so that it detects a pause of this process before any
+        // message that arrived during the pause is handled.
+        self.step_manager(Event::Tick);
         self.answer_queries(&mut inputs.queries);
         let mut more = drain(&mut inputs.store, |answer| self.on_answer(answer));
-        more |= drain(&mut inputs.link, |heard| self.on_heard(heard));
+        more |= drain(&mut inputs.link, |inbound| self.on_inbound(inbound));
         more |= drain(&mut inputs.config, |change| self.on_config(change));
-        more |= drain(&mut inputs.watch, |sighting| self.on_sighting(sighting));
-        if self.keeper.is_suspended() {
+        more |= drain(&mut inputs.watch, |observation| self.on_observation(observation));
+        if self.manager.is_suspended() {
             return more;
         }
-        more |= drain(&mut inputs.workers, |back| self.on_return(back));
+        more |= drain(&mut inputs.workers, |completion| self.on_completion(completion));
         self.tick_cells();
         self.tick_homes();
         self.tick_departures();
@@ -194,31 +194,31 @@
 
     fn next_due(&self) -> Time {
         let now = self.now();
-        let mut due = self.keeper.next_due(now);
-        if self.keeper.is_suspended() {
+        let mut due = self.manager.next_due(now);
+        if self.manager.is_suspended() {
             return due;
         }
         due = due.min(self.cells_due);
-        due = due.min(self.board.next_due().unwrap_or(due));
+        due = due.min(self.directory.next_due().unwrap_or(due));
         for host in self.hosts.values() {
             due = due.min(host.next_due().unwrap_or(due));
         }
         due
     }
 
-    fn on_heard(&mut self, heard: Heard) {
-        self.tell_keeper(match heard {
-            Heard::Release { call, cell, epoch } => Event::StoppedQueried { call, cell, epoch },
-            Heard::Released { cell, epoch, owner } => Event::StopConfirmed { cell, epoch, owner },
+    fn on_inbound(&mut self, inbound: Inbound) {
+        self.step_manager(match inbound {
+            Inbound::Release { call, cell, epoch } => Event::StoppedQueried { call, cell, epoch },
+            Inbound::Released { cell, epoch, owner } => Event::StopConfirmed { cell, epoch, owner },
         });
     }
 
-    fn on_sighting(&mut self, sighting: Sighting) {
-        match sighting {
-            Sighting::Listed(view) => self.on_list(view),
-            Sighting::ListFailed(error) => self.on_list_failed(error),
-            Sighting::Changed => self.tell_keeper(Event::Changed),
-            Sighting::Homes(step) => self.on_homes(&step),
+    fn on_observation(&mut self, observation: Observation) {
+        match observation {
+            Observation::Listed(view) => self.on_list(view),
+            Observation::ListFailed(error) => self.on_list_failed(error),
+            Observation::Changed => self.step_manager(Event::Changed),
+            Observation::Homes(step) => self.on_homes(&step),
         }
     }
 
@@ -229,14 +229,14 @@
         }
         self.context.members.send_replace(view.members.clone());
         self.view = Some(view.clone());
-        self.tell_keeper(Event::Listed { view });
-        self.list_cells();
+        self.step_manager(Event::Listed { view });
+        self.send_workers_to_all();
     }
 
     fn on_list_failed(&mut self, error: String) {
         if !self.list_stale {
             self.list_stale = true;
-            let instance = self.context.keeper.instance.clone();
+            let instance = self.context.ownership.instance.clone();
             self.note(LogEvent::ListStale, Subject::plain(instance), error);
         }
     }
@@ -247,28 +247,28 @@
     }
 
     fn request(&mut self, request: Request) {
-        // The ring holds many times the calls that can be outstanding.
+        // The ring's capacity is many times the number of calls that can be in flight.
         if self.outputs.store.send(request).is_err() {
             debug_assert!(self.drained, "the store duty keeps up with bounded requests");
         }
     }
 
-    /// Walks the listed workers of a cell.
+    /// Iterates over the listed workers of a cell.
     fn cell_workers(&self, cell: &id::Cell) -> impl Iterator<Item = &list::Member> {
         let slice = cell.rsplit_once('/').and_then(|(_, slice)| slice.parse().ok());
         let members = self.view.iter().flat_map(|view| view.members.iter());
         members.filter(move |member| {
             member.role == list::Role::Worker
-                && member.domain == self.context.keeper.domain
-                && self.keeper.plan().cell_index(&member.rack) == slice
+                && member.domain == self.context.ownership.domain
+                && self.manager.plan().cell_index(&member.rack) == slice
                 && slice.is_some()
         })
     }
 }
 
-/// Hands over what a ring holds, up to a turn's worth; tells whether more may be waiting.
+/// Handles up to `TURN` values from a ring; returns `true` if more may be waiting.
 fn drain<T>(receiver: &mut ring::Receiver<T>, mut handle: impl FnMut(T)) -> bool {
-    for _ in 0..TURN {
+    for _ in 0..TURN_MAX {
         match receiver.look() {
             Look::Value(value) => handle(value),
             Look::Empty | Look::Closed => return false,
--- a/bin/placer/src/decide/publish.rs
+++ b/bin/placer/src/decide/publish.rs
@@ -1,4 +1,4 @@
-//! What operators are shown.
+//! Publishes the status for operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use super::Decide;
 use super::host::Host;
 
-/// Least time between two publications of the status.
+/// Minimum interval between two publications of the status.
 const PUBLISH_EVERY: Duration = Duration::from_millis(250);
 
 impl Decide {
@@ -40,11 +40,11 @@
     }
 
     fn status(&self) -> Status {
-        let cells = self.keeper.cell_statuses().map(|standing| {
+        let cells = self.manager.cell_statuses().map(|standing| {
             let host = self.hosts.values().find(|host| host.is_current(&standing.cell));
             status::Cell {
                 workers: self.cell_workers(&standing.cell).count(),
-                jobs: host.map_or(0, |host| host.told.len()),
+                jobs: host.map_or(0, |host| host.sent_jobs.len()),
                 records: host.map_or(0, |host| host.revisions.len()),
                 in_flight: host.map_or(0, |host| host.exchanges),
                 detail: host.and_then(Host::detail),
@@ -55,18 +55,18 @@
             }
         });
         Status {
-            listed: self.keeper.is_listed(),
-            store: self.keeper.reaches_store(),
+            listed: self.manager.is_listed(),
+            store: self.manager.reaches_store(),
             cells: cells.collect(),
         }
     }
 
-    /// Answers what the admin address asks about jobs.
+    /// Answers a query of the admin address about jobs.
     pub(super) fn answer_queries(&mut self, queries: &mut mpsc::Receiver<Query>) {
         while let Ok(query) = queries.try_recv() {
             let hosts = self.hosts.values();
             let jobs = hosts.flat_map(|host| host.jobs(query.job.as_deref())).collect();
-            // The asker may have gone away.
+            // The caller may have disconnected.
             let _ = query.reply.send(jobs);
         }
     }
--- a/bin/placer/src/decide/tenure.rs
+++ b/bin/placer/src/decide/tenure.rs
@@ -1,4 +1,4 @@
-//! Carries out what the keeper wants.
+//! Carries out the actions of the ownership manager.
 
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
@@ -11,8 +11,8 @@
 use cowslipchute_tenure::rank;
 
 use crate::journal::Subject;
+use crate::message::Outbound;
 use crate::message::Request;
-use crate::message::Speech;
 use crate::message::Term;
 
 use super::Decide;
@@ -20,26 +20,26 @@
 use super::host::Phase;
 
 impl Decide {
-    /// Steps the keeper and carries out what it wants.
-    pub(super) fn tell_keeper(&mut self, event: Event) {
+    /// Steps the ownership manager and carries out its actions.
+    pub(super) fn step_manager(&mut self, event: Event) {
         let mut actions = Vec::new();
-        let slices = self.keeper.plan().racks.len();
-        self.keeper.step(self.now(), event, &mut actions);
+        let slices = self.manager.plan().racks.len();
+        self.manager.step(self.now(), event, &mut actions);
         for action in actions {
             self.carry_out(action);
         }
-        if self.keeper.plan().racks.len() != slices {
-            self.list_cells();
+        if self.manager.plan().racks.len() != slices {
+            self.send_workers_to_all();
         }
     }
 
     fn carry_out(&mut self, action: Action) {
         if matches!(action, Action::Own { .. } | Action::Quiesce { .. } | Action::Stop { .. }) {
-            // Who owns what is shown at once.
+            // Publish changes of ownership immediately.
             self.published = Time::ZERO;
         }
         match action {
-            Action::ReadDomain { ticket } => self.request(Request::Look { ticket }),
+            Action::ReadDomain { ticket } => self.request(Request::ReadDomain { ticket }),
             Action::Commit { ticket, txn } => self.request(Request::Commit { ticket, txn }),
             Action::Grant { ticket, ttl } => self.request(Request::Grant { ticket, ttl }),
             Action::Renew { ticket, lease } => self.request(Request::Renew { ticket, lease }),
@@ -47,13 +47,13 @@
             Action::Own { cell, epoch, revision, former } => {
                 self.open_host(Term { cell, epoch }, revision, former);
             }
-            Action::PreviousOwners { cell, former } => self.tell_former(&cell, former),
+            Action::PreviousOwners { cell, former } => self.set_previous_owners(&cell, former),
             Action::Quiesce { cell, epoch } => self.quiesce(&Term { cell, epoch }),
             Action::Stop { cell, epoch } => self.end_host(&Term { cell, epoch }),
             Action::QueryStopped { cell, epoch, owner } => {
-                self.speak(Speech::Ask { cell, epoch, owner });
+                self.send_to_link(Outbound::Query { cell, epoch, owner });
             }
-            Action::Answer { call, reply } => self.speak(Speech::Reply { call, reply }),
+            Action::Answer { call, reply } => self.send_to_link(Outbound::Reply { call, reply }),
             Action::Note { event, subject, reason } => {
                 self.note(event, Subject::plain(subject), reason);
             }
@@ -61,33 +61,34 @@
         }
     }
 
-    /// Sends to the link duty. What a full ring refuses is asked again, by us or by the peer.
-    fn speak(&mut self, speech: Speech) {
-        let _ = self.outputs.link.send(speech);
+    /// Sends to the link duty. A message that a full ring rejects is sent again later, by this
+    /// placer or by the peer.
+    fn send_to_link(&mut self, outbound: Outbound) {
+        let _ = self.outputs.link.send(outbound);
     }
 
     fn open_host(&mut self, term: Term, revision: id::Revision, former: Former) {
-        let seed = rank::weight(&term.cell, &self.context.keeper.instance) ^ term.epoch;
+        let seed = rank::weight(&term.cell, &self.context.ownership.instance) ^ term.epoch;
         let cell = Cell::open(cell::Settings { cell: term.cell.clone(), seed });
         let host = Host::open(term.clone(), revision, former, cell);
         let earlier = self.hosts.insert(term.clone(), host);
         assert!(earlier.is_none(), "an epoch is owned once");
-        // Cells that were opened together should know of each other before they claim jobs.
+        // Cells opened together must know of each other before they claim jobs.
         self.cells_due = self.now();
         self.request(Request::Load { term });
     }
 
-    fn tell_former(&mut self, cell: &id::Cell, former: Former) {
+    fn set_previous_owners(&mut self, cell: &id::Cell, former: Former) {
         let current = self.hosts.values_mut().find(|host| host.is_current(cell));
         let Some(host) = current else { return };
         host.former = former;
         if host.phase == Phase::Active {
             let term = host.term.clone();
-            self.tell_cell(&term, CellEvent::Former { former });
+            self.step_cell(&term, CellEvent::Former { former });
         }
     }
 
-    /// Lets a cell start nothing more; it is ended when nothing of it is on its way.
+    /// Stops a cell from starting anything; it is closed once nothing of it is in flight.
     fn quiesce(&mut self, term: &Term) {
         let Some(host) = self.hosts.get_mut(term) else { return };
         match host.phase {
@@ -100,17 +101,17 @@
         }
     }
 
-    /// Forbids everything more for a cell.
+    /// Forbids all further sending for a cell.
     pub(super) fn end_host(&mut self, term: &Term) {
         if let Some(host) = self.hosts.get_mut(term) {
             host.permit.withdraw();
             host.phase = Phase::Ended;
         }
-        self.board.remove_owned_cell(&term.cell);
+        self.directory.remove_owned_cell(&term.cell);
         self.settle_host(term);
     }
 
-    /// Tells the keeper when nothing of a cell that is being given up is on its way any more.
+    /// Notifies the ownership manager when a cell being released has nothing left in flight.
     pub(super) fn settle_host(&mut self, term: &Term) {
         let Some(host) = self.hosts.get(term) else { return };
         let ending = matches!(host.phase, Phase::Quiescing | Phase::Ended);
@@ -118,11 +119,11 @@
             return;
         }
         if host.phase == Phase::Quiescing {
-            self.board.remove_owned_cell(&term.cell);
+            self.directory.remove_owned_cell(&term.cell);
         }
         host.permit.withdraw();
         self.hosts.remove(term);
         let (cell, epoch) = (term.cell.clone(), term.epoch);
-        self.tell_keeper(Event::Quiesced { cell, epoch });
+        self.step_manager(Event::Quiesced { cell, epoch });
     }
 }
--- a/bin/placer/src/link.rs
+++ b/bin/placer/src/link.rs
@@ -16,66 +16,66 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use crate::message::Heard;
-use crate::message::Speech;
+use crate::message::Inbound;
+use crate::message::Outbound;
 use crate::pump;
 
-/// One call of another process.
+/// A call from another process.
 #[derive(Debug)]
 pub struct Incoming {
-    /// What is asked.
+    /// Request of the caller.
     pub call: Call,
-    /// Takes the answer.
+    /// Receives the response.
     pub reply: oneshot::Sender<Reply>,
 }
 
-/// What the duty needs to know.
+/// Parameters of the duty.
 #[derive(Clone, Debug)]
 pub struct Context {
     /// This instance.
     pub instance: id::Instance,
-    /// Which life of it.
+    /// Incarnation of this instance.
     pub incarnation: id::Incarnation,
     /// Its failure domain.
     pub domain: id::Domain,
-    /// How long a call may take.
+    /// Timeout of a call.
     pub timeout: Duration,
-    /// Answers what peers ask about the configuration.
+    /// Answers peers' requests about the configuration.
     pub follower: Handle,
 }
 
-/// Calls that wait for `decide`; one whose asker went away is dropped with the next answer.
+/// Calls that wait for `decide`; a call whose caller has gone is dropped with the next response.
 type Waiting = BTreeMap<CallId, oneshot::Sender<Reply>>;
 
-/// Talks until the ring from `decide` is closed.
+/// Handles calls until the ring from `decide` is closed.
 pub async fn run<P: Peers>(
     peers: P,
     context: Context,
     mut incoming: mpsc::Receiver<Incoming>,
-    mut inbox: ring::Receiver<Speech>,
-    mut outbox: ring::Sender<Heard>,
+    mut inbox: ring::Receiver<Outbound>,
+    mut outbox: ring::Sender<Inbound>,
 ) {
     let mut waiting = Waiting::new();
     let mut last: CallId = 0;
     let mut asking = FuturesUnordered::new();
     let mut listening = true;
     loop {
-        let heard = tokio::select! {
-            speech = inbox.recv() => match speech {
-                Some(Speech::Ask { cell, epoch, owner }) => {
+        let inbound = tokio::select! {
+            outbound = inbox.recv() => match outbound {
+                Some(Outbound::Query { cell, epoch, owner }) => {
                     asking.push(ask(&peers, &context, cell, epoch, owner));
                     None
                 }
-                Some(Speech::Reply { call, reply }) => {
+                Some(Outbound::Reply { call, reply }) => {
                     if let Some(sender) = waiting.remove(&call) {
-                        // The asker may have given up; it asks again.
+                        // The caller may have timed out; it asks again.
                         let _ = sender.send(reply);
                     }
                     None
                 }
                 None => return,
             },
-            Some(heard) = asking.next(), if !asking.is_empty() => heard,
+            Some(inbound) = asking.next(), if !asking.is_empty() => inbound,
             call = incoming.recv(), if listening => match call {
                 Some(call) => {
                     last += 1;
@@ -87,26 +87,26 @@
                 }
             },
         };
-        if let Some(heard) = heard
-            && pump::push(&mut outbox, heard).await.is_err()
+        if let Some(inbound) = inbound
+            && pump::push(&mut outbox, inbound).await.is_err()
         {
             return;
         }
     }
 }
 
-/// Answers what needs no decision and passes on what does.
+/// Answers calls that need no decision and passes the others on.
 fn receive(
     context: &Context,
     number: CallId,
     incoming: Incoming,
     waiting: &mut Waiting,
-) -> Option<Heard> {
+) -> Option<Inbound> {
     let reply = match incoming.call {
         Call::Release { cell, epoch } => {
             waiting.retain(|_, sender| !sender.is_closed());
             waiting.insert(number, incoming.reply);
-            return Some(Heard::Release { call: number, cell, epoch });
+            return Some(Inbound::Release { call: number, cell, epoch });
         }
         call @ (Call::Hello { .. } | Call::Pull { .. } | Call::Push { .. }) => {
             tokio::task::spawn_local(follow(context.follower.clone(), call, incoming.reply));
@@ -118,22 +118,23 @@
     None
 }
 
-/// Lets the follower answer; a call that it has no time for is dropped, and the peer asks again.
+/// Lets the follower answer a call. A call that it has no capacity for is dropped, and the peer
+/// asks again.
 async fn follow(follower: Handle, call: Call, reply: oneshot::Sender<Reply>) {
     if let Some(answer) = follower.answer(call).await {
         let _ = reply.send(answer);
     }
 }
 
-/// Asks a former owner whether it has stopped. First it has to name itself, because another life
-/// may answer at the same address, and what that one does proves nothing.
+/// Asks a previous owner whether it has stopped. The peer must identify itself first, because
+/// another incarnation may answer at the same address, and its answer proves nothing.
 async fn ask<P: Peers>(
     peers: &P,
     context: &Context,
     cell: id::Cell,
     epoch: id::Epoch,
     owner: Owner,
-) -> Option<Heard> {
+) -> Option<Inbound> {
     let hello = Call::Hello {
         instance: context.instance.clone(),
         incarnation: context.incarnation,
@@ -151,7 +152,7 @@
     let release = peers.call(address, &release);
     let reply = tokio::time::timeout(context.timeout, release).await.ok()?.ok()?;
     match reply {
-        Reply::Released => Some(Heard::Released { cell, epoch, owner }),
+        Reply::Released => Some(Inbound::Released { cell, epoch, owner }),
         _ => None,
     }
 }
--- a/bin/placer/src/process.rs
+++ b/bin/placer/src/process.rs
@@ -1,4 +1,4 @@
-//! Joins the duties of a placer over any adapters.
+//! Connects the duties of a placer over any adapters.
 
 use std::io;
 use std::sync::Arc;
@@ -34,61 +34,61 @@
 use crate::watch as sightings;
 use crate::workers;
 
-/// Values that each ring holds. Exchanges are the most: one for each worker of the cells owned.
-const RING: usize = 8192;
-/// Questions of the admin address that may wait.
-const QUERIES: usize = 16;
+/// Capacity of each ring. Exchanges need the most: one for each worker of the owned cells.
+const RING_CAPACITY: usize = 8192;
+/// Number of queries of the admin address that may wait.
+const QUERIES_MAX: usize = 16;
 
-/// What a placer is made of.
+/// Parts that a placer is built from.
 #[derive(Debug)]
 pub struct Parts<S, L, W, P> {
-    /// Settings of the keeper.
-    pub keeper: ownership::Settings,
-    /// The key-value service.
+    /// Settings of the ownership manager.
+    pub ownership: ownership::Settings,
+    /// Client of the key-value service.
     pub store: S,
-    /// The platform's list.
+    /// Client of the platform's list of instances.
     pub list: L,
-    /// The workers.
+    /// Client of the workers.
     pub worker: W,
-    /// Calls to other placers.
+    /// Client for calls to other placers.
     pub peers: P,
-    /// Calls of other placers.
+    /// Calls from other placers.
     pub incoming: mpsc::Receiver<Incoming>,
-    /// How long one call to the store or a peer may take.
+    /// Timeout of one call to the store or a peer.
     pub store_timeout: Duration,
-    /// How long one exchange may take.
+    /// Timeout of one exchange with a worker.
     pub worker_timeout: Duration,
-    /// Exchanges on their way at once.
+    /// Maximum number of exchanges in flight.
     pub exchanges: usize,
-    /// How often the list is read.
+    /// Interval between reads of the list.
     pub list_every: Duration,
     /// The log.
     pub logger: Logger,
-    /// Takes notes for operators.
+    /// Records notes for operators.
     pub journal: Journal,
-    /// Counts.
+    /// Metrics of the placer.
     pub metrics: Metrics,
-    /// Whether the process wants work.
+    /// Readiness of the process for work.
     pub readiness: Readiness,
-    /// How far the stop has come.
+    /// Progress of the shutdown.
     pub stop: Stop,
 }
 
-/// A running placer. It ends when its stop has come to its end.
+/// A running placer. It ends when its shutdown completes.
 #[derive(Debug)]
 pub struct Placer {
     duties: Vec<Duty>,
     follower: follow::Follower,
-    /// The placer as last published.
+    /// Most recently published status.
     pub status: watch::Receiver<Arc<Status>>,
-    /// The last notes.
+    /// Most recent notes.
     pub journal: Journal,
     queries: mpsc::Sender<api::Query>,
     bell: Bell,
 }
 
 impl Placer {
-    /// Returns what the admin address needs.
+    /// Returns the handles that the admin address needs.
     pub fn api(&self) -> api::Context {
         api::Context {
             status: self.status.clone(),
@@ -124,17 +124,17 @@
     P: Peers,
 {
     let bell = Bell::default();
-    let (to_store, store_inbox) = ring::open(RING);
-    let (to_workers, workers_inbox) = ring::open(RING);
-    let (to_link, link_inbox) = ring::open(RING);
-    let (store_outbox, from_store) = ring::open_with(RING, bell.clone());
-    let (workers_outbox, from_workers) = ring::open_with(RING, bell.clone());
-    let (watch_outbox, from_watch) = ring::open_with(RING, bell.clone());
-    let (link_outbox, from_link) = ring::open_with(RING, bell.clone());
-    let (changes, from_follower) = ring::open_with(RING, bell.clone());
+    let (to_store, store_inbox) = ring::open(RING_CAPACITY);
+    let (to_workers, workers_inbox) = ring::open(RING_CAPACITY);
+    let (to_link, link_inbox) = ring::open(RING_CAPACITY);
+    let (store_outbox, from_store) = ring::open_with(RING_CAPACITY, bell.clone());
+    let (workers_outbox, from_workers) = ring::open_with(RING_CAPACITY, bell.clone());
+    let (watch_outbox, from_watch) = ring::open_with(RING_CAPACITY, bell.clone());
+    let (link_outbox, from_link) = ring::open_with(RING_CAPACITY, bell.clone());
+    let (changes, from_follower) = ring::open_with(RING_CAPACITY, bell.clone());
     let (members_sender, members) = watch::channel(Vec::new());
     let (status_sender, status) = watch::channel(Arc::default());
-    let (queries, asked) = mpsc::channel(QUERIES);
+    let (queries, asked) = mpsc::channel(QUERIES_MAX);
     let inputs = decide::Inputs {
         bell: bell.clone(),
         store: from_store,
@@ -146,7 +146,7 @@
     };
     let outputs = decide::Outputs { store: to_store, workers: to_workers, link: to_link };
     let journal = parts.journal.clone();
-    let settings = parts.keeper.clone();
+    let settings = parts.ownership.clone();
 
     let context = store::Context {
         domain: settings.domain.clone(),
@@ -194,7 +194,7 @@
         duty::spawn("watch", move || sightings::run(client, list, context, ended, watch_outbox))?;
 
     let context = decide::Context {
-        keeper: settings,
+        ownership: settings,
         clock: Clock::start(),
         journal: parts.journal,
         metrics: parts.metrics,
--- a/bin/placer/src/watch.rs
+++ b/bin/placer/src/watch.rs
@@ -15,39 +15,39 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
-use crate::message::Sighting;
+use crate::message::Observation;
 use crate::message::Step;
 use crate::metrics::Metrics;
 use crate::pump;
 
-/// Sightings that may wait within the duty.
-const QUEUE: usize = 256;
-/// How long to wait before a watch that failed is opened again.
-const RETRY: Duration = Duration::from_millis(500);
+/// Maximum number of updates queued within the duty.
+const QUEUE_MAX: usize = 256;
+/// Retry delay before a failed watch is opened again.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What the duty needs to know.
+/// Parameters of the duty.
 #[derive(Clone, Debug)]
 pub struct Context {
     /// The failure domain.
     pub domain: id::Domain,
-    /// How often the list is read.
+    /// Interval between reads of the list.
     pub every: Duration,
     /// Counts the calls.
     pub metrics: Metrics,
 }
 
-/// Follows everything until `decide` has ended, which drops the other end of `ended`. The ring's
-/// closing alone would be noticed only at the next sighting.
+/// Follows all sources until `decide` has ended, which drops the other end of `ended`. A closed
+/// ring alone would be noticed only at the next update.
 pub async fn run<S: Store, L: List>(
     store: S,
     list: L,
     context: Context,
     mut ended: oneshot::Receiver<()>,
-    mut outbox: ring::Sender<Sighting>,
+    mut outbox: ring::Sender<Observation>,
 ) {
-    let (sender, mut receiver) = mpsc::channel(QUEUE);
+    let (sender, mut receiver) = mpsc::channel(QUEUE_MAX);
     let changed = |step| match step {
-        Step::Whole { .. } | Step::Put { .. } | Step::Deleted { .. } => Sighting::Changed,
+        Step::Snapshot { .. } | Step::Put { .. } | Step::Deleted { .. } => Observation::Changed,
     };
     let cells = key::domain(&context.domain);
     let duties = [
@@ -55,7 +55,7 @@
         tokio::task::spawn_local(follow(
             store.clone(),
             HOME.to_owned(),
-            Sighting::Homes,
+            Observation::Homes,
             context.clone(),
             sender.clone(),
         )),
@@ -64,9 +64,9 @@
     loop {
         tokio::select! {
             _ = &mut ended => break,
-            sighting = receiver.recv() => {
-                let Some(sighting) = sighting else { break };
-                if pump::push(&mut outbox, sighting).await.is_err() {
+            observation = receiver.recv() => {
+                let Some(observation) = observation else { break };
+                if pump::push(&mut outbox, observation).await.is_err() {
                     break;
                 }
             }
@@ -77,27 +77,30 @@
     }
 }
 
-async fn follow_list<L: List>(list: L, context: Context, sender: mpsc::Sender<Sighting>) {
+async fn follow_list<L: List>(list: L, context: Context, sender: mpsc::Sender<Observation>) {
     let mut reader = Reader::open(list, vec![context.domain], context.every);
     loop {
-        let sighting = match reader.read().await {
-            Read::Changed(view) => Sighting::Listed(view),
-            Read::Lost(error) | Read::StillLost(error) => Sighting::ListFailed(error.to_string()),
+        let observation = match reader.read().await {
+            Read::Changed(view) => Observation::Listed(view),
+            Read::Lost(error) | Read::StillLost(error) => {
+                Observation::ListFailed(error.to_string())
+            }
             Read::Unchanged => continue,
         };
-        if sender.send(sighting).await.is_err() {
+        if sender.send(observation).await.is_err() {
             return;
         }
     }
 }
 
-/// Reads a prefix, then watches it from there; reads again only when the watch can't be resumed.
+/// Reads a prefix, then watches it from that revision; reads again only when the watch can't be
+/// resumed.
 async fn follow<S: Store>(
     store: S,
     prefix: String,
-    wrap: impl Fn(Step) -> Sighting,
+    wrap: impl Fn(Step) -> Observation,
     context: Context,
-    sender: mpsc::Sender<Sighting>,
+    sender: mpsc::Sender<Observation>,
 ) {
     let mut after = None;
     loop {
@@ -106,11 +109,11 @@
             None => {
                 context.metrics.store_call("follow");
                 let Ok(snapshot) = store.read(&prefix).await else {
-                    tokio::time::sleep(RETRY).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                     continue;
                 };
                 let revision = snapshot.revision;
-                if sender.send(wrap(Step::Whole { snapshot })).await.is_err() {
+                if sender.send(wrap(Step::Snapshot { snapshot })).await.is_err() {
                     return;
                 }
                 revision
@@ -125,19 +128,20 @@
             Err(Error::Compacted(_)) => None,
             Err(_) => Some(from),
         };
-        tokio::time::sleep(RETRY).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Where to resume a watch; nothing within means that everything is to be read again.
+/// Revision after which to resume a watch; an inner `None` means that the whole prefix must be read
+/// again.
 type Resume = Option<id::Revision>;
 
-/// Passes on updates until the watch ends; nothing when nobody listens any more.
+/// Passes on updates until the watch ends; returns `None` when the receiver is gone.
 async fn pass_on(
     mut updates: mpsc::Receiver<Update>,
     from: id::Revision,
-    wrap: &impl Fn(Step) -> Sighting,
-    sender: &mpsc::Sender<Sighting>,
+    wrap: &impl Fn(Step) -> Observation,
+    sender: &mpsc::Sender<Observation>,
 ) -> Option<Resume> {
     let mut seen = from;
     while let Some(update) = updates.recv().await {
@@ -159,7 +163,8 @@
         };
         sender.send(wrap(step)).await.ok()?;
     }
-    // One transaction's changes share a revision; if the watch broke between them, resuming after
-    // it would miss the rest, so the last revision is asked for again. Every step may be repeated.
+    // All changes of a transaction share a revision. If the watch broke between them, resuming
+    // after that revision would miss the rest, so it resumes at the revision itself. Every update
+    // may be applied twice.
     Some(Some(seen.saturating_sub(1).max(from)))
 }
