--- a/bin/entry/src/accept.rs
+++ b/bin/entry/src/accept.rs
@@ -21,7 +21,7 @@
 use tokio::sync::oneshot;
 
 /// How long to leave the listener alone when the system can't accept, for want of descriptors say.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// A caller's connection on its way to a front.
 #[derive(Debug)]
@@ -31,39 +31,39 @@
     /// Where it comes from.
     pub remote: SocketAddr,
     /// Kept for as long as the connection is.
-    pub place: Place,
+    pub guard: Guard,
 }
 
 /// Counts a connection at its front until it is dropped.
 #[derive(Debug)]
-pub struct Place {
-    held: Arc<AtomicUsize>,
+pub struct Guard {
+    connections: Arc<AtomicUsize>,
 }
 
-impl Drop for Place {
+impl Drop for Guard {
     fn drop(&mut self) {
-        self.held.fetch_sub(1, Ordering::Relaxed);
+        self.connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// The way to one front.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Target {
     ring: ring::Sender<Accepted>,
-    held: Arc<AtomicUsize>,
+    connections: Arc<AtomicUsize>,
 }
 
-impl Gate {
+impl Target {
     /// Opens the way to a front.
-    pub fn open(ring: ring::Sender<Accepted>) -> Gate {
-        Gate { ring, held: Arc::default() }
+    pub fn open(ring: ring::Sender<Accepted>) -> Target {
+        Target { ring, connections: Arc::default() }
     }
 
     /// Gives the front a connection; one that it has no room for is closed.
-    fn give(&mut self, stream: std::net::TcpStream, remote: SocketAddr) {
-        self.held.fetch_add(1, Ordering::Relaxed);
-        let place = Place { held: self.held.clone() };
-        let _ = self.ring.send(Accepted { stream, remote, place });
+    fn dispatch(&mut self, stream: std::net::TcpStream, remote: SocketAddr) {
+        self.connections.fetch_add(1, Ordering::Relaxed);
+        let guard = Guard { connections: self.connections.clone() };
+        let _ = self.ring.send(Accepted { stream, remote, guard });
     }
 }
 
@@ -75,16 +75,16 @@
 /// When the system refuses the thread.
 pub fn spawn(
     listener: std::net::TcpListener,
-    gates: Vec<Gate>,
+    targets: Vec<Target>,
     close: oneshot::Receiver<()>,
     stop: Stop,
 ) -> io::Result<Duty> {
-    duty::spawn("accept", move || run(listener, gates, close, stop))
+    duty::spawn("accept", move || run(listener, targets, close, stop))
 }
 
 async fn run(
     listener: std::net::TcpListener,
-    mut gates: Vec<Gate>,
+    mut targets: Vec<Target>,
     mut close: oneshot::Receiver<()>,
     mut stop: Stop,
 ) {
@@ -92,8 +92,8 @@
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
-                Ok((stream, remote)) => give(&mut gates, stream, remote),
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Ok((stream, remote)) => dispatch(&mut targets, stream, remote),
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
             _ = &mut close => break,
             () = stop.reached(Stage::Forced) => return,
@@ -101,14 +101,14 @@
     }
     // Connections that the system has made already are answered, too, rather than reset.
     while let Some(Ok((stream, remote))) = listener.accept().now_or_never() {
-        give(&mut gates, stream, remote);
+        dispatch(&mut targets, stream, remote);
     }
 }
 
-fn give(gates: &mut [Gate], stream: TcpStream, remote: SocketAddr) {
+fn dispatch(targets: &mut [Target], stream: TcpStream, remote: SocketAddr) {
     let Ok(stream) = stream.into_std() else { return };
-    let fewest = gates.iter_mut().min_by_key(|gate| gate.held.load(Ordering::Relaxed));
-    if let Some(gate) = fewest {
-        gate.give(stream, remote);
+    let fewest = targets.iter_mut().min_by_key(|target| target.connections.load(Ordering::Relaxed));
+    if let Some(target) = fewest {
+        target.dispatch(stream, remote);
     }
 }
--- a/bin/entry/src/decide/act.rs
+++ b/bin/entry/src/decide/act.rs
@@ -8,9 +8,9 @@
 
 use crate::decide::Decider;
 use crate::front;
-use crate::message::Errand;
-use crate::message::Order;
-use crate::message::Sending;
+use crate::message::Command;
+use crate::message::Dispatch;
+use crate::message::PeerCommand;
 
 impl Decider {
     /// Gives the router one event and sees to what it wants done.
@@ -19,44 +19,45 @@
         self.router.step(self.clock.now(), event, &mut actions);
         // In their order: a settlement needs the answer, which the final action takes away.
         for action in actions.drain(..) {
-            self.act(action);
+            self.execute(action);
         }
         self.actions = actions;
     }
 
-    fn act(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { request, attempt, instance, incarnation, address, remaining } => {
                 self.attempts.insert(attempt, front::front_of(request));
-                let idle = self.share.idle(&instance);
-                let sending = Sending { request, attempt, address, incarnation, idle, remaining };
-                self.order(request, Order::Send(sending));
+                let max_idle = self.share.idle(&instance);
+                let dispatch =
+                    Dispatch { request, attempt, address, incarnation, max_idle, remaining };
+                self.send_command(request, Command::Send(dispatch));
             }
             Action::Cancel { attempt } => {
                 if let Some(number) = self.attempts.remove(&attempt) {
-                    self.fronts[number].orders.push(Order::Cancel { attempt });
+                    self.fronts[number].commands.push(Command::Cancel { attempt });
                 }
             }
             Action::Forward { request, attempt } => {
-                self.order(request, Order::Forward { request, attempt });
+                self.send_command(request, Command::Forward { request, attempt });
             }
             Action::Replay { request, answer } => {
-                self.order(request, Order::Replay { request, answer });
+                self.send_command(request, Command::Replay { request, answer });
             }
             Action::Reply { request, code, retry_after } => {
-                self.order(request, Order::Reply { request, code, retry_after });
+                self.send_command(request, Command::Reply { request, code, retry_after });
             }
             Action::Settle { request, service, key, settled } => {
-                self.order(request, Order::Settle { request, service, key, settled });
+                self.send_command(request, Command::Settle { request, service, key, settled });
             }
             Action::Claim { request, service, key } => {
-                if self.errands.send(Errand::Claim { request, service, key }).is_err() {
-                    self.unclaimed.push(request);
+                if self.peer_commands.send(PeerCommand::Claim { request, service, key }).is_err() {
+                    self.unsent_claims.push(request);
                 }
             }
             Action::Announce { instance, incarnation } => {
                 // The list will say so too; a peer that isn't told just hears it later.
-                let _ = self.errands.send(Errand::Announce { instance, incarnation });
+                let _ = self.peer_commands.send(PeerCommand::Announce { instance, incarnation });
             }
             Action::Note { event, subject } => {
                 log::emit(&self.logger, event, o!("subject" => subject.to_string()));
@@ -64,7 +65,7 @@
         }
     }
 
-    fn order(&mut self, request: id::Request, order: Order) {
-        self.fronts[front::front_of(request)].orders.push(order);
+    fn send_command(&mut self, request: id::Request, command: Command) {
+        self.fronts[front::front_of(request)].commands.push(command);
     }
 }
--- a/bin/entry/src/decide/mod.rs
+++ b/bin/entry/src/decide/mod.rs
@@ -34,12 +34,12 @@
 use slog::o;
 use tokio::sync::oneshot;
 
-use crate::message::Errand;
-use crate::message::News;
-use crate::message::Order;
+use crate::message::Command;
+use crate::message::PeerCommand;
+use crate::message::PeerEvent;
 use crate::message::Report;
 use crate::message::Services;
-use crate::message::Word;
+use crate::message::Update;
 use crate::outbox::Outbox;
 use crate::share::Share;
 
@@ -47,11 +47,11 @@
 const BATCH: usize = 64;
 
 /// The rings to and from one front.
-pub struct Link {
+pub struct Channels {
     /// From the front.
     pub reports: ring::Receiver<Report>,
     /// To the front.
-    pub orders: ring::Sender<Order>,
+    pub commands: ring::Sender<Command>,
 }
 
 /// What the deciding duty is started with.
@@ -59,15 +59,15 @@
     /// Settings of the router.
     pub router: router::Settings,
     /// The fronts, by their number.
-    pub fronts: Vec<Link>,
+    pub fronts: Vec<Channels>,
     /// From the duty that follows the configuration.
     pub changes: ring::Receiver<Change>,
     /// From the watching duty.
-    pub news: ring::Receiver<News>,
+    pub updates: ring::Receiver<Update>,
     /// To the peer duty.
-    pub errands: ring::Sender<Errand>,
+    pub peer_commands: ring::Sender<PeerCommand>,
     /// From the peer duty.
-    pub words: ring::Receiver<Word>,
+    pub peer_events: ring::Receiver<PeerEvent>,
     /// Rung by every ring that ends here.
     pub bell: Bell,
     /// Set when configuration and list are in force, unset when a stop is asked for.
@@ -79,7 +79,7 @@
     /// Dropped when nothing is in progress any more, which ends the accepting duty.
     pub accepting: oneshot::Sender<()>,
     /// Dropped when the duty ends, which ends the watching duty.
-    pub over: oneshot::Sender<()>,
+    pub done: oneshot::Sender<()>,
 }
 
 /// Starts the deciding duty. It ends when every front has ended, or when the stop is forced.
@@ -95,25 +95,25 @@
     router: Router,
     fronts: Vec<Front>,
     changes: ring::Receiver<Change>,
-    news: ring::Receiver<News>,
-    errands: ring::Sender<Errand>,
-    words: ring::Receiver<Word>,
+    updates: ring::Receiver<Update>,
+    peer_commands: ring::Sender<PeerCommand>,
+    peer_events: ring::Receiver<PeerEvent>,
     bell: Bell,
     readiness: Readiness,
     stop: Stop,
     logger: Logger,
-    _over: oneshot::Sender<()>,
+    _done: oneshot::Sender<()>,
     clock: Clock,
     share: Share,
     /// Which front carries an attempt.
     attempts: HashMap<Attempt, usize>,
     /// Requests whose claim could not be passed on.
-    unclaimed: Vec<id::Request>,
+    unsent_claims: Vec<id::Request>,
     services: Services,
     services_changed: bool,
     configured: bool,
     listed: bool,
-    drained: Option<Time>,
+    draining_since: Option<Time>,
     accepting: Option<oneshot::Sender<()>>,
     /// Reused from step to step.
     actions: Vec<Action>,
@@ -121,13 +121,13 @@
 
 struct Front {
     reports: ring::Receiver<Report>,
-    orders: Outbox<Order>,
+    commands: Outbox<Command>,
     ended: bool,
 }
 
 impl Front {
-    fn open(link: Link) -> Front {
-        Front { reports: link.reports, orders: Outbox::open(link.orders), ended: false }
+    fn open(channels: Channels) -> Front {
+        Front { reports: channels.reports, commands: Outbox::open(channels.commands), ended: false }
     }
 }
 
@@ -138,22 +138,22 @@
             router: Router::open(decide.router),
             fronts: decide.fronts.into_iter().map(Front::open).collect(),
             changes: decide.changes,
-            news: decide.news,
-            errands: decide.errands,
-            words: decide.words,
+            updates: decide.updates,
+            peer_commands: decide.peer_commands,
+            peer_events: decide.peer_events,
             bell: decide.bell,
             readiness: decide.readiness,
             stop: decide.stop,
             logger: decide.logger,
-            _over: decide.over,
+            _done: decide.done,
             clock: Clock::start(),
             attempts: HashMap::new(),
-            unclaimed: Vec::new(),
+            unsent_claims: Vec::new(),
             services: Services::new(),
             services_changed: false,
             configured: false,
             listed: false,
-            drained: None,
+            draining_since: None,
             accepting: Some(decide.accepting),
             actions: Vec::new(),
         }
@@ -161,12 +161,12 @@
 
     async fn run(mut self) {
         loop {
-            self.read_news();
-            self.read_words();
+            self.read_updates();
+            self.read_peer_events();
             let more = self.read_reports();
             self.tick();
             self.publish();
-            self.wind_down();
+            self.advance_stop();
             if self.ended() {
                 break;
             }
@@ -183,20 +183,20 @@
         self.stop.stage() == Stage::Forced || self.fronts.iter().all(|front| front.ended)
     }
 
-    fn read_news(&mut self) {
+    fn read_updates(&mut self) {
         while let Look::Value(change) = self.changes.look() {
-            self.changed(change);
+            self.apply_change(change);
         }
-        while let Look::Value(News::Listed { view }) = self.news.look() {
+        while let Look::Value(Update::Listed { view }) = self.updates.look() {
             self.listed = true;
             self.services_changed = true;
             let mut view = Arc::unwrap_or_clone(view);
-            self.share.set_aside(&mut view);
+            self.share.reserve_idle(&mut view);
             self.step(Event::Listed { view });
         }
     }
 
-    fn changed(&mut self, change: Change) {
+    fn apply_change(&mut self, change: Change) {
         match change {
             Change::Put { name, spec, .. } => {
                 // Jobs, teams and policies are the placer's.
@@ -218,17 +218,17 @@
         }
     }
 
-    fn read_words(&mut self) {
-        while let Some(request) = self.unclaimed.pop() {
+    fn read_peer_events(&mut self) {
+        while let Some(request) = self.unsent_claims.pop() {
             let verdict = peer::Claimed::NotOwner;
             self.step(Event::Claimed { request, verdict });
         }
-        while let Look::Value(word) = self.words.look() {
-            match word {
-                Word::Claimed { request, verdict } => {
+        while let Look::Value(event) = self.peer_events.look() {
+            match event {
+                PeerEvent::Claimed { request, verdict } => {
                     self.step(Event::Claimed { request, verdict });
                 }
-                Word::Leaving { instance, incarnation } => {
+                PeerEvent::Leaving { instance, incarnation } => {
                     self.step(Event::Leaving { instance, incarnation });
                 }
             }
@@ -247,7 +247,7 @@
     fn read_batch(&mut self, number: usize) -> bool {
         for _ in 0..BATCH {
             match self.fronts[number].reports.look() {
-                Look::Value(report) => self.report(report),
+                Look::Value(report) => self.handle_report(report),
                 Look::Empty => return false,
                 Look::Closed => {
                     self.fronts[number].ended = true;
@@ -258,7 +258,7 @@
         true
     }
 
-    fn report(&mut self, report: Report) {
+    fn handle_report(&mut self, report: Report) {
         let event = match report {
             Report::Arrived { request, arrival } => Event::Arrived { request, arrival },
             Report::Abandoned { request } => Event::Abandoned { request },
--- a/bin/entry/src/decide/stop.rs
+++ b/bin/entry/src/decide/stop.rs
@@ -11,13 +11,13 @@
 use slog::o;
 
 use crate::decide::Decider;
-use crate::message::Order;
+use crate::message::Command;
 
 /// How often what did not fit into a ring is tried again.
-const FLUSH_EVERY: Duration = Duration::from_millis(1);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(1);
 /// How long after a stop was asked for new requests are still told that this instance is stopping,
 /// so that the platform's balancer sees the readiness go before the address does.
-const LINGER: Duration = Duration::from_millis(500);
+const MIN_DRAIN: Duration = Duration::from_millis(500);
 
 impl Decider {
     /// Tells the fronts which services are in force, from when configuration and list are there.
@@ -28,49 +28,49 @@
         self.services_changed = false;
         let services = Arc::new(self.services.clone());
         for front in &mut self.fronts {
-            front.orders.push(Order::Serve(services.clone()));
+            front.commands.push(Command::Serve(services.clone()));
         }
-        if self.drained.is_none() {
+        if self.draining_since.is_none() {
             self.readiness.set(true);
         }
     }
 
     /// Moves a stop on: first no new requests, then no connections.
-    pub(super) fn wind_down(&mut self) {
+    pub(super) fn advance_stop(&mut self) {
         if self.stop.stage() < Stage::Draining {
             return;
         }
         let now = self.clock.now();
-        let Some(since) = self.drained else {
-            self.drained = Some(now);
+        let Some(since) = self.draining_since else {
+            self.draining_since = Some(now);
             self.readiness.set(false);
             log::emit(&self.logger, event::Event::Stopping, o!());
             for front in &mut self.fronts {
-                front.orders.push(Order::Drain);
+                front.commands.push(Command::Drain);
             }
             self.step(Event::Drain);
             return;
         };
-        let lingered = now.saturating_sub(since) >= LINGER;
-        if lingered && self.accepting.is_some() && self.router.in_progress() == 0 {
+        let min_drain_passed = now.saturating_sub(since) >= MIN_DRAIN;
+        if min_drain_passed && self.accepting.is_some() && self.router.in_progress() == 0 {
             self.accepting = None;
         }
     }
 
     pub(super) async fn wait(&mut self) {
-        self.fronts.iter_mut().for_each(|front| front.orders.flush());
-        let lags = self.fronts.iter().any(|front| front.orders.lags());
+        self.fronts.iter_mut().for_each(|front| front.commands.flush());
+        let has_backlog = self.fronts.iter().any(|front| front.commands.has_backlog());
         let now = self.clock.now();
         let mut until = self.router.next_due();
-        if lags || !self.unclaimed.is_empty() {
-            until = earlier(until, now + FLUSH_EVERY);
+        if has_backlog || !self.unsent_claims.is_empty() {
+            until = earlier(until, now + FLUSH_INTERVAL);
         }
         let next_stage = match (self.stop.stage(), self.accepting.is_none()) {
             (Stage::Running, _) => Stage::Draining,
             (_, _) => Stage::Forced,
         };
-        if let (Some(since), false) = (self.drained, self.accepting.is_none()) {
-            until = earlier(until, (since + LINGER).max(now + FLUSH_EVERY));
+        if let (Some(since), false) = (self.draining_since, self.accepting.is_none()) {
+            until = earlier(until, (since + MIN_DRAIN).max(now + FLUSH_INTERVAL));
         }
         let sleep = async {
             match until {
--- a/bin/entry/src/entry.rs
+++ b/bin/entry/src/entry.rs
@@ -28,14 +28,14 @@
 use tokio::sync::watch::channel as watch_channel;
 
 use crate::accept;
-use crate::accept::Gate;
+use crate::accept::Target;
 use crate::decide;
+use crate::decide::Channels;
 use crate::decide::Decide;
-use crate::decide::Link;
 use crate::front;
 use crate::front::Front;
-use crate::message::Errand;
-use crate::message::Word;
+use crate::message::PeerCommand;
+use crate::message::PeerEvent;
 use crate::metrics::Metrics;
 use crate::peers;
 use crate::peers::Peers;
@@ -44,17 +44,17 @@
 use crate::watch::Watch;
 
 /// Messages that a ring between a front and the deciding duty holds.
-const RING: usize = 4096;
+const RING_CAPACITY: usize = 4096;
 /// News that may wait for the deciding duty.
-const NEWS: usize = 256;
+const UPDATE_CAPACITY: usize = 256;
 /// Connections that may wait for a front.
-const CONNECTIONS: usize = 1024;
+const CONNECTION_CAPACITY: usize = 1024;
 /// How long a call to a peer may take.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Calls of peers that may be unanswered at once.
-const CALLS: usize = 4096;
+const MAX_CALLS: usize = 4096;
 /// Errands that may wait for the peer duty, from each duty that sends them.
-const ERRANDS: usize = 1024;
+const PEER_COMMAND_CAPACITY: usize = 1024;
 
 /// A running entry process.
 pub struct Entry {
@@ -108,42 +108,45 @@
     let admin = shared.settings.common.admin;
     admin::spawn(admin, registry.clone(), shared.readiness.clone(), None)
         .with_context(|| format!("can't bind {admin}"))?;
-    let Fronts { mut duties, links, gates, mut asking } = open_fronts(&shared, address)?;
-    let (errands, asked) = ring::open_with(ERRANDS, shared.peer_bell.clone());
-    asking.push(asked);
-    let (watch_errands, asked) = ring::open_with(ERRANDS, shared.peer_bell.clone());
-    asking.push(asked);
-    let (words, heard) = ring::open_with(ERRANDS, shared.bell.clone());
+    let Fronts { mut duties, channels, targets, mut peer_command_rings } =
+        open_fronts(&shared, address)?;
+    let (peer_commands, ring) = ring::open_with(PEER_COMMAND_CAPACITY, shared.peer_bell.clone());
+    peer_command_rings.push(ring);
+    let (list_commands, ring) = ring::open_with(PEER_COMMAND_CAPACITY, shared.peer_bell.clone());
+    peer_command_rings.push(ring);
+    let (peer_events, peer_events_in) = ring::open_with(PEER_COMMAND_CAPACITY, shared.bell.clone());
     let (give_follow, follow) = oneshot::channel();
-    let linked = Linked { identity, store: store.clone(), follow, asking, words };
-    let (duty, node) = open_peers(&shared, linked)?;
+    let parts =
+        PeerParts { identity, store: store.clone(), follow, peer_command_rings, peer_events };
+    let (duty, node) = open_peers(&shared, parts)?;
     duties.push(duty);
     let peer_address = node.as_ref().map(Node::address);
     let (members, listed) = watch_channel(Vec::new());
-    let (change, changes) = ring::open_with(NEWS, shared.bell.clone());
+    let (change, changes) = ring::open_with(UPDATE_CAPACITY, shared.bell.clone());
     let following = shared.settings.follow(&shared.logger);
     let follower = cowslipchute_follow::spawn(following, store, node, listed, change)?;
     let _ = give_follow.send(follower.handle());
-    let (news, noted) = ring::open_with(NEWS, shared.bell.clone());
-    let (over, ended) = oneshot::channel();
+    let (updates, updates_in) = ring::open_with(UPDATE_CAPACITY, shared.bell.clone());
+    let (done, ended) = oneshot::channel();
     let (accepting, closed) = oneshot::channel();
-    duties.push(accept::spawn(listener, gates, closed, shared.stop.clone())?);
+    duties.push(accept::spawn(listener, targets, closed, shared.stop.clone())?);
     duties.push(decide::spawn(Decide {
         router: shared.settings.router(),
-        fronts: links,
+        fronts: channels,
         changes,
-        news: noted,
-        errands,
-        words: heard,
+        updates: updates_in,
+        peer_commands,
+        peer_events: peer_events_in,
         bell: shared.bell.clone(),
         readiness: shared.readiness.clone(),
         stop: shared.stop.clone(),
         logger: shared.logger.clone(),
         accepting,
-        over,
+        done,
     })?);
     let logger = shared.logger.clone();
-    let watching = Watch { list, news, errands: watch_errands, members, logger, over: ended };
+    let watching =
+        Watch { list, updates, peer_commands: list_commands, members, logger, done: ended };
     duties.push(watch::spawn(watching)?);
     log::emit(&shared.logger, Event::Started, o!("listen" => address.to_string()));
     let readiness = shared.readiness;
@@ -160,21 +163,22 @@
 #[derive(Default)]
 struct Fronts {
     duties: Vec<Duty>,
-    links: Vec<Link>,
-    gates: Vec<Gate>,
-    asking: Vec<ring::Receiver<Errand>>,
+    channels: Vec<Channels>,
+    targets: Vec<Target>,
+    peer_command_rings: Vec<ring::Receiver<PeerCommand>>,
 }
 
 fn open_fronts(shared: &Shared, local: SocketAddr) -> io::Result<Fronts> {
     let mut fronts = Fronts::default();
     for number in 0..shared.settings.fronts {
-        let (reports, reported) = ring::open_with(RING, shared.bell.clone());
-        let (orders, ordered) = ring::open(RING);
-        let (errands, asked) = ring::open_with(ERRANDS, shared.peer_bell.clone());
-        let (gate, accepted) = ring::open(CONNECTIONS);
-        fronts.gates.push(Gate::open(gate));
-        fronts.links.push(Link { reports: reported, orders });
-        fronts.asking.push(asked);
+        let (reports, reports_in) = ring::open_with(RING_CAPACITY, shared.bell.clone());
+        let (commands, commands_in) = ring::open(RING_CAPACITY);
+        let (peer_commands, ring) =
+            ring::open_with(PEER_COMMAND_CAPACITY, shared.peer_bell.clone());
+        let (target, accepted) = ring::open(CONNECTION_CAPACITY);
+        fronts.targets.push(Target::open(target));
+        fronts.channels.push(Channels { reports: reports_in, commands });
+        fronts.peer_command_rings.push(ring);
         fronts.duties.push(front::spawn(Front {
             number,
             local,
@@ -182,8 +186,8 @@
             origin: shared.settings.origin(),
             limits: shared.settings.limits.clone(),
             reports,
-            errands,
-            orders: ordered,
+            peer_commands,
+            commands: commands_in,
             metrics: shared.metrics.clone(),
             stop: shared.stop.clone(),
         })?);
@@ -192,26 +196,26 @@
 }
 
 /// What the peer duty needs beside what all duties share.
-struct Linked<S> {
+struct PeerParts<S> {
     identity: Option<Identity>,
     store: S,
     follow: oneshot::Receiver<Handle>,
-    asking: Vec<ring::Receiver<Errand>>,
-    words: ring::Sender<Word>,
+    peer_command_rings: Vec<ring::Receiver<PeerCommand>>,
+    peer_events: ring::Sender<PeerEvent>,
 }
 
 fn open_peers<S: Store>(
     shared: &Shared,
-    linked: Linked<S>,
+    parts: PeerParts<S>,
 ) -> anyhow::Result<(Duty, Option<Node>)> {
     let peers = Peers {
         me: shared.settings.member(),
-        store: linked.store,
-        links: links(&shared.settings, linked.identity)?,
-        follow: linked.follow,
-        errands: linked.asking,
+        store: parts.store,
+        links: links(&shared.settings, parts.identity)?,
+        follow: parts.follow,
+        peer_commands: parts.peer_command_rings,
         bell: shared.peer_bell.clone(),
-        words: linked.words,
+        peer_events: parts.peer_events,
         metrics: shared.metrics.clone(),
         logger: shared.logger.clone(),
         stop: shared.stop.clone(),
@@ -226,7 +230,7 @@
 ) -> anyhow::Result<Option<node::Settings>> {
     let Some(address) = settings.peers.listen else { return Ok(None) };
     let identity = identity.context("links to peers need a certificate")?;
-    Ok(Some(node::Settings { address, identity, call_timeout: CALL_TIMEOUT, calls: CALLS }))
+    Ok(Some(node::Settings { address, identity, call_timeout: CALL_TIMEOUT, calls: MAX_CALLS }))
 }
 
 impl Entry {
@@ -241,7 +245,7 @@
     }
 
     /// Tells whether the process wants work.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.readiness.get()
     }
 
--- a/bin/entry/src/front/client.rs
+++ b/bin/entry/src/front/client.rs
@@ -11,21 +11,21 @@
 
 /// How long an idle connection is kept. Backend servers keep theirs longer, so that they rarely
 /// close one just as a request is being written to it.
-const IDLE: Duration = Duration::from_secs(15);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long a client is kept after its last use; its connections are closed long before.
-const UNUSED: Duration = Duration::from_secs(60);
+const UNUSED_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The clients of one front.
 #[derive(Debug, Default)]
 pub struct Table {
     clients: HashMap<(SocketAddr, Incarnation), Slot>,
-    swept: Time,
+    last_sweep: Time,
 }
 
 #[derive(Debug)]
 struct Slot {
     client: Client,
-    used: Time,
+    last_used: Time,
 }
 
 impl Table {
@@ -42,16 +42,17 @@
         connect: Duration,
         idle_max: usize,
     ) -> reqwest::Result<Client> {
-        if now.saturating_sub(self.swept) > UNUSED {
-            self.clients.retain(|_, slot| now.saturating_sub(slot.used) <= UNUSED);
-            self.swept = now;
+        if now.saturating_sub(self.last_sweep) > UNUSED_TIMEOUT {
+            self.clients.retain(|_, slot| now.saturating_sub(slot.last_used) <= UNUSED_TIMEOUT);
+            self.last_sweep = now;
         }
         if let Some(slot) = self.clients.get_mut(&(address, incarnation)) {
-            slot.used = now;
+            slot.last_used = now;
             return Ok(slot.client.clone());
         }
         let client = open(connect, idle_max)?;
-        self.clients.insert((address, incarnation), Slot { client: client.clone(), used: now });
+        self.clients
+            .insert((address, incarnation), Slot { client: client.clone(), last_used: now });
         Ok(client)
     }
 }
@@ -70,7 +71,7 @@
         .retry(reqwest::retry::never())
         .connect_timeout(connect)
         .tcp_nodelay(true)
-        .pool_idle_timeout(IDLE)
+        .pool_idle_timeout(IDLE_TIMEOUT)
         .pool_max_idle_per_host(idle_max)
         .build()
 }
--- a/bin/entry/src/front/carry.rs
+++ b/bin/entry/src/front/exchange.rs
@@ -17,21 +17,21 @@
 
 use crate::head;
 use crate::head::Head;
-use crate::message::Sending;
+use crate::message::Dispatch;
 use crate::reply::Answer;
 
 /// How an attempt ended, with the whole answer if there is one.
 #[derive(Debug)]
-pub struct Carried {
+pub struct Outcome {
     /// How it ended.
     pub ending: Ending,
     /// The answer, just when `ending` is `Answered`.
     pub answer: Option<Answer>,
 }
 
-impl From<Ending> for Carried {
-    fn from(ending: Ending) -> Carried {
-        Carried { ending, answer: None }
+impl From<Ending> for Outcome {
+    fn from(ending: Ending) -> Outcome {
+        Outcome { ending, answer: None }
     }
 }
 
@@ -43,15 +43,15 @@
     head: &Head,
     body: &Bytes,
     origin: &HeaderValue,
-    sending: &Sending,
+    dispatch: &Dispatch,
 ) -> Option<Request> {
-    let url = Url::parse(&format!("http://{}{}", sending.address, head.target)).ok()?;
+    let url = Url::parse(&format!("http://{}{}", dispatch.address, head.target)).ok()?;
     let mut request = Request::new(head.method.clone(), url);
     let headers = request.headers_mut();
     *headers = head.headers.clone();
     headers.insert(ORIGIN_HEADER, origin.clone());
-    headers.insert(backend::ATTEMPT_HEADER, HeaderValue::from(sending.attempt));
-    let millis = sending.remaining.as_millis() as u64;
+    headers.insert(backend::ATTEMPT_HEADER, HeaderValue::from(dispatch.attempt));
+    let millis = dispatch.remaining.as_millis() as u64;
     headers.insert(backend::DEADLINE_HEADER, HeaderValue::from(millis));
     if !body.is_empty() {
         *request.body_mut() = Some(body.clone().into());
@@ -60,11 +60,11 @@
 }
 
 /// Sends the request and reads the whole answer, up to a limit.
-pub async fn run(client: Client, request: Request, answer_max: usize) -> Carried {
+pub async fn run(client: Client, request: Request, answer_max: usize) -> Outcome {
     let method = request.method().clone();
     match client.execute(request).await {
         Ok(response) => read(response, &method, answer_max).await,
-        Err(error) => unanswered(&error).into(),
+        Err(error) => classify_error(&error).into(),
     }
 }
 
@@ -72,11 +72,11 @@
 ///
 /// Only a connection that was never made proves that no byte was sent: on a connection that breaks
 /// later, bytes may have left however the library words it.
-fn unanswered(error: &reqwest::Error) -> Ending {
+fn classify_error(error: &reqwest::Error) -> Ending {
     if error.is_connect() || error.is_builder() { Ending::Unsent } else { Ending::Broken }
 }
 
-async fn read(mut response: Response, method: &Method, answer_max: usize) -> Carried {
+async fn read(mut response: Response, method: &Method, answer_max: usize) -> Outcome {
     let leaving = response.headers().contains_key(backend::LEAVING_HEADER);
     let status = response.status();
     if status == StatusCode::SERVICE_UNAVAILABLE
@@ -84,15 +84,15 @@
     {
         return Ending::Refused { leaving }.into();
     }
-    if !delimited(&response, method) {
+    if !is_delimited(&response, method) {
         return Ending::Truncated.into();
     }
-    match collect(&mut response, answer_max).await {
+    match read_body(&mut response, answer_max).await {
         Ok(body) => {
-            let headers = passed_on(std::mem::take(response.headers_mut()), method);
+            let headers = end_to_end(std::mem::take(response.headers_mut()), method);
             let answer = Answer { status, headers, body };
             let ending = Ending::Answered { status: status.as_u16(), leaving };
-            Carried { ending, answer: Some(answer) }
+            Outcome { ending, answer: Some(answer) }
         }
         Err(ending) => ending.into(),
     }
@@ -102,7 +102,7 @@
 ///
 /// An answer that ends with its connection, without a length or chunks, looks the same when it is
 /// cut short, so it is never passed on as whole.
-fn delimited(response: &Response, method: &Method) -> bool {
+fn is_delimited(response: &Response, method: &Method) -> bool {
     let status = response.status();
     let bodiless = method == Method::HEAD
         || status == StatusCode::NO_CONTENT
@@ -113,7 +113,7 @@
         || headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-async fn collect(response: &mut Response, answer_max: usize) -> Result<Bytes, Ending> {
+async fn read_body(response: &mut Response, answer_max: usize) -> Result<Bytes, Ending> {
     let announced = response.content_length().unwrap_or(0);
     if announced > answer_max as u64 {
         return Err(Ending::TooLarge);
@@ -146,8 +146,8 @@
 }
 
 /// Leaves out what concerns the connection to the backend server only.
-fn passed_on(mut headers: HeaderMap, method: &Method) -> HeaderMap {
-    if head::strip(&mut headers).is_err() {
+fn end_to_end(mut headers: HeaderMap, method: &Method) -> HeaderMap {
+    if head::strip_hop_by_hop(&mut headers).is_err() {
         headers.remove(header::CONNECTION);
     }
     // The length of an answer to HEAD says what GET would give; any other follows from the body.
--- a/bin/entry/src/front/door.rs
+++ b/bin/entry/src/front/handler.rs
@@ -22,25 +22,25 @@
 use crate::settings::Limits;
 
 /// Takes every request on the callers' address.
-pub struct Door {
+pub struct Handler {
     pending: Arc<Pending>,
     limits: Limits,
 }
 
-impl Door {
+impl Handler {
     /// Opens the endpoint of a front.
-    pub fn open(pending: Arc<Pending>, limits: Limits) -> Door {
-        Door { pending, limits }
+    pub fn open(pending: Arc<Pending>, limits: Limits) -> Handler {
+        Handler { pending, limits }
     }
 
     /// Counts a request that could not be parsed.
-    pub fn refused(&self) {
+    pub fn count_unparsable(&self) {
         self.pending.metrics.answered(None, Code::BadRequest, Duration::ZERO);
     }
 
     async fn serve(&self, request: Request, began: Instant) -> Served {
         let (parts, body) = request.into_parts();
-        let announced = announced(&parts.headers);
+        let announced = declared_length(&parts.headers);
         let head = match head::read(parts.method, &parts.uri, parts.headers, self.limits.head) {
             Ok(head) => head,
             Err(code) => return Served::refused(code),
@@ -108,12 +108,12 @@
 }
 
 /// Returns the length that a request's head announces; the server has checked its form.
-fn announced(headers: &HeaderMap) -> u64 {
+fn declared_length(headers: &HeaderMap) -> u64 {
     let length = headers.get(header::CONTENT_LENGTH);
     length.and_then(|value| value.to_str().ok()?.parse().ok()).unwrap_or(0)
 }
 
-impl Endpoint for Door {
+impl Endpoint for Handler {
     type Output = Response;
 
     async fn call(&self, request: Request) -> poem::Result<Response> {
--- a/bin/entry/src/front/mod.rs
+++ b/bin/entry/src/front/mod.rs
@@ -5,10 +5,10 @@
 //! All of a request's bytes stay on the thread that took it; only numbers travel to the deciding
 //! duty and back.
 
-mod carry;
 mod client;
-mod door;
-mod obey;
+mod command;
+mod exchange;
+mod handler;
 mod pending;
 mod serve;
 mod stream;
@@ -29,16 +29,16 @@
 pub use crate::front::pending::front_of;
 
 use crate::accept::Accepted;
-use crate::front::door::Door;
+use crate::front::handler::Handler;
 use crate::front::pending::Pending;
-use crate::message::Errand;
-use crate::message::Order;
+use crate::message::Command;
+use crate::message::PeerCommand;
 use crate::message::Report;
 use crate::metrics::Metrics;
 use crate::settings::Limits;
 
 /// How often what did not fit into the ring is tried again.
-const FLUSH_EVERY: std::time::Duration = std::time::Duration::from_millis(1);
+const FLUSH_INTERVAL: std::time::Duration = std::time::Duration::from_millis(1);
 
 /// What a front duty is started with.
 pub struct Front {
@@ -55,9 +55,9 @@
     /// To the deciding duty.
     pub reports: ring::Sender<Report>,
     /// To the peer duty.
-    pub errands: ring::Sender<Errand>,
+    pub peer_commands: ring::Sender<PeerCommand>,
     /// From the deciding duty.
-    pub orders: ring::Receiver<Order>,
+    pub commands: ring::Receiver<Command>,
     /// What is counted.
     pub metrics: Metrics,
     /// Ends the duty when the stop is forced.
@@ -82,36 +82,36 @@
         origin,
         limits,
         reports,
-        errands,
-        orders,
+        peer_commands,
+        commands,
         metrics,
         mut stop,
     } = front;
-    let pending = Pending::open(number, &origin, limits.clone(), reports, errands, metrics);
+    let pending = Pending::open(number, &origin, limits.clone(), reports, peer_commands, metrics);
     let pending = Arc::new(pending);
-    let door = Door::open(pending.clone(), limits.clone());
-    let serving = serve::run(accepted, local, door, limits.idle_within());
+    let handler = Handler::open(pending.clone(), limits.clone());
+    let serving = serve::run(accepted, local, handler, limits.idle_within());
     tokio::select! {
         () = serving => {}
-        () = follow(orders, &pending) => {}
+        () = follow(commands, &pending) => {}
         () = stop.reached(Stage::Forced) => {}
     }
 }
 
 /// Follows the orders until their ring is closed.
-async fn follow(mut orders: ring::Receiver<Order>, pending: &Arc<Pending>) {
+async fn follow(mut commands: ring::Receiver<Command>, pending: &Arc<Pending>) {
     loop {
-        let order = if pending.lags() {
+        let command = if pending.has_backlog() {
             pending.flush();
-            match tokio::time::timeout(FLUSH_EVERY, orders.recv()).await {
-                Ok(order) => order,
+            match tokio::time::timeout(FLUSH_INTERVAL, commands.recv()).await {
+                Ok(command) => command,
                 Err(_) => continue,
             }
         } else {
-            orders.recv().await
+            commands.recv().await
         };
-        match order {
-            Some(order) => obey::obey(pending, order),
+        match command {
+            Some(command) => command::execute(pending, command),
             None => return,
         }
     }
--- a/bin/entry/src/front/pending.rs
+++ b/bin/entry/src/front/pending.rs
@@ -24,13 +24,13 @@
 use smallvec::SmallVec;
 use tokio::sync::oneshot;
 
-use crate::front::carry::Carried;
 use crate::front::client;
+use crate::front::exchange::Outcome;
 use crate::front::table::Answered;
-use crate::front::table::Held;
+use crate::front::table::InFlight;
 use crate::front::table::Table;
 use crate::head::Head;
-use crate::message::Errand;
+use crate::message::PeerCommand;
 use crate::message::Report;
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
@@ -83,7 +83,7 @@
         origin: &Origin,
         limits: Limits,
         reports: ring::Sender<Report>,
-        errands: ring::Sender<Errand>,
+        peer_commands: ring::Sender<PeerCommand>,
         metrics: Metrics,
     ) -> Pending {
         let table = Table {
@@ -94,7 +94,7 @@
             attempts: HashMap::new(),
             clients: client::Table::default(),
             reports: Outbox::open(reports),
-            errands,
+            peer_commands,
         };
         let origin = HeaderValue::try_from(origin.to_string()).expect("names are checked settings");
         Pending { origin, limits, metrics, clock: Clock::start(), table: Mutex::new(table) }
@@ -135,7 +135,7 @@
             return Err(Code::NotReady);
         }
         let deadline = match head.deadline {
-            Some(deadline) => Some(left(deadline, began)?),
+            Some(deadline) => Some(remaining(deadline, began)?),
             None => None,
         };
         let arrival = Arrival {
@@ -146,12 +146,12 @@
             deadline,
         };
         let request = table.next;
-        if !table.reports.offer(Report::Arrived { request, arrival }) {
+        if !table.reports.try_push(Report::Arrived { request, arrival }) {
             return Err(Code::Busy);
         }
         table.next += 1;
         let (caller, answer) = oneshot::channel();
-        let held = Held {
+        let in_flight = InFlight {
             head: Arc::new(head),
             body,
             caller: Some(caller),
@@ -160,22 +160,22 @@
             running: 0,
             sent: 0,
         };
-        table.requests.insert(request, held);
+        table.requests.insert(request, in_flight);
         Ok(Ticket { request, answer })
     }
 
     /// Notes that the caller went away.
     pub fn abandon(&self, request: id::Request) {
         let mut table = self.table();
-        let Some(held) = table.requests.get_mut(&request) else { return };
-        held.caller = None;
+        let Some(in_flight) = table.requests.get_mut(&request) else { return };
+        in_flight.caller = None;
         table.drop_if_done(request);
         table.reports.push(Report::Abandoned { request });
     }
 
     /// Tells whether reports wait for room in the ring.
-    pub fn lags(&self) -> bool {
-        self.table().reports.lags()
+    pub fn has_backlog(&self) -> bool {
+        self.table().reports.has_backlog()
     }
 
     /// Tries to pass on reports that wait for room in the ring.
@@ -184,24 +184,24 @@
     }
 
     /// Takes in how an attempt ended.
-    pub(super) fn ended(&self, attempt: Attempt, carried: Carried) {
+    pub(super) fn ended(&self, attempt: Attempt, outcome: Outcome) {
         let mut table = self.table();
         // Without its entry the attempt was cancelled; whatever it brought is nobody's.
         let Some(running) = table.attempts.remove(&attempt) else { return };
         self.metrics.attempts.dec();
-        if let Some(held) = table.requests.get_mut(&running.request) {
-            held.running -= 1;
-            if let Some(answer) = carried.answer {
-                held.answers.push(Answered { attempt, answer });
+        if let Some(in_flight) = table.requests.get_mut(&running.request) {
+            in_flight.running -= 1;
+            if let Some(answer) = outcome.answer {
+                in_flight.answers.push(Answered { attempt, answer });
             }
         }
         table.drop_if_done(running.request);
-        table.reports.push(Report::Ended { attempt, ending: carried.ending });
+        table.reports.push(Report::Ended { attempt, ending: outcome.ending });
     }
 }
 
 /// What is left of a deadline since the request began to arrive.
-fn left(deadline: Duration, began: Instant) -> Result<Duration, Code> {
+fn remaining(deadline: Duration, began: Instant) -> Result<Duration, Code> {
     let left = deadline.saturating_sub(began.elapsed());
     if left.is_zero() { Err(Code::QueueTimeout) } else { Ok(left) }
 }
--- a/bin/entry/src/front/serve.rs
+++ b/bin/entry/src/front/serve.rs
@@ -32,7 +32,7 @@
 use tokio::task::JoinSet;
 
 use crate::accept::Accepted;
-use crate::front::door::Door;
+use crate::front::handler::Handler;
 use crate::front::stream::Stream;
 
 /// Serves connections until their ring is closed, then ends each as soon as it has answered the
@@ -40,12 +40,12 @@
 pub async fn run(
     mut accepted: ring::Receiver<Accepted>,
     local: SocketAddr,
-    door: Door,
+    handler: Handler,
     idle: Duration,
 ) {
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(idle);
-    let server = Arc::new(Server { door, builder, local });
+    let server = Arc::new(Server { handler, builder, local });
     let (ending, ended) = watch::channel(());
     let mut connections = JoinSet::new();
     loop {
@@ -66,14 +66,14 @@
 type Body = BoxBody<Bytes, io::Error>;
 
 struct Server {
-    door: Door,
+    handler: Handler,
     builder: http1::Builder,
     local: SocketAddr,
 }
 
 /// Serves one connection. Dropping it, on an error above all, drops the handler with it.
 async fn serve(server: Arc<Server>, accepted: Accepted, mut ended: watch::Receiver<()>) {
-    let Accepted { stream, remote, place: _place } = accepted;
+    let Accepted { stream, remote, guard: _place } = accepted;
     let Ok(stream) = TcpStream::from_std(stream) else { return };
     // Without this a short answer may wait for the caller's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
@@ -83,7 +83,7 @@
     tokio::select! {
         ended = &mut connection => {
             if ended.is_err_and(|error| error.is_parse()) {
-                server.door.refused();
+                server.handler.count_unparsable();
             }
             return;
         }
@@ -101,5 +101,5 @@
 ) -> Result<http::Response<Body>, Infallible> {
     let local = LocalAddr(server.local.into());
     let request = Request::from((request, local, RemoteAddr(remote.into()), Scheme::HTTP));
-    Ok(server.door.get_response(request).await.into())
+    Ok(server.handler.get_response(request).await.into())
 }
--- a/bin/entry/src/front/stream.rs
+++ b/bin/entry/src/front/stream.rs
@@ -33,36 +33,36 @@
     /// Nothing was written since the last flush.
     is_fresh: bool,
     /// What is left of an answer in place of the library's.
-    own: Vec<u8>,
+    replacement: Vec<u8>,
 }
 
 impl Stream {
     /// Wraps a connection.
     pub fn open(inner: TcpStream) -> Stream {
-        Stream { inner, is_fresh: true, own: Vec::new() }
+        Stream { inner, is_fresh: true, replacement: Vec::new() }
     }
 
     /// Writes what is left of our own answer.
-    fn poll_own(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        while !self.own.is_empty() {
-            let written = ready!(Pin::new(&mut self.inner).poll_write(cx, &self.own))?;
+    fn poll_replacement(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        while !self.replacement.is_empty() {
+            let written = ready!(Pin::new(&mut self.inner).poll_write(cx, &self.replacement))?;
             if written == 0 {
                 return Poll::Ready(Err(io::ErrorKind::WriteZero.into()));
             }
-            self.own.drain(..written);
+            self.replacement.drain(..written);
         }
         Poll::Ready(Ok(()))
     }
 
     /// Looks at the first bytes of a write; tells whether they are replaced.
-    fn replaces(&mut self, first: &[u8]) -> bool {
+    fn replace_refusal(&mut self, first: &[u8]) -> bool {
         let is_fresh = std::mem::replace(&mut self.is_fresh, false);
         if !is_fresh || !first.starts_with(REFUSAL) || has_code(first) {
             return false;
         }
         let status = &first[REFUSAL.len() - 1..];
         let is_large = TOO_LARGE.iter().any(|large| status.starts_with(large));
-        self.own = reply::raw(if is_large { Code::TooLarge } else { Code::BadRequest });
+        self.replacement = reply::raw(if is_large { Code::TooLarge } else { Code::BadRequest });
         true
     }
 }
@@ -87,8 +87,8 @@
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        ready!(self.poll_own(cx))?;
-        if self.replaces(bytes) {
+        ready!(self.poll_replacement(cx))?;
+        if self.replace_refusal(bytes) {
             return Poll::Ready(Ok(bytes.len()));
         }
         Pin::new(&mut self.inner).poll_write(cx, bytes)
@@ -99,8 +99,8 @@
         cx: &mut Context<'_>,
         slices: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        ready!(self.poll_own(cx))?;
-        if slices.first().is_some_and(|first| self.replaces(first)) {
+        ready!(self.poll_replacement(cx))?;
+        if slices.first().is_some_and(|first| self.replace_refusal(first)) {
             return Poll::Ready(Ok(slices.iter().map(|slice| slice.len()).sum()));
         }
         Pin::new(&mut self.inner).poll_write_vectored(cx, slices)
@@ -111,14 +111,14 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        ready!(self.poll_own(cx))?;
+        ready!(self.poll_replacement(cx))?;
         ready!(Pin::new(&mut self.inner).poll_flush(cx))?;
         self.is_fresh = true;
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        ready!(self.poll_own(cx))?;
+        ready!(self.poll_replacement(cx))?;
         Pin::new(&mut self.inner).poll_shutdown(cx)
     }
 }
--- a/bin/entry/src/front/table.rs
+++ b/bin/entry/src/front/table.rs
@@ -16,7 +16,7 @@
 use crate::front::client;
 use crate::head::Head;
 use crate::keys;
-use crate::message::Errand;
+use crate::message::PeerCommand;
 use crate::message::Report;
 use crate::message::Services;
 use crate::outbox::Outbox;
@@ -32,7 +32,7 @@
     /// Whether answers close their connections.
     pub draining: bool,
     /// Requests without a final answer, or whose key is not settled.
-    pub requests: HashMap<id::Request, Held>,
+    pub requests: HashMap<id::Request, InFlight>,
     /// Attempts that have not ended.
     pub attempts: HashMap<Attempt, Running>,
     /// Clients to backend servers.
@@ -40,11 +40,11 @@
     /// To the deciding duty.
     pub reports: Outbox<Report>,
     /// To the peer duty.
-    pub errands: ring::Sender<Errand>,
+    pub peer_commands: ring::Sender<PeerCommand>,
 }
 
 /// A request that has no final answer yet, or whose key is not settled.
-pub struct Held {
+pub struct InFlight {
     /// What the caller asks.
     pub head: Arc<Head>,
     /// Its whole body.
@@ -80,17 +80,17 @@
 impl Table {
     /// Takes out the answer of an attempt.
     pub fn answer(&mut self, request: id::Request, attempt: Attempt) -> Option<Answer> {
-        let held = self.requests.get_mut(&request)?;
-        let place = held.answers.iter().position(|answered| answered.attempt == attempt)?;
-        Some(held.answers.swap_remove(place).answer)
+        let in_flight = self.requests.get_mut(&request)?;
+        let place = in_flight.answers.iter().position(|answered| answered.attempt == attempt)?;
+        Some(in_flight.answers.swap_remove(place).answer)
     }
 
     /// Makes what the owner of the request's key is told.
     pub fn settlement(&mut self, request: id::Request, settled: Settled) -> Settlement {
-        let held = self.requests.get_mut(&request);
+        let in_flight = self.requests.get_mut(&request);
         let Settled::Ran { attempt } = settled else {
-            if let Some(held) = held {
-                held.settled = true;
+            if let Some(in_flight) = in_flight {
+                in_flight.settled = true;
             }
             return if settled == Settled::NotRun {
                 Settlement::NotRun
@@ -98,18 +98,18 @@
                 Settlement::Unknown
             };
         };
-        let answer = held.and_then(|held| {
-            held.settled = true;
-            held.answers.iter().find(|answered| answered.attempt == attempt)
+        let answer = in_flight.and_then(|in_flight| {
+            in_flight.settled = true;
+            in_flight.answers.iter().find(|answered| answered.attempt == attempt)
         });
-        let kept = answer.filter(|answered| answered.answer.body.len() <= keys::ANSWER_BYTES);
-        Settlement::Ran(kept.map(|answered| answered.answer.kept()))
+        let kept = answer.filter(|answered| answered.answer.body.len() <= keys::MAX_ANSWER_BYTES);
+        Settlement::Ran(kept.map(|answered| answered.answer.to_stored()))
     }
 
     /// Gives the caller its final answer.
     pub fn finish(&mut self, request: id::Request, last: Final) {
-        let Some(held) = self.requests.get_mut(&request) else { return };
-        if let Some(caller) = held.caller.take() {
+        let Some(in_flight) = self.requests.get_mut(&request) else { return };
+        if let Some(caller) = in_flight.caller.take() {
             // A caller that went away in this moment is told about by its guard.
             let _ = caller.send(last);
         }
@@ -118,9 +118,10 @@
 
     /// Lets go of a request that nobody waits for and nothing runs for.
     pub fn drop_if_done(&mut self, request: id::Request) {
-        let Some(held) = self.requests.get(&request) else { return };
-        let unsettled = held.head.key.is_some() && !held.settled && !held.answers.is_empty();
-        if held.caller.is_none() && held.running == 0 && !unsettled {
+        let Some(in_flight) = self.requests.get(&request) else { return };
+        let unsettled =
+            in_flight.head.key.is_some() && !in_flight.settled && !in_flight.answers.is_empty();
+        if in_flight.caller.is_none() && in_flight.running == 0 && !unsettled {
             self.requests.remove(&request);
         }
     }
--- a/bin/entry/src/head.rs
+++ b/bin/entry/src/head.rs
@@ -80,7 +80,7 @@
     let deadline = deadline(&headers)?;
     let class = class(&headers)?;
     let key = key(&headers)?;
-    strip(&mut headers)?;
+    strip_hop_by_hop(&mut headers)?;
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
     headers.remove(backend::DEADLINE_HEADER);
@@ -93,9 +93,9 @@
 /// # Errors
 ///
 /// When the connection header can't be read.
-pub fn strip(headers: &mut HeaderMap) -> Result<(), Code> {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) -> Result<(), Code> {
     if headers.contains_key(header::CONNECTION) {
-        for name in named(headers)? {
+        for name in connection_tokens(headers)? {
             headers.remove(name);
         }
     }
@@ -106,7 +106,7 @@
 }
 
 /// Collects the headers that the connection header names.
-fn named(headers: &HeaderMap) -> Result<Vec<HeaderName>, Code> {
+fn connection_tokens(headers: &HeaderMap) -> Result<Vec<HeaderName>, Code> {
     let mut names = Vec::new();
     for value in headers.get_all(header::CONNECTION) {
         let text = value.to_str().map_err(|_| Code::BadRequest)?;
@@ -137,7 +137,7 @@
 }
 
 /// Finds the only value of a header.
-fn only<'a>(
+fn single<'a>(
     headers: &'a HeaderMap,
     name: &str,
     problem: Code,
@@ -152,7 +152,7 @@
 
 fn deadline(headers: &HeaderMap) -> Result<Option<Duration>, Code> {
     let problem = Code::BadDeadline;
-    let Some(value) = only(headers, backend::DEADLINE_HEADER, problem)? else { return Ok(None) };
+    let Some(value) = single(headers, backend::DEADLINE_HEADER, problem)? else { return Ok(None) };
     let text = value.to_str().map_err(|_| problem)?;
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(problem);
@@ -167,14 +167,14 @@
 
 fn class(headers: &HeaderMap) -> Result<Option<Class>, Code> {
     let problem = Code::BadClass;
-    let Some(value) = only(headers, CLASS_HEADER, problem)? else { return Ok(None) };
+    let Some(value) = single(headers, CLASS_HEADER, problem)? else { return Ok(None) };
     let found = Class::ALL.into_iter().find(|class| class.as_str().as_bytes() == value.as_bytes());
     found.map(Some).ok_or(problem)
 }
 
 fn key(headers: &HeaderMap) -> Result<Option<id::IdempotencyKey>, Code> {
     let problem = Code::BadKey;
-    let Some(value) = only(headers, backend::KEY_HEADER, problem)? else { return Ok(None) };
+    let Some(value) = single(headers, backend::KEY_HEADER, problem)? else { return Ok(None) };
     let text = value.to_str().map_err(|_| problem)?;
     let allowed = text.bytes().all(|byte| byte.is_ascii_graphic());
     if text.is_empty() || text.len() > KEY_MAX || !allowed {
--- a/bin/entry/src/keys.rs
+++ b/bin/entry/src/keys.rs
@@ -34,25 +34,25 @@
 use slog::o;
 use tokio::sync::mpsc;
 
-use crate::message::Word;
+use crate::message::PeerEvent;
 use crate::roster;
 
 /// Settlements that an owner did not take are told again this often, and this soon.
-const SETTLE_TRIES: u8 = 10;
-const SETTLE_AGAIN: Duration = Duration::from_millis(500);
+const MAX_SETTLE_ATTEMPTS: u8 = 10;
+const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// How long keys are remembered: longer than any request's deadline, which is ten minutes at most.
 const RETENTION: Duration = Duration::from_secs(660);
 /// Longer than twice the time for which a claimant waits for a peer's reply.
 const LEASE: Duration = Duration::from_secs(4);
 /// How long handovers are waited for, and the store is left alone after a failed call.
-const PATIENCE: Duration = Duration::from_secs(1);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
 /// How much longer each member waits than the one before it to take over from one that ended.
-const STAGGER: Duration = Duration::from_secs(1);
+const TAKEOVER_DELAY: Duration = Duration::from_secs(1);
 /// Keys kept at most, and the bytes of their answers.
-const CLAIMS: usize = 200_000;
-const ANSWERS_BYTES: usize = 64 << 20;
+const MAX_CLAIMS: usize = 200_000;
+const MAX_TOTAL_ANSWER_BYTES: usize = 64 << 20;
 /// The largest answer that is kept for a repeated key.
-pub const ANSWER_BYTES: usize = 64 << 10;
+pub const MAX_ANSWER_BYTES: usize = 64 << 10;
 
 /// What a call that was under way came to.
 pub enum Outcome {
@@ -73,12 +73,12 @@
         key: Key,
     },
     /// A settlement that its owner surely did not take.
-    Unsettled(Told),
+    Undelivered(Delivery),
 }
 
 /// A settlement on its way to the owner of its key.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct Delivery {
     /// The request.
     pub request: id::Request,
     /// The key.
@@ -86,14 +86,14 @@
     /// What became of its request.
     pub settlement: Settlement,
     /// How often it was told already.
-    pub tries: u8,
+    pub attempts: u8,
 }
 
 /// Who waits for what the owner of this process says.
-enum Asker {
+enum Waiter {
     Request(id::Request),
     Peer(Incoming),
-    Settlement(Told),
+    Settlement(Delivery),
 }
 
 /// The keys at this process.
@@ -101,14 +101,14 @@
     owner: Owner,
     me: Member,
     /// Which start of this process. Its owner may have later lives, its requests are counted on.
-    life: StartTime,
+    started_at: StartTime,
     clock: Clock,
     store: S,
     node: Option<Node>,
     logger: Logger,
     outcomes: mpsc::Sender<Outcome>,
-    askers: HashMap<RequestId, Asker>,
-    asks: RequestId,
+    waiters: HashMap<RequestId, Waiter>,
+    next_request: RequestId,
 }
 
 impl<S: Store> Keys<S> {
@@ -122,20 +122,20 @@
     ) -> Keys<S> {
         Keys {
             owner: Owner::open(settings(&me)),
-            life: me.started_at,
+            started_at: me.started_at,
             me,
             clock: Clock::start(),
             store,
             node,
             logger,
             outcomes,
-            askers: HashMap::new(),
-            asks: 0,
+            waiters: HashMap::new(),
+            next_request: 0,
         }
     }
 
     /// Tells when the owner next wants to look at the time, on the runtime's clock.
-    pub fn due(&self) -> tokio::time::Instant {
+    pub fn next_due(&self) -> tokio::time::Instant {
         let soon = || self.clock.now() + LEASE / 16;
         self.clock.at(self.owner.next_due().unwrap_or_else(soon))
     }
@@ -146,16 +146,16 @@
     }
 
     /// Takes in the platform's list of all failure domains.
-    pub fn listed(&mut self, view: list::View, words: &mut Vec<Word>) {
-        self.step(Event::Listed { view }, words);
+    pub fn listed(&mut self, view: list::View, peer_events: &mut Vec<PeerEvent>) {
+        self.step(Event::Listed { view }, peer_events);
     }
 
     /// Gives the owner an event and sees to what it wants done.
-    pub fn step(&mut self, event: Event, words: &mut Vec<Word>) {
+    pub fn step(&mut self, event: Event, peer_events: &mut Vec<PeerEvent>) {
         let mut actions = Vec::new();
         self.owner.step(self.clock.now(), event, &mut actions);
         for action in actions {
-            self.act(action, words);
+            self.execute(action, peer_events);
         }
         if self.owner.is_ended() {
             self.me.started_at += 1;
@@ -164,15 +164,15 @@
     }
 
     /// Claims a key for a request.
-    pub fn claim(&mut self, request: id::Request, key: Key, words: &mut Vec<Word>) {
+    pub fn claim(&mut self, request: id::Request, key: Key, peer_events: &mut Vec<PeerEvent>) {
         let Some(roster) = self.owner.roster().cloned() else {
-            return words.push(Word::Claimed { request, verdict: Claimed::NotOwner });
+            return peer_events.push(PeerEvent::Claimed { request, verdict: Claimed::NotOwner });
         };
         let owner = roster.owner_of(&key.service, &key.key);
         if owner.is_same(&self.me) {
-            let ask = self.asked(Asker::Request(request));
+            let ask = self.register(Waiter::Request(request));
             let claimant = self.claimant(request);
-            self.step(Event::Claim { ask, claimant, key, roster: roster.version }, words);
+            self.step(Event::Claim { ask, claimant, key, roster: roster.version }, peer_events);
             return;
         }
         let call = Call::Claim {
@@ -193,25 +193,25 @@
     }
 
     /// Tells the owner of a key what became of its request.
-    pub fn settle(&mut self, mut told: Told, words: &mut Vec<Word>) {
-        told.tries += 1;
-        if told.tries > SETTLE_TRIES {
+    pub fn settle(&mut self, mut delivery: Delivery, peer_events: &mut Vec<PeerEvent>) {
+        delivery.attempts += 1;
+        if delivery.attempts > MAX_SETTLE_ATTEMPTS {
             return;
         }
         let Some(roster) = self.owner.roster().cloned() else { return };
-        let owner = roster.owner_of(&told.key.service, &told.key.key);
+        let owner = roster.owner_of(&delivery.key.service, &delivery.key.key);
         if owner.is_same(&self.me) {
-            let (key, settlement) = (told.key.clone(), told.settlement.clone());
-            let claimant = self.claimant(told.request);
-            let ask = self.asked(Asker::Settlement(told));
-            self.step(Event::Settle { ask, claimant, key, settlement }, words);
+            let (key, settlement) = (delivery.key.clone(), delivery.settlement.clone());
+            let claimant = self.claimant(delivery.request);
+            let ask = self.register(Waiter::Settlement(delivery));
+            self.step(Event::Settle { ask, claimant, key, settlement }, peer_events);
             return;
         }
         let call = Call::Settle {
-            service: told.key.service.clone(),
-            key: told.key.key.clone(),
-            claimant: self.claimant(told.request),
-            settlement: told.settlement.clone(),
+            service: delivery.key.service.clone(),
+            key: delivery.key.key.clone(),
+            claimant: self.claimant(delivery.request),
+            settlement: delivery.settlement.clone(),
             roster: roster.version,
         };
         let reply = self.ask_peer(owner.address, call);
@@ -219,20 +219,24 @@
         tokio::spawn(async move {
             match reply.await {
                 Ok(Reply::Noted) | Err(node::Error::Unknown(_)) => {}
-                _ => tell_again(told, &outcomes).await,
+                _ => retry_later(delivery, &outcomes).await,
             }
         });
     }
 
     /// Sees to a peer's claim, settlement or handover; anything else comes back.
-    pub fn called(&mut self, incoming: Incoming, words: &mut Vec<Word>) -> Option<Incoming> {
+    pub fn handle_call(
+        &mut self,
+        incoming: Incoming,
+        peer_events: &mut Vec<PeerEvent>,
+    ) -> Option<Incoming> {
         let event = match incoming.call.clone() {
             Call::Claim { service, key, claimant, roster } => {
-                let (ask, key) = (self.asks, Key { service, key });
+                let (ask, key) = (self.next_request, Key { service, key });
                 Event::Claim { ask, claimant, key, roster }
             }
             Call::Settle { service, key, claimant, settlement, .. } => {
-                let (ask, key) = (self.asks, Key { service, key });
+                let (ask, key) = (self.next_request, Key { service, key });
                 Event::Settle { ask, claimant, key, settlement }
             }
             Call::Adopt { handover } => {
@@ -240,19 +244,19 @@
                     incoming.answer(Reply::Misdirected);
                     return None;
                 };
-                Event::HandoverReceived { ask: self.asks, handover }
+                Event::HandoverReceived { ask: self.next_request, handover }
             }
             _ => return Some(incoming),
         };
-        self.asked(Asker::Peer(incoming));
-        self.step(event, words);
+        self.register(Waiter::Peer(incoming));
+        self.step(event, peer_events);
         None
     }
 
-    fn asked(&mut self, asker: Asker) -> RequestId {
-        let ask = self.asks;
-        self.asks += 1;
-        self.askers.insert(ask, asker);
+    fn register(&mut self, waiter: Waiter) -> RequestId {
+        let ask = self.next_request;
+        self.next_request += 1;
+        self.waiters.insert(ask, waiter);
         ask
     }
 
@@ -260,7 +264,7 @@
         Claimant {
             instance: self.me.instance.clone(),
             incarnation: self.me.incarnation,
-            life: self.life,
+            life: self.started_at,
             request,
         }
     }
@@ -286,20 +290,22 @@
         });
     }
 
-    fn act(&mut self, action: Action, words: &mut Vec<Word>) {
+    fn execute(&mut self, action: Action, peer_events: &mut Vec<PeerEvent>) {
         match action {
-            Action::Verdict { ask, verdict, .. } => match self.askers.remove(&ask) {
-                Some(Asker::Request(request)) => words.push(Word::Claimed { request, verdict }),
-                Some(Asker::Peer(incoming)) => incoming.answer(Reply::Claimed(verdict)),
+            Action::Verdict { ask, verdict, .. } => match self.waiters.remove(&ask) {
+                Some(Waiter::Request(request)) => {
+                    peer_events.push(PeerEvent::Claimed { request, verdict })
+                }
+                Some(Waiter::Peer(incoming)) => incoming.answer(Reply::Claimed(verdict)),
                 _ => {}
             },
-            Action::Acknowledge { ask, accepted } => match self.askers.remove(&ask) {
-                Some(Asker::Peer(incoming)) => {
+            Action::Acknowledge { ask, accepted } => match self.waiters.remove(&ask) {
+                Some(Waiter::Peer(incoming)) => {
                     incoming.answer(if accepted { Reply::Noted } else { Reply::Misdirected });
                 }
-                Some(Asker::Settlement(told)) if !accepted => {
+                Some(Waiter::Settlement(delivery)) if !accepted => {
                     let outcomes = self.outcomes.clone();
-                    tokio::spawn(async move { tell_again(told, &outcomes).await });
+                    tokio::spawn(async move { retry_later(delivery, &outcomes).await });
                 }
                 _ => {}
             },
@@ -334,9 +340,9 @@
     }
 }
 
-async fn tell_again(told: Told, outcomes: &mpsc::Sender<Outcome>) {
-    tokio::time::sleep(SETTLE_AGAIN).await;
-    let _ = outcomes.send(Outcome::Unsettled(told)).await;
+async fn retry_later(delivery: Delivery, outcomes: &mpsc::Sender<Outcome>) {
+    tokio::time::sleep(SETTLE_RETRY_DELAY).await;
+    let _ = outcomes.send(Outcome::Undelivered(delivery)).await;
 }
 
 fn settings(me: &Member) -> owner::Settings {
@@ -344,10 +350,10 @@
         member: me.clone(),
         retention: RETENTION,
         lease: LEASE,
-        handover_timeout: PATIENCE,
-        takeover_delay: STAGGER,
-        max_claims: CLAIMS,
-        max_answer_bytes: ANSWER_BYTES,
-        max_total_answer_bytes: ANSWERS_BYTES,
+        handover_timeout: HANDOVER_TIMEOUT,
+        takeover_delay: TAKEOVER_DELAY,
+        max_claims: MAX_CLAIMS,
+        max_answer_bytes: MAX_ANSWER_BYTES,
+        max_total_answer_bytes: MAX_TOTAL_ANSWER_BYTES,
     }
 }
--- a/bin/entry/src/message.rs
+++ b/bin/entry/src/message.rs
@@ -44,9 +44,9 @@
 
 /// The deciding duty tells the front that holds the request.
 #[derive(Debug)]
-pub enum Order {
+pub enum Command {
     /// Send the request to a backend server.
-    Send(Sending),
+    Send(Dispatch),
     /// Stop an attempt and drop its answer.
     Cancel {
         /// The attempt.
@@ -94,7 +94,7 @@
 
 /// One attempt as it is to be made.
 #[derive(Clone, Debug)]
-pub struct Sending {
+pub struct Dispatch {
     /// The request.
     pub request: id::Request,
     /// The attempt.
@@ -104,14 +104,14 @@
     /// Which life of the backend server.
     pub incarnation: id::Incarnation,
     /// Idle connections that a front may keep to the backend server.
-    pub idle: usize,
+    pub max_idle: usize,
     /// Time left until the request's deadline.
     pub remaining: Duration,
 }
 
 /// The watching duty tells the deciding one.
 #[derive(Debug)]
-pub enum News {
+pub enum Update {
     /// The platform's list was read.
     Listed {
         /// The list.
@@ -121,7 +121,7 @@
 
 /// A duty asks the peer duty.
 #[derive(Debug)]
-pub enum Errand {
+pub enum PeerCommand {
     /// Ask the owner of a key whether the request may run.
     Claim {
         /// The request.
@@ -158,7 +158,7 @@
 
 /// The peer duty tells the deciding one.
 #[derive(Debug)]
-pub enum Word {
+pub enum PeerEvent {
     /// The owner of a key gave its verdict.
     Claimed {
         /// The request.
--- a/bin/entry/src/metrics.rs
+++ b/bin/entry/src/metrics.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct Metrics {
     requests: IntCounterVec,
-    seconds: HistogramVec,
+    latency: HistogramVec,
     retries: IntCounterVec,
     hedges: IntCounterVec,
     /// Attempts in flight.
@@ -48,7 +48,7 @@
         let hedges = Opts::new("cowslipchute_hedges_total", "Attempts beside a late one.");
         let metrics = Metrics {
             requests: IntCounterVec::new(requests, &["service", "class", "outcome", "code"])?,
-            seconds: HistogramVec::new(seconds.buckets(BUCKETS.to_vec()), &["service", "class"])?,
+            latency: HistogramVec::new(seconds.buckets(BUCKETS.to_vec()), &["service", "class"])?,
             retries: IntCounterVec::new(retries, &["service"])?,
             hedges: IntCounterVec::new(hedges, &["service"])?,
             attempts: IntGauge::new("cowslipchute_attempts_in_flight", "Attempts in flight.")?,
@@ -58,7 +58,7 @@
             )?,
         };
         registry.register(Box::new(metrics.requests.clone()))?;
-        registry.register(Box::new(metrics.seconds.clone()))?;
+        registry.register(Box::new(metrics.latency.clone()))?;
         registry.register(Box::new(metrics.retries.clone()))?;
         registry.register(Box::new(metrics.hedges.clone()))?;
         registry.register(Box::new(metrics.attempts.clone()))?;
@@ -73,11 +73,11 @@
         let number = code.number().to_string();
         let outcome = code.outcome().as_str();
         self.requests.with_label_values(&[service, class, outcome, &number]).inc();
-        self.seconds.with_label_values(&[service, class]).observe(time.as_secs_f64());
+        self.latency.with_label_values(&[service, class]).observe(time.as_secs_f64());
     }
 
     /// Counts an attempt that is not a request's first.
-    pub fn again(&self, service: &str, hedge: bool) {
+    pub fn extra_attempt(&self, service: &str, hedge: bool) {
         let counter = if hedge { &self.hedges } else { &self.retries };
         counter.with_label_values(&[service]).inc();
     }
--- a/bin/entry/src/outbox.rs
+++ b/bin/entry/src/outbox.rs
@@ -27,9 +27,9 @@
     }
 
     /// Passes a message on only if there is room now; tells whether it was.
-    pub fn offer(&mut self, message: T) -> bool {
+    pub fn try_push(&mut self, message: T) -> bool {
         self.flush();
-        !self.lags() && self.ring.send(message).is_ok()
+        !self.has_backlog() && self.ring.send(message).is_ok()
     }
 
     /// Passes on what waits, as far as there is room.
@@ -48,7 +48,7 @@
     }
 
     /// Tells whether anything waits.
-    pub fn lags(&self) -> bool {
+    pub fn has_backlog(&self) -> bool {
         !self.backlog.is_empty()
     }
 }
--- a/bin/entry/src/peers.rs
+++ b/bin/entry/src/peers.rs
@@ -30,21 +30,21 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
+use crate::keys::Delivery;
 use crate::keys::Keys;
 use crate::keys::Outcome;
-use crate::keys::Told;
-use crate::message::Errand;
-use crate::message::Word;
+use crate::message::PeerCommand;
+use crate::message::PeerEvent;
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
 use crate::roster;
 
 /// How often what did not fit into the ring is tried again.
-const FLUSH_EVERY: Duration = Duration::from_millis(1);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(1);
 /// Outcomes of calls that may wait to be looked at.
-const OUTCOMES: usize = 1024;
+const OUTCOME_CAPACITY: usize = 1024;
 /// How long a planned stop waits for the slots of keys to be given up and for peers' calls.
-const DRAIN_WITHIN: Duration = Duration::from_secs(2);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What the peer duty is started with.
 pub struct Peers<S> {
@@ -57,11 +57,11 @@
     /// Answers what peers ask about the configuration.
     pub follow: oneshot::Receiver<Handle>,
     /// From every duty that has anything to ask or tell.
-    pub errands: Vec<ring::Receiver<Errand>>,
+    pub peer_commands: Vec<ring::Receiver<PeerCommand>>,
     /// Rung by every ring of errands.
     pub bell: Bell,
     /// To the deciding duty.
-    pub words: ring::Sender<Word>,
+    pub peer_events: ring::Sender<PeerEvent>,
     /// What is counted.
     pub metrics: Metrics,
     /// For log events.
@@ -96,9 +96,9 @@
     if let Some(node) = &node {
         peers.me.address = node.address();
     }
-    let (outcomes, mut outcome) = mpsc::channel(OUTCOMES);
-    let (heard, mut rosters) = mpsc::channel(1);
-    let watching = roster::follow(peers.store.clone(), heard, peers.metrics);
+    let (outcomes, mut outcome) = mpsc::channel(OUTCOME_CAPACITY);
+    let (roster_events, mut rosters) = mpsc::channel(1);
+    let watching = roster::follow(peers.store.clone(), roster_events, peers.metrics);
     let watching = tokio::spawn(watching);
     let mut state = State {
         myself: peers.me.instance.clone(),
@@ -106,37 +106,37 @@
         node,
         follow: None,
         entries: BTreeMap::new(),
-        words: Outbox::open(peers.words),
-        said: Vec::new(),
+        peer_events: Outbox::open(peers.peer_events),
+        new_events: Vec::new(),
     };
     let mut follow = Some(peers.follow);
-    let mut over = None;
+    let mut drain_deadline = None;
     loop {
-        peers.errands.retain_mut(|ring| state.drain(ring));
-        if peers.errands.is_empty() {
-            let until = *over.get_or_insert_with(|| state.end());
+        peers.peer_commands.retain_mut(|ring| state.drain(ring));
+        if peers.peer_commands.is_empty() {
+            let until = *drain_deadline.get_or_insert_with(|| state.begin_drain());
             if state.keys.is_drained() || tokio::time::Instant::now() >= until {
                 break;
             }
         }
-        state.speak();
-        let lags = state.words.lags();
+        state.flush_events();
+        let has_backlog = state.peer_events.has_backlog();
         tokio::select! {
             () = peers.bell.wait() => {}
-            Some(call) = next(&mut incoming) => state.called(call),
-            Some(outcome) = outcome.recv() => state.came(outcome),
-            Some(roster) = rosters.recv() => state.keys.step(roster, &mut state.said),
-            Ok(handle) = handle(&mut follow) => state.follow = Some(handle),
-            () = tokio::time::sleep(FLUSH_EVERY), if lags => {}
-            () = tokio::time::sleep_until(state.keys.due()) => {
-                state.keys.step(Event::Tick, &mut state.said);
+            Some(call) = next(&mut incoming) => state.handle_call(call),
+            Some(outcome) = outcome.recv() => state.handle_outcome(outcome),
+            Some(roster) = rosters.recv() => state.keys.step(roster, &mut state.new_events),
+            Ok(handle) = take_handle(&mut follow) => state.follow = Some(handle),
+            () = tokio::time::sleep(FLUSH_INTERVAL), if has_backlog => {}
+            () = tokio::time::sleep_until(state.keys.next_due()) => {
+                state.keys.step(Event::Tick, &mut state.new_events);
             }
             () = peers.stop.reached(Stage::Forced) => break,
         }
     }
     watching.abort();
     if let (Some(node), true) = (&state.node, peers.stop.stage() < Stage::Forced) {
-        node.drain(DRAIN_WITHIN).await;
+        node.drain(DRAIN_TIMEOUT).await;
     }
 }
 
@@ -149,7 +149,7 @@
 }
 
 /// Waits once for the handle that answers what peers ask about the configuration.
-async fn handle(
+async fn take_handle(
     follow: &mut Option<oneshot::Receiver<Handle>>,
 ) -> Result<Handle, oneshot::error::RecvError> {
     match follow {
@@ -169,45 +169,46 @@
     follow: Option<Handle>,
     /// The other entries, by name.
     entries: BTreeMap<id::Instance, list::Member>,
-    words: Outbox<Word>,
+    peer_events: Outbox<PeerEvent>,
     /// Words to be passed on after each step.
-    said: Vec<Word>,
+    new_events: Vec<PeerEvent>,
 }
 
 impl<S: Store> State<S> {
     /// Passes on what was said.
-    fn speak(&mut self) {
-        for word in self.said.drain(..) {
-            self.words.push(word);
+    fn flush_events(&mut self) {
+        for event in self.new_events.drain(..) {
+            self.peer_events.push(event);
         }
-        self.words.flush();
+        self.peer_events.flush();
     }
 
     /// Sees to every errand of a ring; tells whether the ring is still open.
-    fn drain(&mut self, ring: &mut ring::Receiver<Errand>) -> bool {
+    fn drain(&mut self, ring: &mut ring::Receiver<PeerCommand>) -> bool {
         loop {
             match ring.look() {
-                Look::Value(errand) => self.see_to(errand),
+                Look::Value(command) => self.execute(command),
                 Look::Empty => return true,
                 Look::Closed => return false,
             }
         }
     }
 
-    fn see_to(&mut self, errand: Errand) {
-        match errand {
-            Errand::Listed { view } => {
+    fn execute(&mut self, command: PeerCommand) {
+        match command {
+            PeerCommand::Listed { view } => {
                 self.listed(&view);
-                self.keys.listed((*view).clone(), &mut self.said);
+                self.keys.listed((*view).clone(), &mut self.new_events);
             }
-            Errand::Claim { request, service, key } => {
-                self.keys.claim(request, Key { service, key }, &mut self.said);
+            PeerCommand::Claim { request, service, key } => {
+                self.keys.claim(request, Key { service, key }, &mut self.new_events);
             }
-            Errand::Settle { request, service, key, settlement } => {
-                let told = Told { request, key: Key { service, key }, settlement, tries: 0 };
-                self.keys.settle(told, &mut self.said);
+            PeerCommand::Settle { request, service, key, settlement } => {
+                let delivery =
+                    Delivery { request, key: Key { service, key }, settlement, attempts: 0 };
+                self.keys.settle(delivery, &mut self.new_events);
             }
-            Errand::Announce { instance, incarnation } => self.announce(instance, incarnation),
+            PeerCommand::Announce { instance, incarnation } => self.announce(instance, incarnation),
         }
     }
 
@@ -230,27 +231,28 @@
         }
     }
 
-    fn came(&mut self, outcome: Outcome) {
+    fn handle_outcome(&mut self, outcome: Outcome) {
         match outcome {
-            Outcome::Event(event) => self.keys.step(event, &mut self.said),
+            Outcome::Event(event) => self.keys.step(event, &mut self.new_events),
             Outcome::Claimed { request, verdict } => {
-                self.said.push(Word::Claimed { request, verdict });
+                self.new_events.push(PeerEvent::Claimed { request, verdict });
             }
             Outcome::Lost { request, key } => {
-                self.said.push(Word::Claimed { request, verdict: Claimed::NotOwner });
-                let told = Told { request, key, settlement: Settlement::NotRun, tries: 0 };
-                self.keys.settle(told, &mut self.said);
+                self.new_events.push(PeerEvent::Claimed { request, verdict: Claimed::NotOwner });
+                let delivery =
+                    Delivery { request, key, settlement: Settlement::NotRun, attempts: 0 };
+                self.keys.settle(delivery, &mut self.new_events);
             }
-            Outcome::Unsettled(told) => self.keys.settle(told, &mut self.said),
+            Outcome::Undelivered(delivery) => self.keys.settle(delivery, &mut self.new_events),
         }
     }
 
-    fn called(&mut self, incoming: Incoming) {
-        let Some(incoming) = self.keys.called(incoming, &mut self.said) else { return };
+    fn handle_call(&mut self, incoming: Incoming) {
+        let Some(incoming) = self.keys.handle_call(incoming, &mut self.new_events) else { return };
         match &incoming.call {
             Call::Leaving { instance, incarnation } => {
                 let (instance, incarnation) = (instance.clone(), *incarnation);
-                self.said.push(Word::Leaving { instance, incarnation });
+                self.new_events.push(PeerEvent::Leaving { instance, incarnation });
                 incoming.answer(Reply::Noted);
             }
             Call::Hello { .. } | Call::Pull { .. } | Call::Push { .. } => {
@@ -262,9 +264,9 @@
     }
 
     /// Begins to give up every key; returns when that has to be over.
-    fn end(&mut self) -> tokio::time::Instant {
-        self.keys.step(Event::Drain, &mut self.said);
-        tokio::time::Instant::now() + DRAIN_WITHIN
+    fn begin_drain(&mut self) -> tokio::time::Instant {
+        self.keys.step(Event::Drain, &mut self.new_events);
+        tokio::time::Instant::now() + DRAIN_TIMEOUT
     }
 }
 
--- a/bin/entry/src/reply.rs
+++ b/bin/entry/src/reply.rs
@@ -32,7 +32,7 @@
 
 impl Answer {
     /// Makes the form in which the owner of an idempotency key keeps the answer.
-    pub fn kept(&self) -> peer::Answer {
+    pub fn to_stored(&self) -> peer::Answer {
         let content_type = self.headers.get(header::CONTENT_TYPE);
         peer::Answer {
             status: self.status.as_u16(),
@@ -77,9 +77,9 @@
     pub fn response(self, close: bool) -> Response {
         let code = self.code();
         let mut response = match self {
-            Final::Answer(answer) => whole(answer),
+            Final::Answer(answer) => forwarded(answer),
             Final::Replay(answer) => replay(answer),
-            Final::Own { code, retry_after } => own(code, retry_after),
+            Final::Own { code, retry_after } => generated(code, retry_after),
         };
         let headers = response.headers_mut();
         headers.insert(code::HEADER, HeaderValue::from(code.number()));
@@ -92,7 +92,7 @@
     }
 }
 
-fn whole(answer: Answer) -> Response {
+fn forwarded(answer: Answer) -> Response {
     let mut response = Response::default();
     response.set_status(answer.status);
     *response.headers_mut() = answer.headers;
@@ -120,7 +120,7 @@
     retry_after_ms: Option<u64>,
 }
 
-fn own(code: Code, retry_after: Option<Duration>) -> Response {
+fn generated(code: Code, retry_after: Option<Duration>) -> Response {
     let status = StatusCode::from_u16(code.status()).expect("every code has a status");
     let mut builder = Response::builder().status(status).content_type(JSON);
     if let Some(time) = retry_after {
--- a/bin/entry/src/roster.rs
+++ b/bin/entry/src/roster.rs
@@ -20,19 +20,19 @@
 use crate::metrics::Metrics;
 
 /// How long a call to the store may take in all.
-const CALL_WITHIN: Duration = Duration::from_secs(3);
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long to wait before a watch is opened again.
-const AGAIN: Duration = Duration::from_secs(1);
+const WATCH_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The roster as the store holds it.
-struct Found {
+struct Versioned {
     revision: Revision,
     roster: Option<Arc<Roster>>,
 }
 
 /// Reads the roster once and says how that ended.
 pub async fn read<S: Store>(store: S, read: ReadId) -> Event {
-    match tokio::time::timeout(CALL_WITHIN, find(&store)).await {
+    match tokio::time::timeout(CALL_TIMEOUT, find(&store)).await {
         Ok(Ok((_, found))) => {
             Event::RosterRead { read, revision: found.revision, roster: found.roster }
         }
@@ -49,7 +49,7 @@
     };
     let value = serde_json::to_vec(&roster).expect("a roster always has a JSON form");
     let txn = Txn { guards: vec![guard], changes: vec![Change::Put { key, value, lease: 0 }] };
-    match tokio::time::timeout(CALL_WITHIN, store.commit(txn)).await {
+    match tokio::time::timeout(CALL_TIMEOUT, store.commit(txn)).await {
         Ok(Ok(_)) => Event::Proposed,
         _ => Event::StoreFailed,
     }
@@ -59,7 +59,7 @@
 /// which the store can't be read.
 pub async fn follow<S: Store>(
     store: S,
-    heard: mpsc::Sender<Event>,
+    events: mpsc::Sender<Event>,
     metrics: Metrics,
 ) -> Option<()> {
     let mut down: Option<Instant> = None;
@@ -68,13 +68,13 @@
             Ok((revision, found)) => {
                 down = None;
                 if let Some(roster) = found.roster {
-                    heard
+                    events
                         .send(Event::RosterReceived { revision: found.revision, roster })
                         .await
                         .ok()?;
                 }
                 if let Ok(updates) = store.watch(roster::KEY, revision).await {
-                    pass_on(updates, &heard).await?;
+                    forward(updates, &events).await?;
                 }
             }
             Err(_) => {
@@ -84,24 +84,24 @@
                 *since += Duration::from_secs(seconds);
             }
         }
-        tokio::time::sleep(AGAIN).await;
-        if heard.is_closed() {
+        tokio::time::sleep(WATCH_RETRY_DELAY).await;
+        if events.is_closed() {
             return None;
         }
     }
 }
 
-async fn pass_on(mut updates: mpsc::Receiver<Update>, heard: &mpsc::Sender<Event>) -> Option<()> {
+async fn forward(mut updates: mpsc::Receiver<Update>, events: &mpsc::Sender<Event>) -> Option<()> {
     loop {
         let update = tokio::select! {
             update = updates.recv() => update,
-            () = heard.closed() => return None,
+            () = events.closed() => return None,
         };
         match update {
             Some(Update::Put(entry)) => {
                 let revision = entry.revision;
                 if let Some(roster) = decode(&entry) {
-                    heard.send(Event::RosterReceived { revision, roster }).await.ok()?;
+                    events.send(Event::RosterReceived { revision, roster }).await.ok()?;
                 }
             }
             // Owners go on by the last roster; an operator has to put the removed one back.
@@ -112,16 +112,16 @@
 }
 
 /// Reads the store's revision and the roster.
-async fn find<S: Store>(store: &S) -> Result<(Revision, Found), kv::Error> {
+async fn find<S: Store>(store: &S) -> Result<(Revision, Versioned), kv::Error> {
     let snapshot = store.read(roster::KEY).await?;
     let Some(entry) = snapshot.entries.iter().find(|entry| entry.key == roster::KEY) else {
-        return Ok((snapshot.revision, Found { revision: 0, roster: None }));
+        return Ok((snapshot.revision, Versioned { revision: 0, roster: None }));
     };
     let roster = decode(entry);
     if roster.is_none() {
         return Err(kv::Error::Protocol("the roster can't be read".to_owned()));
     }
-    Ok((snapshot.revision, Found { revision: entry.revision, roster }))
+    Ok((snapshot.revision, Versioned { revision: entry.revision, roster }))
 }
 
 fn decode(entry: &kv::Entry) -> Option<Arc<Roster>> {
--- a/bin/entry/src/share.rs
+++ b/bin/entry/src/share.rs
@@ -28,7 +28,7 @@
 
     /// Sets the connections of a list to what the router may use, and keeps how many each front may
     /// leave idle.
-    pub fn set_aside(&mut self, view: &mut list::View) {
+    pub fn reserve_idle(&mut self, view: &mut list::View) {
         self.idle.clear();
         for member in view.members.iter_mut().filter(|member| member.role == list::Role::Backend) {
             let each = member.connections / self.entries / self.fronts;
--- a/bin/entry/src/watch.rs
+++ b/bin/entry/src/watch.rs
@@ -18,27 +18,27 @@
 use tokio::sync::oneshot;
 use tokio::sync::watch;
 
-use crate::message::Errand;
-use crate::message::News;
+use crate::message::PeerCommand;
+use crate::message::Update;
 use crate::outbox::Outbox;
 
 /// How often the list is read.
-const LIST_EVERY: Duration = Duration::from_millis(500);
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What the watching duty is started with.
 pub struct Watch<L> {
     /// The platform's list.
     pub list: L,
     /// To the deciding duty.
-    pub news: ring::Sender<News>,
+    pub updates: ring::Sender<Update>,
     /// To the peer duty.
-    pub errands: ring::Sender<Errand>,
+    pub peer_commands: ring::Sender<PeerCommand>,
     /// To the duty that follows the configuration.
     pub members: watch::Sender<Vec<Member>>,
     /// For log events.
     pub logger: Logger,
     /// Closed by the deciding duty when it ends.
-    pub over: oneshot::Receiver<()>,
+    pub done: oneshot::Receiver<()>,
 }
 
 /// Starts the watching duty; it ends when the deciding duty has ended.
@@ -52,19 +52,19 @@
 
 /// Reads the list again and again; a failed read leaves the last one in use.
 async fn run<L: List>(watch: Watch<L>) {
-    let Watch { list, news, errands, members, logger, mut over } = watch;
-    let (mut news, mut errands) = (Outbox::open(news), Outbox::open(errands));
-    let mut reader = Reader::open(list, Vec::new(), LIST_EVERY);
+    let Watch { list, updates, peer_commands, members, logger, mut done } = watch;
+    let (mut updates, mut peer_commands) = (Outbox::open(updates), Outbox::open(peer_commands));
+    let mut reader = Reader::open(list, Vec::new(), LIST_INTERVAL);
     loop {
         let read = tokio::select! {
             read = reader.read() => read,
-            _ = &mut over => return,
+            _ = &mut done => return,
         };
         match read {
             Read::Changed(view) => {
                 let view = Arc::new(view);
-                news.push(News::Listed { view: view.clone() });
-                errands.push(Errand::Listed { view: view.clone() });
+                updates.push(Update::Listed { view: view.clone() });
+                peer_commands.push(PeerCommand::Listed { view: view.clone() });
                 members.send_replace(view.members.clone());
             }
             Read::Lost(error) => {
@@ -72,7 +72,7 @@
             }
             Read::Unchanged | Read::StillLost(_) => {}
         }
-        news.flush();
-        errands.flush();
+        updates.flush();
+        peer_commands.flush();
     }
 }
--- a/bin/entry/tests/support/mod.rs
+++ b/bin/entry/tests/support/mod.rs
@@ -55,7 +55,7 @@
 /// Starts an entry before these backend servers and waits until it is ready.
 pub async fn open(list: &List, store: &Store, flags: &[&str]) -> Running {
     let running = open_early(list, store, flags);
-    until("the entry is ready", || running.entry.ready()).await;
+    until("the entry is ready", || running.entry.is_ready()).await;
     running
 }
 
@@ -71,7 +71,7 @@
     let running = start(settings, Some(identity.clone()), list, store);
     let address = running.entry.peer_address().expect("it has links");
     list.add(list::Member { role: list::Role::Entry, ..platform::member(name, "", address) });
-    until("the entry is ready", || running.entry.ready()).await;
+    until("the entry is ready", || running.entry.is_ready()).await;
     running
 }
 
@@ -100,7 +100,7 @@
 
     /// Tells whether the process wants work.
     pub fn ready(&self) -> bool {
-        self.entry.ready()
+        self.entry.is_ready()
     }
 
     /// Makes the URL of a path below a service.
