--- a/bin/entry/src/accept.rs
+++ b/bin/entry/src/accept.rs
@@ -1,7 +1,7 @@
-//! The accepting duty: takes callers' connections and gives each to the front that has fewest.
+//! The accept thread: accepts callers' connections and passes each to the front with the fewest.
 //!
-//! A listener shared by the fronts leaves most connections with one of them, and one listener for
-//! each (`SO_REUSEPORT`) would let a second process take the address without an error.
+//! With one listener shared by the fronts, one front would get most of the connections; with one
+//! listener each (`SO_REUSEPORT`), a second process could bind the address without an error.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,17 +20,17 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
-/// How long to leave the listener alone when the system can't accept, for want of descriptors say.
+/// Delay after a failed accept, for example when file descriptors run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A caller's connection on its way to a front.
+/// An accepted connection to be passed to a front.
 #[derive(Debug)]
 pub struct Accepted {
     /// The connection, non-blocking.
     pub stream: std::net::TcpStream,
-    /// Where it comes from.
+    /// The caller's address.
     pub remote: SocketAddr,
-    /// Kept for as long as the connection is.
+    /// Counts the connection until it is closed.
     pub guard: Guard,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// The way to one front.
+/// The ring to one front, with the number of its connections.
 #[derive(Debug)]
 pub struct Target {
     ring: ring::Sender<Accepted>,
@@ -54,12 +54,12 @@
 }
 
 impl Target {
-    /// Opens the way to a front.
+    /// Opens a target without connections.
     pub fn open(ring: ring::Sender<Accepted>) -> Target {
         Target { ring, connections: Arc::default() }
     }
 
-    /// Gives the front a connection; one that it has no room for is closed.
+    /// Passes a connection to the front, or closes it if the ring is full.
     fn dispatch(&mut self, stream: std::net::TcpStream, remote: SocketAddr) {
         self.connections.fetch_add(1, Ordering::Relaxed);
         let guard = Guard { connections: self.connections.clone() };
@@ -67,12 +67,12 @@
     }
 }
 
-/// Starts the accepting duty on a bound, non-blocking listener. It ends when `close` is closed or
-/// the stop is forced, and the fronts see their rings closed.
+/// Starts the accept thread on a bound, non-blocking listener. It ends when `close` is closed or
+/// the stop is forced, which closes the rings to the fronts.
 ///
 /// # Errors
 ///
-/// When the system refuses the thread.
+/// Returns an error if the thread can't be started.
 pub fn spawn(
     listener: std::net::TcpListener,
     targets: Vec<Target>,
@@ -99,7 +99,7 @@
             () = stop.reached(Stage::Forced) => return,
         }
     }
-    // Connections that the system has made already are answered, too, rather than reset.
+    // Connections that wait in the system's accept queue are served, too, rather than reset.
     while let Some(Ok((stream, remote))) = listener.accept().now_or_never() {
         dispatch(&mut targets, stream, remote);
     }
--- a/bin/entry/src/decide/act.rs
+++ b/bin/entry/src/decide/act.rs
@@ -1,4 +1,4 @@
-//! Sees to what the router wants done.
+//! Executes the actions that the router returns.
 
 use cowslipchute_base::id;
 use cowslipchute_daemon::log;
@@ -13,11 +13,11 @@
 use crate::message::PeerCommand;
 
 impl Decider {
-    /// Gives the router one event and sees to what it wants done.
+    /// Passes one event to the router and executes the actions that it returns.
     pub(super) fn step(&mut self, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.router.step(self.clock.now(), event, &mut actions);
-        // In their order: a settlement needs the answer, which the final action takes away.
+        // In order: a settlement needs the answer, which the final action removes.
         for action in actions.drain(..) {
             self.execute(action);
         }
@@ -56,7 +56,7 @@
                 }
             }
             Action::Announce { instance, incarnation } => {
-                // The list will say so too; a peer that isn't told just hears it later.
+                // Best effort: a peer that misses the announcement learns it later from the list.
                 let _ = self.peer_commands.send(PeerCommand::Announce { instance, incarnation });
             }
             Action::Note { event, subject } => {
--- a/bin/entry/src/decide/mod.rs
+++ b/bin/entry/src/decide/mod.rs
@@ -1,5 +1,5 @@
-//! The deciding duty: it alone owns the router, feeds it one event after another and sends what it
-//! wants done to the front that holds the request.
+//! The decision thread: the only owner of the router. It passes events to the router one at a time
+//! and sends the resulting commands to the front that holds the request.
 
 mod act;
 mod stop;
@@ -43,7 +43,7 @@
 use crate::outbox::Outbox;
 use crate::share::Share;
 
-/// Messages taken from one ring before the next one is looked at.
+/// Maximum number of messages read from one ring before the next ring is read.
 const BATCH: usize = 64;
 
 /// The rings to and from one front.
@@ -54,39 +54,39 @@
     pub commands: ring::Sender<Command>,
 }
 
-/// What the deciding duty is started with.
+/// The inputs of the decision thread.
 pub struct Decide {
     /// Settings of the router.
     pub router: router::Settings,
-    /// The fronts, by their number.
+    /// The rings of the fronts, by the front's number.
     pub fronts: Vec<Channels>,
-    /// From the duty that follows the configuration.
+    /// From the thread that follows the configuration.
     pub changes: ring::Receiver<Change>,
-    /// From the watching duty.
+    /// From the watch thread.
     pub updates: ring::Receiver<Update>,
-    /// To the peer duty.
+    /// To the peer thread.
     pub peer_commands: ring::Sender<PeerCommand>,
-    /// From the peer duty.
+    /// From the peer thread.
     pub peer_events: ring::Receiver<PeerEvent>,
-    /// Rung by every ring that ends here.
+    /// Wakes this thread; every ring that ends here notifies it.
     pub bell: Bell,
-    /// Set when configuration and list are in force, unset when a stop is asked for.
+    /// Set when configuration and list are loaded, cleared when a stop begins.
     pub readiness: Readiness,
-    /// How far the stop has come.
+    /// The stage of the stop.
     pub stop: Stop,
     /// For log events.
     pub logger: Logger,
-    /// Dropped when nothing is in progress any more, which ends the accepting duty.
+    /// Dropped when a drain has no request in progress, which ends the accept thread.
     pub accepting: oneshot::Sender<()>,
-    /// Dropped when the duty ends, which ends the watching duty.
+    /// Dropped when this thread ends, which ends the watch thread.
     pub done: oneshot::Sender<()>,
 }
 
-/// Starts the deciding duty. It ends when every front has ended, or when the stop is forced.
+/// Starts the decision thread. It ends when every front has ended, or when the stop is forced.
 ///
 /// # Errors
 ///
-/// When the system refuses the thread.
+/// Returns an error if the thread can't be started.
 pub fn spawn(decide: Decide) -> io::Result<Duty> {
     duty::spawn("decide", move || async move { Decider::open(decide).run().await })
 }
@@ -105,9 +105,9 @@
     _done: oneshot::Sender<()>,
     clock: Clock,
     share: Share,
-    /// Which front carries an attempt.
+    /// The front that runs each attempt.
     attempts: HashMap<Attempt, usize>,
-    /// Requests whose claim could not be passed on.
+    /// Requests whose claim could not be sent to the peer thread.
     unsent_claims: Vec<id::Request>,
     services: Services,
     services_changed: bool,
@@ -115,7 +115,7 @@
     listed: bool,
     draining_since: Option<Time>,
     accepting: Option<oneshot::Sender<()>>,
-    /// Reused from step to step.
+    /// A buffer reused between steps.
     actions: Vec<Action>,
 }
 
@@ -199,7 +199,7 @@
     fn apply_change(&mut self, change: Change) {
         match change {
             Change::Put { name, spec, .. } => {
-                // Jobs, teams and policies are the placer's.
+                // Jobs, teams and policies concern only the scheduler.
                 let Spec::Service(spec) = *spec else { return };
                 self.services.insert(name.clone(), spec.class);
                 self.services_changed = true;
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Reads a batch from each front; tells whether there may be more.
+    /// Reads a batch from each front and returns `true` if there may be more.
     fn read_reports(&mut self) -> bool {
         let mut more = false;
         for number in 0..self.fronts.len() {
--- a/bin/entry/src/decide/stop.rs
+++ b/bin/entry/src/decide/stop.rs
@@ -1,4 +1,4 @@
-//! Readiness, the wait between two rounds, and the stages of a stop.
+//! Readiness, the wait between two iterations of the loop, and the stages of a stop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,14 +13,14 @@
 use crate::decide::Decider;
 use crate::message::Command;
 
-/// How often what did not fit into a ring is tried again.
+/// Retry interval for messages that did not fit into a ring.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(1);
-/// How long after a stop was asked for new requests are still told that this instance is stopping,
-/// so that the platform's balancer sees the readiness go before the address does.
+/// Minimum time from the start of a stop to the closing of the listener. New requests are rejected
+/// meanwhile, and the platform's balancer sees the lost readiness before the address closes.
 const MIN_DRAIN: Duration = Duration::from_millis(500);
 
 impl Decider {
-    /// Tells the fronts which services are in force, from when configuration and list are there.
+    /// Sends the declared services to the fronts, once configuration and list are loaded.
     pub(super) fn publish(&mut self) {
         if !(self.services_changed && self.configured && self.listed) {
             return;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Moves a stop on: first no new requests, then no connections.
+    /// Advances a stop: first rejects new requests, then closes the listener.
     pub(super) fn advance_stop(&mut self) {
         if self.stop.stage() < Stage::Draining {
             return;
--- a/bin/entry/src/entry.rs
+++ b/bin/entry/src/entry.rs
@@ -1,4 +1,4 @@
-//! The running entry process: its duties and the rings between them.
+//! The running entry process: its threads and the rings between them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -43,17 +43,17 @@
 use crate::watch;
 use crate::watch::Watch;
 
-/// Messages that a ring between a front and the deciding duty holds.
+/// Capacity of a ring between a front and the decision thread.
 const RING_CAPACITY: usize = 4096;
-/// News that may wait for the deciding duty.
+/// Capacity of a ring of updates to the decision thread.
 const UPDATE_CAPACITY: usize = 256;
-/// Connections that may wait for a front.
+/// Capacity of a ring of accepted connections to a front.
 const CONNECTION_CAPACITY: usize = 1024;
-/// How long a call to a peer may take.
+/// Timeout of a call to a peer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Calls of peers that may be unanswered at once.
+/// Maximum number of unanswered calls from peers.
 const MAX_CALLS: usize = 4096;
-/// Errands that may wait for the peer duty, from each duty that sends them.
+/// Capacity of each ring to or from the peer thread.
 const PEER_COMMAND_CAPACITY: usize = 1024;
 
 /// A running entry process.
@@ -66,24 +66,24 @@
     follower: Follower,
 }
 
-/// What every duty is started with.
+/// The state that all threads share.
 struct Shared {
     settings: Settings,
     metrics: Metrics,
     readiness: Readiness,
     stop: Stop,
     logger: Logger,
-    /// Wakes the deciding duty.
+    /// Wakes the decision thread.
     bell: Bell,
-    /// Wakes the peer duty.
+    /// Wakes the peer thread.
     peer_bell: Bell,
 }
 
-/// Starts the duties of an entry process. It runs until `stop` asks it to end.
+/// Starts the threads of an entry process. It runs until `stop` is triggered.
 ///
 /// # Errors
 ///
-/// When an address can't be bound or the system refuses a thread.
+/// Returns an error if an address can't be bound or a thread can't be started.
 pub fn open<S: Store, L: List>(
     settings: Settings,
     identity: Option<Identity>,
@@ -104,7 +104,7 @@
         peer_bell: Bell::default(),
         settings,
     };
-    // The admin duty serves until the process ends, so that a stop can be watched to its end.
+    // The admin thread serves until the process ends, so that a stop can be observed until it is complete.
     let admin = shared.settings.common.admin;
     admin::spawn(admin, registry.clone(), shared.readiness.clone(), None)
         .with_context(|| format!("can't bind {admin}"))?;
@@ -159,7 +159,7 @@
     Ok(listener)
 }
 
-/// The fronts, with the other ends of their rings.
+/// The fronts, with the opposite ends of their rings.
 #[derive(Default)]
 struct Fronts {
     duties: Vec<Duty>,
@@ -195,7 +195,7 @@
     Ok(fronts)
 }
 
-/// What the peer duty needs beside what all duties share.
+/// What only the peer thread needs.
 struct PeerParts<S> {
     identity: Option<Identity>,
     store: S,
@@ -223,38 +223,38 @@
     Ok(peers::spawn(peers)?)
 }
 
-/// Says how peers are linked to, if they are at all.
+/// Returns the settings of the connections to peers, if there are any.
 fn links(
     settings: &Settings,
     identity: Option<Identity>,
 ) -> anyhow::Result<Option<node::Settings>> {
     let Some(address) = settings.peers.listen else { return Ok(None) };
-    let identity = identity.context("links to peers need a certificate")?;
+    let identity = identity.context("connections to peers need a certificate")?;
     Ok(Some(node::Settings { address, identity, call_timeout: CALL_TIMEOUT, calls: MAX_CALLS }))
 }
 
 impl Entry {
-    /// Returns the address that callers' requests come in on.
+    /// Returns the address on which callers' requests are accepted.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the address that peers' links come in on, if there are any.
+    /// Returns the address on which peers' connections are accepted, if there is one.
     pub fn peer_address(&self) -> Option<SocketAddr> {
         self.peer_address
     }
 
-    /// Tells whether the process wants work.
+    /// Returns `true` if the process is ready for requests.
     pub fn is_ready(&self) -> bool {
         self.readiness.get()
     }
 
-    /// Returns the registry of everything that is counted.
+    /// Returns the metrics registry.
     pub fn registry(&self) -> &Registry {
         &self.registry
     }
 
-    /// Waits until every duty has ended, which the stop brings about.
+    /// Waits until every thread has ended, which happens after a stop.
     pub fn join(self) {
         for duty in self.duties {
             duty.join();
--- a/bin/entry/src/front/client.rs
+++ b/bin/entry/src/front/client.rs
@@ -1,5 +1,5 @@
-//! HTTP clients to backend servers: one for each life of each server, so that no connection to an
-//! earlier life is ever used for a later one.
+//! HTTP clients to backend servers: one for each incarnation of each server, so that no connection
+//! to an earlier incarnation is ever used for a later one.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 use cowslipchute_base::id::Time;
 use reqwest::Client;
 
-/// How long an idle connection is kept. Backend servers keep theirs longer, so that they rarely
-/// close one just as a request is being written to it.
+/// Time after which an idle connection is closed. Backend servers keep connections longer, so that
+/// they rarely close one while a request is being written to it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a client is kept after its last use; its connections are closed long before.
+/// Time after which an unused client is removed; its connections are closed long before.
 const UNUSED_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The clients of one front.
@@ -29,11 +29,11 @@
 }
 
 impl Table {
-    /// Finds or opens the client for one life of a backend server.
+    /// Returns the client for one incarnation of a backend server, opening it if necessary.
     ///
     /// # Errors
     ///
-    /// When the library refuses its settings.
+    /// Returns an error if the library rejects the client's settings.
     pub fn get(
         &mut self,
         now: Time,
@@ -57,11 +57,10 @@
     }
 }
 
-/// Opens a client that does nothing of its own accord: no redirect, no proxy from the environment,
-/// no retry.
+/// Opens a client that follows no redirects, uses no proxy from the environment and doesn't retry.
 ///
-/// The library below still sends a request on a fresh connection when its pooled one closed before
-/// the request was begun. That is safe: not a byte had been written. A test holds it to that.
+/// The HTTP library still sends a request on a new connection if the pooled one closed before the
+/// request was started. That is safe, since no byte had been written; a test checks it.
 fn open(connect: Duration, idle_max: usize) -> reqwest::Result<Client> {
     Client::builder()
         .http1_only()
--- a/bin/entry/src/front/command.rs
+++ b/bin/entry/src/front/command.rs
@@ -1,4 +1,4 @@
-//! Does what the deciding duty wants of a front.
+//! Executes the commands of the decision thread at a front.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::message::Report;
 use crate::reply::Final;
 
-/// Follows one order.
+/// Executes one command.
 pub fn execute(pending: &Arc<Pending>, command: Command) {
     let mut table = pending.table();
     match command {
@@ -46,7 +46,7 @@
         }
         Command::Settle { request, service, key, settled } => {
             let settlement = table.settlement(request, settled);
-            // An owner that is never told keeps the key in doubt, which is safe.
+            // If the owner gets no settlement, the key stays in doubt, which is safe.
             let _ =
                 table.peer_commands.send(PeerCommand::Settle { request, service, key, settlement });
             table.drop_if_done(request);
@@ -56,7 +56,7 @@
     }
 }
 
-/// Starts an attempt; tells whether it was started.
+/// Starts an attempt and returns `true` if it was started.
 fn send(pending: &Arc<Pending>, table: &mut Table, dispatch: &Dispatch) -> bool {
     let Some(in_flight) = table.requests.get_mut(&dispatch.request) else { return false };
     let request = exchange::request(&in_flight.head, &in_flight.body, &pending.origin, dispatch);
--- a/bin/entry/src/front/exchange.rs
+++ b/bin/entry/src/front/exchange.rs
@@ -1,4 +1,4 @@
-//! Carries one attempt to a backend server and says strictly how it ended.
+//! Runs one attempt against a backend server and classifies strictly how it ended.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -25,7 +25,7 @@
 pub struct Outcome {
     /// How it ended.
     pub ending: Ending,
-    /// The answer, just when `ending` is `Answered`.
+    /// The answer, if and only if `ending` is `Answered`.
     pub answer: Option<Answer>,
 }
 
@@ -35,10 +35,9 @@
     }
 }
 
-/// Makes the request of an attempt.
+/// Returns the request of an attempt, or `None` if the target can't be part of a URL.
 ///
-/// It says that it comes from `origin`, whatever the caller said of that. Nothing when the target
-/// can't be put into a URL.
+/// The origin header is set to `origin`, whatever value the caller sent.
 pub fn request(
     head: &Head,
     body: &Bytes,
@@ -68,10 +67,10 @@
     }
 }
 
-/// Tells what a request without an answer may have done.
+/// Returns the ending of a request that got no answer.
 ///
-/// Only a connection that was never made proves that no byte was sent: on a connection that breaks
-/// later, bytes may have left however the library words it.
+/// Only a connection that was never established proves that no byte was sent: on a connection that
+/// breaks later, bytes may have been sent, whatever error the library reports.
 fn classify_error(error: &reqwest::Error) -> Ending {
     if error.is_connect() || error.is_builder() { Ending::Unsent } else { Ending::Broken }
 }
@@ -98,10 +97,10 @@
     }
 }
 
-/// Tells whether the end of the answer can be told from a broken connection.
+/// Returns `true` if the end of the answer can be distinguished from a broken connection.
 ///
-/// An answer that ends with its connection, without a length or chunks, looks the same when it is
-/// cut short, so it is never passed on as whole.
+/// An answer that is delimited by the end of its connection, without a length or chunks, looks the
+/// same when it is truncated, so it is never forwarded as whole.
 fn is_delimited(response: &Response, method: &Method) -> bool {
     let status = response.status();
     let bodiless = method == Method::HEAD
@@ -129,7 +128,7 @@
         if first.len() + rest.len() + chunk.len() > answer_max {
             return Err(Ending::TooLarge);
         }
-        // Most answers come in one piece, which is then not copied.
+        // Most answers arrive in one chunk, which is then not copied.
         if first.is_empty() {
             first = chunk;
         } else {
@@ -145,12 +144,12 @@
     Ok(whole.freeze())
 }
 
-/// Leaves out what concerns the connection to the backend server only.
+/// Removes the headers that concern only the connection to the backend server.
 fn end_to_end(mut headers: HeaderMap, method: &Method) -> HeaderMap {
     if head::strip_hop_by_hop(&mut headers).is_err() {
         headers.remove(header::CONNECTION);
     }
-    // The length of an answer to HEAD says what GET would give; any other follows from the body.
+    // An answer to HEAD has the length that GET would return; any other length follows from the body.
     if method != Method::HEAD {
         headers.remove(header::CONTENT_LENGTH);
     }
--- a/bin/entry/src/front/handler.rs
+++ b/bin/entry/src/front/handler.rs
@@ -1,4 +1,4 @@
-//! Where callers' requests come in: an endpoint of the HTTP server.
+//! The HTTP endpoint for callers' requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,14 +21,14 @@
 use crate::reply::Final;
 use crate::settings::Limits;
 
-/// Takes every request on the callers' address.
+/// Handles every request on the callers' address.
 pub struct Handler {
     pending: Arc<Pending>,
     limits: Limits,
 }
 
 impl Handler {
-    /// Opens the endpoint of a front.
+    /// Opens the handler of a front.
     pub fn open(pending: Arc<Pending>, limits: Limits) -> Handler {
         Handler { pending, limits }
     }
@@ -55,7 +55,7 @@
                 let mut guard = Guard { pending: &self.pending, request: Some(ticket.request) };
                 let last = ticket.answer.await;
                 guard.request = None;
-                // The sender is dropped only when the duty ends, which a forced stop does.
+                // The sender is dropped only when the thread ends, which happens on a forced stop.
                 last.unwrap_or_else(|_| Final::own(Code::Timeout))
             }
             Err(code) => Final::own(code),
@@ -63,7 +63,7 @@
         Served { label: Some(label), last }
     }
 
-    /// Reads the whole body, up to the limit and for no longer than a body may take.
+    /// Reads the whole body, within the limits on size and time.
     async fn body(&self, body: Body, announced: u64) -> Result<Bytes, Code> {
         if announced > self.limits.body as u64 {
             return Err(Code::TooLarge);
@@ -80,7 +80,7 @@
     }
 }
 
-/// A final answer with what is counted about it.
+/// A final answer with its metric labels.
 struct Served {
     label: Option<Label>,
     last: Final,
@@ -92,8 +92,8 @@
     }
 }
 
-/// Tells the pending when the request is dropped before its final answer, which the HTTP server does
-/// when the caller's connection goes away.
+/// Abandons the request when it is dropped before its final answer, which the HTTP server does when
+/// the caller's connection closes.
 struct Guard<'a> {
     pending: &'a Pending,
     request: Option<id::Request>,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Returns the length that a request's head announces; the server has checked its form.
+/// Returns the declared length of a request's body; the HTTP server has checked its format.
 fn declared_length(headers: &HeaderMap) -> u64 {
     let length = headers.get(header::CONTENT_LENGTH);
     length.and_then(|value| value.to_str().ok()?.parse().ok()).unwrap_or(0)
--- a/bin/entry/src/front/mod.rs
+++ b/bin/entry/src/front/mod.rs
@@ -1,9 +1,9 @@
-//! The front duty: takes callers' requests on one thread and carries their attempts from there.
+//! The front thread: reads callers' requests and sends their attempts to backend servers.
 //!
 //! Connections are driven here rather than by poem's own server, see [`serve`].
 //!
-//! All of a request's bytes stay on the thread that took it; only numbers travel to the deciding
-//! duty and back.
+//! The bytes of a request stay on the thread that read it; the decision thread receives only the
+//! request's number and routing properties.
 
 mod client;
 mod command;
@@ -37,39 +37,39 @@
 use crate::metrics::Metrics;
 use crate::settings::Limits;
 
-/// How often what did not fit into the ring is tried again.
+/// Retry interval for messages that did not fit into the ring.
 const FLUSH_INTERVAL: std::time::Duration = std::time::Duration::from_millis(1);
 
-/// What a front duty is started with.
+/// The inputs of a front thread.
 pub struct Front {
-    /// Which front of this process it is, from zero.
+    /// The index of the front in this process, from zero.
     pub number: u16,
-    /// The address that callers come in on.
+    /// The address on which callers connect.
     pub local: SocketAddr,
-    /// From the accepting duty; the front ends some time after this ring is closed.
+    /// From the accept thread; the front ends when this ring and all its connections are closed.
     pub accepted: ring::Receiver<Accepted>,
-    /// Who sends the attempts.
+    /// The sender that attempts name in their origin header.
     pub origin: Origin,
-    /// Sizes that are refused beyond, and connection limits.
+    /// Limits on sizes and times.
     pub limits: Limits,
-    /// To the deciding duty.
+    /// To the decision thread.
     pub reports: ring::Sender<Report>,
-    /// To the peer duty.
+    /// To the peer thread.
     pub peer_commands: ring::Sender<PeerCommand>,
-    /// From the deciding duty.
+    /// From the decision thread.
     pub commands: ring::Receiver<Command>,
-    /// What is counted.
+    /// The metrics.
     pub metrics: Metrics,
-    /// Ends the duty when the stop is forced.
+    /// Ends the thread when the stop is forced.
     pub stop: Stop,
 }
 
-/// Starts a front duty. It ends when no connection can come any more and each that it holds is
-/// closed, or when the orders' ring is closed, or when the stop is forced.
+/// Starts a front thread. It ends when the ring of accepted connections and all connections are
+/// closed, when the ring of commands is closed, or when the stop is forced.
 ///
 /// # Errors
 ///
-/// When the system refuses the thread.
+/// Returns an error if the thread can't be started.
 pub fn spawn(front: Front) -> io::Result<Duty> {
     duty::spawn(&format!("front-{}", front.number), move || run(front))
 }
@@ -98,7 +98,7 @@
     }
 }
 
-/// Follows the orders until their ring is closed.
+/// Executes commands until their ring is closed.
 async fn follow(mut commands: ring::Receiver<Command>, pending: &Arc<Pending>) {
     loop {
         let command = if pending.has_backlog() {
--- a/bin/entry/src/front/pending.rs
+++ b/bin/entry/src/front/pending.rs
@@ -1,7 +1,7 @@
-//! The requests that one front holds, with their attempts and answers.
+//! The requests in progress at one front, with their attempts and answers.
 //!
-//! Everything here runs on the front's own thread; the lock is there because the HTTP library asks
-//! for `Sync`, and is never waited for.
+//! Everything here runs on the front's own thread. The lock exists only because the HTTP library
+//! requires `Sync`; it is never contended.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -37,17 +37,17 @@
 use crate::reply::Final;
 use crate::settings::Limits;
 
-/// Bits of a request's number that count within its front.
+/// Number of low bits of a request's number that hold its sequence number within the front.
 const SEQUENCE_BITS: u32 = 48;
 
-/// Tells which front holds a request.
+/// Returns the index of the front that holds a request.
 pub fn front_of(request: id::Request) -> usize {
     (request >> SEQUENCE_BITS) as usize
 }
 
-/// The requests of one front.
+/// The requests in progress at one front.
 pub struct Pending {
-    /// Says in each attempt who sends it.
+    /// The value of the origin header of each attempt.
     pub(super) origin: HeaderValue,
     pub(super) limits: Limits,
     pub(super) metrics: Metrics,
@@ -55,29 +55,29 @@
     table: Mutex<Table>,
 }
 
-/// A request just taken in.
+/// An admitted request.
 pub struct Ticket {
     /// Its number.
     pub request: id::Request,
-    /// Where its final answer comes.
+    /// Receives its final answer.
     pub answer: oneshot::Receiver<Final>,
 }
 
-/// Names a request's series in the metrics; a service that isn't declared has no name there.
+/// The metric labels of a request; a service that isn't declared is not named.
 #[derive(Clone, Debug)]
 pub struct Label {
-    /// The service, if it is in force.
+    /// The service, if it is declared.
     pub service: Option<id::Service>,
-    /// The class in effect.
+    /// The effective class.
     pub class: Class,
 }
 
 impl Pending {
-    /// Opens the pending of a front, which isn't ready until it is told the services.
+    /// Opens the requests of a front, which isn't ready until it receives the services.
     ///
     /// # Panics
     ///
-    /// Panics when a name of the origin fits no header, which the checks of the settings rule out.
+    /// Panics if the origin is not a valid header value, which the checks of the settings rule out.
     pub fn open(
         number: u16,
         origin: &Origin,
@@ -96,22 +96,23 @@
             reports: Outbox::open(reports),
             peer_commands,
         };
-        let origin = HeaderValue::try_from(origin.to_string()).expect("names are checked settings");
+        let origin = HeaderValue::try_from(origin.to_string())
+            .expect("the settings' names are valid header values");
         Pending { origin, limits, metrics, clock: Clock::start(), table: Mutex::new(table) }
     }
 
-    /// Returns the requests.
+    /// Locks and returns the table of requests.
     pub(super) fn table(&self) -> MutexGuard<'_, Table> {
-        // A panic between two statements can't leave the table in a state worse than it was.
+        // A panic can't leave the table inconsistent, so a poisoned lock is ignored.
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells whether answers close their connections.
+    /// Returns `true` if answers close their connections.
     pub fn draining(&self) -> bool {
         self.table().draining
     }
 
-    /// Names the series of a request.
+    /// Returns the metric labels of a request.
     pub fn label(&self, service: &id::Service, asked: Option<Class>) -> Label {
         let table = self.table();
         let found = table.services.as_ref().and_then(|services| services.get_key_value(service));
@@ -124,11 +125,12 @@
         }
     }
 
-    /// Takes a whole request in and tells the deciding duty.
+    /// Admits a completely read request and reports it to the decision thread.
     ///
     /// # Errors
     ///
-    /// `NotReady` before the first configuration, `Busy` when the deciding duty lags.
+    /// Returns `NotReady` before the first configuration, `Busy` if the ring to the decision thread is
+    /// full, and `QueueTimeout` if the deadline has passed.
     pub fn take(&self, head: Head, body: Bytes, began: Instant) -> Result<Ticket, Code> {
         let mut table = self.table();
         if table.services.is_none() {
@@ -164,7 +166,7 @@
         Ok(Ticket { request, answer })
     }
 
-    /// Notes that the caller went away.
+    /// Records that the caller disconnected.
     pub fn abandon(&self, request: id::Request) {
         let mut table = self.table();
         let Some(in_flight) = table.requests.get_mut(&request) else { return };
@@ -173,20 +175,20 @@
         table.reports.push(Report::Abandoned { request });
     }
 
-    /// Tells whether reports wait for room in the ring.
+    /// Returns `true` if reports wait for free capacity in the ring.
     pub fn has_backlog(&self) -> bool {
         self.table().reports.has_backlog()
     }
 
-    /// Tries to pass on reports that wait for room in the ring.
+    /// Sends waiting reports until the ring is full.
     pub fn flush(&self) {
         self.table().reports.flush();
     }
 
-    /// Takes in how an attempt ended.
+    /// Records how an attempt ended.
     pub(super) fn ended(&self, attempt: Attempt, outcome: Outcome) {
         let mut table = self.table();
-        // Without its entry the attempt was cancelled; whatever it brought is nobody's.
+        // An attempt without an entry was cancelled, so its outcome is dropped.
         let Some(running) = table.attempts.remove(&attempt) else { return };
         self.metrics.attempts.dec();
         if let Some(in_flight) = table.requests.get_mut(&running.request) {
@@ -200,7 +202,7 @@
     }
 }
 
-/// What is left of a deadline since the request began to arrive.
+/// Returns the time left until a deadline that started when the request began to arrive.
 fn remaining(deadline: Duration, began: Instant) -> Result<Duration, Code> {
     let left = deadline.saturating_sub(began.elapsed());
     if left.is_zero() { Err(Code::QueueTimeout) } else { Ok(left) }
--- a/bin/entry/src/front/serve.rs
+++ b/bin/entry/src/front/serve.rs
@@ -1,10 +1,9 @@
 //! Drives callers' connections.
 //!
-//! Endpoint, request and response are poem's; the connections are driven by the library below it.
-//! Poem's own server polls a connection once more after it has failed, and so keeps the handler of
-//! a caller that went away running to its end: an abandoned request would hold its slot at the
-//! backend server until its deadline. It also bounds no time for a head. A test of an abandoned
-//! request failed with it.
+//! Endpoint, request and response are poem's, but the connections are driven directly by hyper.
+//! Poem's own server polls a connection once more after it has failed, and so runs the handler of a
+//! disconnected caller to its end: an abandoned request would occupy the backend server until its
+//! deadline, and a test of abandoned requests fails. It also has no timeout for reading a head.
 
 use std::convert::Infallible;
 use std::io;
@@ -35,8 +34,8 @@
 use crate::front::handler::Handler;
 use crate::front::stream::Stream;
 
-/// Serves connections until their ring is closed, then ends each as soon as it has answered the
-/// request that it holds, and returns.
+/// Serves connections until their ring is closed, then closes each as soon as its current request is
+/// answered, and returns.
 pub async fn run(
     mut accepted: ring::Receiver<Accepted>,
     local: SocketAddr,
@@ -71,11 +70,11 @@
     local: SocketAddr,
 }
 
-/// Serves one connection. Dropping it, on an error above all, drops the handler with it.
+/// Serves one connection. Dropping the connection, in particular on an error, drops the handler.
 async fn serve(server: Arc<Server>, accepted: Accepted, mut ended: watch::Receiver<()>) {
     let Accepted { stream, remote, guard: _place } = accepted;
     let Ok(stream) = TcpStream::from_std(stream) else { return };
-    // Without this a short answer may wait for the caller's delayed acknowledgement.
+    // Without `TCP_NODELAY` a short answer may wait for the caller's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| answer(&server, request, remote));
     let connection = server.builder.serve_connection(TokioIo::new(Stream::open(stream)), service);
@@ -87,7 +86,7 @@
             }
             return;
         }
-        // Only ever closed.
+        // No value is ever sent: this resolves when the sender is dropped.
         _ = ended.changed() => {}
     }
     connection.as_mut().graceful_shutdown();
--- a/bin/entry/src/front/stream.rs
+++ b/bin/entry/src/front/stream.rs
@@ -1,9 +1,9 @@
-//! A caller's connection, on which refusals by the HTTP library carry a number like all others.
+//! A caller's connection that adds a result code to the HTTP library's own error responses.
 //!
-//! The library answers a request that it can't parse by itself, without our headers. It begins to
-//! write an answer only when the last one is flushed, and writes the head of an answer in one
-//! buffer, so what it writes first after a flush can be told: a refusal without our code header is
-//! the library's own, and is replaced.
+//! The library itself responds to a request that it can't parse, without the result code headers.
+//! It starts to write a response only after the previous one is flushed, and writes the head in one
+//! buffer. So the first write after a flush starts a response: a 4xx status without the code header
+//! is the library's own error response, and is replaced.
 
 use std::io;
 use std::io::IoSlice;
@@ -21,18 +21,18 @@
 
 use crate::reply;
 
-/// How every refusal by the library starts.
+/// The first bytes of the library's error responses.
 const REFUSAL: &[u8] = b"HTTP/1.1 4";
-/// Statuses by which the library says that a head is too large.
+/// Statuses of the library's error responses to a head that is too large.
 const TOO_LARGE: [&[u8]; 2] = [b"414", b"431"];
 
-/// The connection.
+/// A caller's connection.
 #[derive(Debug)]
 pub struct Stream {
     inner: TcpStream,
-    /// Nothing was written since the last flush.
+    /// Whether nothing was written since the last flush.
     is_fresh: bool,
-    /// What is left of an answer in place of the library's.
+    /// The rest of the response that replaces the library's.
     replacement: Vec<u8>,
 }
 
@@ -42,7 +42,7 @@
         Stream { inner, is_fresh: true, replacement: Vec::new() }
     }
 
-    /// Writes what is left of our own answer.
+    /// Writes the rest of the replacement response.
     fn poll_replacement(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while !self.replacement.is_empty() {
             let written = ready!(Pin::new(&mut self.inner).poll_write(cx, &self.replacement))?;
@@ -54,7 +54,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Looks at the first bytes of a write; tells whether they are replaced.
+    /// Replaces a write that starts an error response of the library; returns `true` if it did.
     fn replace_refusal(&mut self, first: &[u8]) -> bool {
         let is_fresh = std::mem::replace(&mut self.is_fresh, false);
         if !is_fresh || !first.starts_with(REFUSAL) || has_code(first) {
--- a/bin/entry/src/front/table.rs
+++ b/bin/entry/src/front/table.rs
@@ -1,4 +1,4 @@
-//! The requests of one front with their attempts, answers and rings.
+//! The table of one front's requests, attempts and answers, with its rings.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
 pub struct Table {
     /// Number of the next request.
     pub next: id::Request,
-    /// Services in force; nothing before the first configuration.
+    /// Declared services; `None` before the first configuration.
     pub services: Option<Arc<Services>>,
     /// Whether answers close their connections.
     pub draining: bool,
@@ -37,27 +37,27 @@
     pub attempts: HashMap<Attempt, Running>,
     /// Clients to backend servers.
     pub clients: client::Table,
-    /// To the deciding duty.
+    /// To the decision thread.
     pub reports: Outbox<Report>,
-    /// To the peer duty.
+    /// To the peer thread.
     pub peer_commands: ring::Sender<PeerCommand>,
 }
 
 /// A request that has no final answer yet, or whose key is not settled.
 pub struct InFlight {
-    /// What the caller asks.
+    /// The request's head.
     pub head: Arc<Head>,
     /// Its whole body.
     pub body: Bytes,
-    /// Nothing when the caller went away.
+    /// Receives the final answer; `None` after it was sent or the caller disconnected.
     pub caller: Option<oneshot::Sender<Final>>,
-    /// Whole answers that are not passed on yet.
+    /// Whole answers that are not forwarded yet.
     pub answers: SmallVec<[Answered; 1]>,
-    /// Whether the owner of its key was told what became of it.
+    /// Whether the settlement of its key was sent to the key's owner.
     pub settled: bool,
-    /// Attempts that have not ended.
+    /// Number of attempts that have not ended.
     pub running: u16,
-    /// Attempts made.
+    /// Number of attempts made.
     pub sent: u16,
 }
 
@@ -73,19 +73,19 @@
 pub struct Running {
     /// The request.
     pub request: id::Request,
-    /// Stops it.
+    /// Aborts it.
     pub task: AbortHandle,
 }
 
 impl Table {
-    /// Takes out the answer of an attempt.
+    /// Removes and returns the answer of an attempt.
     pub fn answer(&mut self, request: id::Request, attempt: Attempt) -> Option<Answer> {
         let in_flight = self.requests.get_mut(&request)?;
         let place = in_flight.answers.iter().position(|answered| answered.attempt == attempt)?;
         Some(in_flight.answers.swap_remove(place).answer)
     }
 
-    /// Makes what the owner of the request's key is told.
+    /// Returns the settlement for the owner of the request's key, and marks the request as settled.
     pub fn settlement(&mut self, request: id::Request, settled: Settled) -> Settlement {
         let in_flight = self.requests.get_mut(&request);
         let Settled::Ran { attempt } = settled else {
@@ -106,17 +106,17 @@
         Settlement::Ran(kept.map(|answered| answered.answer.to_stored()))
     }
 
-    /// Gives the caller its final answer.
+    /// Sends the caller its final answer.
     pub fn finish(&mut self, request: id::Request, last: Final) {
         let Some(in_flight) = self.requests.get_mut(&request) else { return };
         if let Some(caller) = in_flight.caller.take() {
-            // A caller that went away in this moment is told about by its guard.
+            // If the caller has just disconnected, its guard abandons the request.
             let _ = caller.send(last);
         }
         self.drop_if_done(request);
     }
 
-    /// Lets go of a request that nobody waits for and nothing runs for.
+    /// Removes a request that has no caller, no running attempt and no key to settle.
     pub fn drop_if_done(&mut self, request: id::Request) {
         let Some(in_flight) = self.requests.get(&request) else { return };
         let unsettled =
--- a/bin/entry/src/head.rs
+++ b/bin/entry/src/head.rs
@@ -1,4 +1,4 @@
-//! Reads the head of a caller's request, and refuses at once what can't be meant.
+//! Parses and validates the head of a caller's request.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 use poem::http::Uri;
 use poem::http::header;
 
-/// Request header by which a caller asks for a lower class than the service's own.
+/// Request header with which a caller requests a lower class than the service's own.
 pub const CLASS_HEADER: &str = "cowslipchute-class";
-/// The longest deadline that a caller may name, in milliseconds.
-const DEADLINE_MAX: u64 = 600_000;
-/// The longest idempotency key.
-const KEY_MAX: usize = 255;
+/// Maximum deadline that a caller may set.
+const MAX_DEADLINE_MS: u64 = 600_000;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 255;
 
-/// Headers that concern one connection and are never passed on.
+/// Hop-by-hop headers, which are never forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -33,37 +33,37 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// What a caller asks, apart from the body.
+/// A request without its body.
 #[derive(Debug)]
 pub struct Head {
-    /// The service, as named by the first part of the path.
+    /// The service, named by the first segment of the path.
     pub service: id::Service,
     /// The method.
     pub method: Method,
-    /// Path and query as the backend server gets them.
+    /// Path and query for the backend server.
     pub target: String,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: HeaderMap,
-    /// The class that the caller asks for.
+    /// The class that the caller requests.
     pub class: Option<Class>,
     /// The caller's idempotency key.
     pub key: Option<id::IdempotencyKey>,
-    /// The time that the caller allows.
+    /// The caller's deadline, relative to the start of the request.
     pub deadline: Option<Duration>,
 }
 
 impl Head {
-    /// Tells whether running the request twice is the same as running it once.
+    /// Returns `true` if the request's method is idempotent.
     pub fn idempotent(&self) -> bool {
         self.method.is_idempotent()
     }
 }
 
-/// Reads a request's head.
+/// Parses a request's head.
 ///
 /// # Errors
 ///
-/// The result code for the caller.
+/// Returns the result code for the caller.
 pub fn read(
     method: Method,
     uri: &Uri,
@@ -88,11 +88,11 @@
     Ok(Head { service, method, target, headers, class, key, deadline })
 }
 
-/// Removes what concerns one connection only.
+/// Removes the hop-by-hop headers.
 ///
 /// # Errors
 ///
-/// When the connection header can't be read.
+/// Returns an error if the connection header can't be parsed.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) -> Result<(), Code> {
     if headers.contains_key(header::CONNECTION) {
         for name in connection_tokens(headers)? {
@@ -105,7 +105,7 @@
     Ok(())
 }
 
-/// Collects the headers that the connection header names.
+/// Returns the names of the headers that the connection header lists.
 fn connection_tokens(headers: &HeaderMap) -> Result<Vec<HeaderName>, Code> {
     let mut names = Vec::new();
     for value in headers.get_all(header::CONNECTION) {
@@ -123,7 +123,7 @@
     target + lines.sum::<usize>()
 }
 
-/// Takes `/service/rest?query` apart into the service and `/rest?query`.
+/// Splits `/service/rest?query` into the service and `/rest?query`.
 fn split(uri: &Uri) -> Result<(id::Service, String), Code> {
     let target = uri.path_and_query().ok_or(Code::BadRequest)?.as_str();
     let target = target.strip_prefix('/').ok_or(Code::BadRequest)?;
@@ -136,7 +136,7 @@
     Ok((service.into(), rest))
 }
 
-/// Finds the only value of a header.
+/// Returns the value of a header that may occur at most once.
 fn single<'a>(
     headers: &'a HeaderMap,
     name: &str,
@@ -158,7 +158,7 @@
         return Err(problem);
     }
     match text.parse() {
-        Ok(millis) if (1..=DEADLINE_MAX).contains(&millis) => {
+        Ok(millis) if (1..=MAX_DEADLINE_MS).contains(&millis) => {
             Ok(Some(Duration::from_millis(millis)))
         }
         _ => Err(problem),
@@ -177,7 +177,7 @@
     let Some(value) = single(headers, backend::KEY_HEADER, problem)? else { return Ok(None) };
     let text = value.to_str().map_err(|_| problem)?;
     let allowed = text.bytes().all(|byte| byte.is_ascii_graphic());
-    if text.is_empty() || text.len() > KEY_MAX || !allowed {
+    if text.is_empty() || text.len() > MAX_KEY_BYTES || !allowed {
         return Err(problem);
     }
     Ok(Some(text.into()))
--- a/bin/entry/src/keys.rs
+++ b/bin/entry/src/keys.rs
@@ -1,8 +1,8 @@
-//! Idempotency keys at this process: drives its [`Owner`] and asks the other owners.
+//! Idempotency keys at this process: drives its [`Owner`] and calls the other owners.
 //!
-//! `docs/design/keys.md` says what is decided; here is only who is asked, and what a lost reply
-//! means. A claim without a verdict is `NotOwner`. A settlement is told once: again only when the
-//! owner surely did not take it, and never when its fate is unknown.
+//! `docs/design/keys.md` describes the decisions; this module only sends the calls and interprets
+//! lost replies. A claim without a verdict is `NotOwner`. A settlement is sent again only if the
+//! owner certainly did not accept it, never if its outcome is unknown.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -37,26 +37,29 @@
 use crate::message::PeerEvent;
 use crate::roster;
 
-/// Settlements that an owner did not take are told again this often, and this soon.
+/// Maximum number of times that a settlement is sent to an owner that does not accept it.
 const MAX_SETTLE_ATTEMPTS: u8 = 10;
+/// Delay before a settlement is sent again.
 const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// How long keys are remembered: longer than any request's deadline, which is ten minutes at most.
+/// Retention of keys: longer than any request's deadline, which is at most ten minutes.
 const RETENTION: Duration = Duration::from_secs(660);
-/// Longer than twice the time for which a claimant waits for a peer's reply.
+/// Lease of an owner: more than twice the time for which a claimant waits for a peer's reply.
 const LEASE: Duration = Duration::from_secs(4);
-/// How long handovers are waited for, and the store is left alone after a failed call.
+/// Timeout of handovers, and delay before the store is called again after a failure.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How much longer each member waits than the one before it to take over from one that ended.
+/// Additional delay of each member over the one before it, before it takes over from a member
+/// that ended.
 const TAKEOVER_DELAY: Duration = Duration::from_secs(1);
-/// Keys kept at most, and the bytes of their answers.
+/// Maximum number of stored keys.
 const MAX_CLAIMS: usize = 200_000;
+/// Maximum total size of the answers stored with keys.
 const MAX_TOTAL_ANSWER_BYTES: usize = 64 << 20;
-/// The largest answer that is kept for a repeated key.
+/// Maximum size of an answer that is stored for a repeated key.
 pub const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// What a call that was under way came to.
+/// The result of an asynchronous call.
 pub enum Outcome {
-    /// To be told to the owner.
+    /// An event for the owner.
     Event(Event),
     /// A peer's verdict, or the lack of one.
     Claimed {
@@ -65,14 +68,14 @@
         /// The verdict.
         verdict: Claimed,
     },
-    /// A claim whose verdict got lost; if it was a grant, the request did not run by it.
+    /// A claim whose verdict was lost. If it was granted, the request did not run under the grant.
     Lost {
         /// The request.
         request: id::Request,
         /// The key.
         key: Key,
     },
-    /// A settlement that its owner surely did not take.
+    /// A settlement that its owner certainly did not accept.
     Undelivered(Delivery),
 }
 
@@ -83,13 +86,13 @@
     pub request: id::Request,
     /// The key.
     pub key: Key,
-    /// What became of its request.
+    /// The outcome of its request.
     pub settlement: Settlement,
-    /// How often it was told already.
+    /// The number of times it was sent.
     pub attempts: u8,
 }
 
-/// Who waits for what the owner of this process says.
+/// The recipient of a response from this process's owner.
 enum Waiter {
     Request(id::Request),
     Peer(Incoming),
@@ -100,7 +103,8 @@
 pub struct Keys<S> {
     owner: Owner,
     me: Member,
-    /// Which start of this process. Its owner may have later lives, its requests are counted on.
+    /// The start time of this process. Its owner may be reopened with a later one, while request
+    /// numbers continue.
     started_at: StartTime,
     clock: Clock,
     store: S,
@@ -134,23 +138,23 @@
         }
     }
 
-    /// Tells when the owner next wants to look at the time, on the runtime's clock.
+    /// Returns the time of the owner's next timer, on the runtime's clock.
     pub fn next_due(&self) -> tokio::time::Instant {
         let soon = || self.clock.now() + LEASE / 16;
         self.clock.at(self.owner.next_due().unwrap_or_else(soon))
     }
 
-    /// Tells whether every slot has been given up.
+    /// Returns `true` if every slot has been released.
     pub fn is_drained(&self) -> bool {
         self.owner.is_drained() || self.owner.roster().is_none()
     }
 
-    /// Takes in the platform's list of all failure domains.
+    /// Applies the platform's list of all failure domains.
     pub fn listed(&mut self, view: list::View, peer_events: &mut Vec<PeerEvent>) {
         self.step(Event::Listed { view }, peer_events);
     }
 
-    /// Gives the owner an event and sees to what it wants done.
+    /// Passes an event to the owner and executes the actions that it returns.
     pub fn step(&mut self, event: Event, peer_events: &mut Vec<PeerEvent>) {
         let mut actions = Vec::new();
         self.owner.step(self.clock.now(), event, &mut actions);
@@ -185,14 +189,14 @@
         self.spawn(async move {
             match verdict.await {
                 Ok(Reply::Claimed(verdict)) => Outcome::Claimed { request, verdict },
-                // It may have been a grant, which would keep its key in doubt until it is forgotten.
+                // It may have been granted, which would leave the key in doubt until its retention ends.
                 Err(node::Error::Unknown(_)) => Outcome::Lost { request, key },
                 _ => Outcome::Claimed { request, verdict: Claimed::NotOwner },
             }
         });
     }
 
-    /// Tells the owner of a key what became of its request.
+    /// Reports the outcome of a request to the owner of its key.
     pub fn settle(&mut self, mut delivery: Delivery, peer_events: &mut Vec<PeerEvent>) {
         delivery.attempts += 1;
         if delivery.attempts > MAX_SETTLE_ATTEMPTS {
@@ -224,7 +228,7 @@
         });
     }
 
-    /// Sees to a peer's claim, settlement or handover; anything else comes back.
+    /// Handles a peer's claim, settlement or handover; returns any other call.
     pub fn handle_call(
         &mut self,
         incoming: Incoming,
@@ -278,7 +282,9 @@
         async move {
             match node {
                 Some(node) => node.call(to, &call).await,
-                None => Err(node::Error::Unsent("this process has no links to peers".to_owned())),
+                None => {
+                    Err(node::Error::Unsent("this process has no connections to peers".to_owned()))
+                }
             }
         }
     }
@@ -323,8 +329,8 @@
                 let call = Call::Adopt { handover: handover.to_bytes() };
                 let reply = self.ask_peer(to.address, call);
                 self.spawn(async move {
-                    // One whose answer got lost may be held there, but is used only if the slots
-                    // are given up with it.
+                    // If the reply was lost, the peer may hold the handover, but it uses it only if
+                    // the slots are released with it.
                     let accepted = matches!(reply.await, Ok(Reply::Noted));
                     Outcome::Event(Event::HandedOver { transfer, message_number, accepted })
                 });
--- a/bin/entry/src/lib.rs
+++ b/bin/entry/src/lib.rs
@@ -1,8 +1,9 @@
-//! The entry process: callers' HTTP in, one backend server's whole answer out.
+//! The entry process: accepts callers' HTTP requests and returns a backend server's whole answer.
 //!
-//! Each duty is a thread. The accepting duty spreads callers' connections; the fronts take requests and carry their attempts; the deciding duty owns
-//! the router and sees no body; the watching duty follows the platform. Decisions themselves are
-//! in `cowslipchute-routing`. See `docs/ARCHITECTURE.md` for a request's way through.
+//! The accept thread distributes callers' connections; the front threads read requests and send
+//! their attempts to backend servers; the decision thread owns the router and handles no bodies;
+//! the watch thread polls the platform's list; the peer thread talks to other entries. Routing
+//! decisions are in `cowslipchute-routing`. See `docs/ARCHITECTURE.md` for the path of a request.
 
 mod accept;
 mod decide;
--- a/bin/entry/src/main.rs
+++ b/bin/entry/src/main.rs
@@ -20,7 +20,7 @@
 use slog::Logger;
 use slog::o;
 
-/// How long a call to the platform may take.
+/// Timeout of a call to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn main() {
@@ -43,11 +43,11 @@
     let store = kv::Client::open(&settings.store, CALL_TIMEOUT).with_origin(settings.origin());
     let list = list::Client::open(&settings.list).with_origin(settings.origin());
     let (stop, _signals) = stop::on_signals(settings.common.stop_within())
-        .context("can't start the duty that waits for signals")?;
+        .context("can't start the thread that waits for signals")?;
     entry::open(settings, identity, store, list, stop, logger.clone())
 }
 
-/// Reads the files that say who this process is towards its peers.
+/// Loads the certificate files that identify this process to its peers.
 fn identity(peers: &Peers) -> Result<Option<Identity>, String> {
     let Peers { listen: Some(_), cert: Some(cert), key: Some(key), ca: Some(ca) } = peers else {
         return Ok(None);
--- a/bin/entry/src/message.rs
+++ b/bin/entry/src/message.rs
@@ -1,4 +1,4 @@
-//! What the duties of this process tell each other through their rings.
+//! The messages that the threads of this process exchange through their rings.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,20 +15,20 @@
 use cowslipchute_routing::event::Attempt;
 use cowslipchute_routing::event::Ending;
 
-/// Services in force here, with the class that a request has unless it names a lower one.
+/// Declared services, with the class that a request has unless it names a lower one.
 pub type Services = BTreeMap<id::Service, Class>;
 
-/// A front duty tells the deciding one.
+/// A message from a front to the decision thread.
 #[derive(Debug)]
 pub enum Report {
-    /// A whole request is here.
+    /// A request was read completely.
     Arrived {
         /// Its number.
         request: id::Request,
-        /// What it asks.
+        /// Its properties that matter for routing.
         arrival: Arrival,
     },
-    /// The caller went away before its final answer.
+    /// The caller disconnected before its final answer.
     Abandoned {
         /// The request's number.
         request: id::Request,
@@ -37,12 +37,12 @@
     Ended {
         /// Its number.
         attempt: Attempt,
-        /// How.
+        /// How it ended.
         ending: Ending,
     },
 }
 
-/// The deciding duty tells the front that holds the request.
+/// A message from the decision thread to the front that holds the request.
 #[derive(Debug)]
 pub enum Command {
     /// Send the request to a backend server.
@@ -52,30 +52,30 @@
         /// The attempt.
         attempt: Attempt,
     },
-    /// Give the caller the whole answer of an attempt.
+    /// Return the whole answer of an attempt to the caller.
     Forward {
         /// The request.
         request: id::Request,
         /// The attempt.
         attempt: Attempt,
     },
-    /// Give the caller an answer kept from an earlier run.
+    /// Return an answer stored from an earlier run to the caller.
     Replay {
         /// The request.
         request: id::Request,
         /// The answer.
         answer: peer::Answer,
     },
-    /// Give the caller an answer of our own.
+    /// Return an answer that this process generates to the caller.
     Reply {
         /// The request.
         request: id::Request,
         /// The result.
         code: Code,
-        /// When to come back.
+        /// Delay after which the caller may retry.
         retry_after: Option<Duration>,
     },
-    /// Tell the owner of a key what became of the request; its answer is held by the front.
+    /// Report the outcome of the request to the owner of its key; the front holds the answer.
     Settle {
         /// The request.
         request: id::Request,
@@ -83,16 +83,16 @@
         service: id::Service,
         /// The key.
         key: id::IdempotencyKey,
-        /// What became of it.
+        /// Its outcome.
         settled: Settled,
     },
-    /// These services are in force; the first such order makes the front ready.
+    /// Replace the declared services; the first such command makes the front ready.
     Serve(Arc<Services>),
-    /// A stop was asked for: every answer closes its connection.
+    /// Begin a stop: every answer closes its connection.
     Drain,
 }
 
-/// One attempt as it is to be made.
+/// An attempt to be sent.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
     /// The request.
@@ -101,25 +101,25 @@
     pub attempt: Attempt,
     /// The backend server's address.
     pub address: SocketAddr,
-    /// Which life of the backend server.
+    /// The incarnation of the backend server.
     pub incarnation: id::Incarnation,
-    /// Idle connections that a front may keep to the backend server.
+    /// Maximum number of idle connections that a front keeps to the backend server.
     pub max_idle: usize,
     /// Time left until the request's deadline.
     pub remaining: Duration,
 }
 
-/// The watching duty tells the deciding one.
+/// A message from the watch thread to the decision thread.
 #[derive(Debug)]
 pub enum Update {
-    /// The platform's list was read.
+    /// The platform's list changed.
     Listed {
         /// The list.
         view: Arc<list::View>,
     },
 }
 
-/// A duty asks the peer duty.
+/// A message to the peer thread.
 #[derive(Debug)]
 pub enum PeerCommand {
     /// Ask the owner of a key whether the request may run.
@@ -131,7 +131,7 @@
         /// The key.
         key: id::IdempotencyKey,
     },
-    /// Tell the owner of a key what became of the request.
+    /// Report the outcome of the request to the owner of its key.
     Settle {
         /// The request.
         request: id::Request,
@@ -139,38 +139,38 @@
         service: id::Service,
         /// The key.
         key: id::IdempotencyKey,
-        /// What became of it.
+        /// Its outcome.
         settlement: peer::Settlement,
     },
-    /// These instances are listed; the entries among them are peers.
+    /// The platform's list changed; the entries on it are peers.
     Listed {
         /// The list.
         view: Arc<list::View>,
     },
-    /// Tell the other entries that an instance is leaving.
+    /// Notify the other entries that an instance is leaving.
     Announce {
         /// The instance.
         instance: id::Instance,
-        /// Which life of it.
+        /// Its incarnation.
         incarnation: id::Incarnation,
     },
 }
 
-/// The peer duty tells the deciding one.
+/// A message from the peer thread to the decision thread.
 #[derive(Debug)]
 pub enum PeerEvent {
-    /// The owner of a key gave its verdict.
+    /// The owner of a key decided on a claim.
     Claimed {
         /// The request.
         request: id::Request,
-        /// The verdict; a lost one is `NotOwner`.
+        /// The verdict; `NotOwner` if the reply was lost.
         verdict: peer::Claimed,
     },
-    /// A peer heard that an instance is leaving.
+    /// A peer announced that an instance is leaving.
     Leaving {
         /// The instance.
         instance: id::Instance,
-        /// Which life of it.
+        /// Its incarnation.
         incarnation: id::Incarnation,
     },
 }
--- a/bin/entry/src/metrics.rs
+++ b/bin/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What is counted. Label values are bounded: a service has a name only while it is declared.
+//! Metrics of the entry process. Label values are bounded: only declared services are named.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 
 use crate::front::Label;
 
-/// The label of a request whose service is not declared, or that was refused before it was known.
+/// The service label of a request whose service is unknown or not declared.
 const NO_SERVICE: &str = "-";
-/// Bounds of the latency histogram, in seconds.
+/// Upper bounds of the latency histogram's buckets, in seconds.
 const BUCKETS: [f64; 14] =
     [0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// Handles to everything that is counted; clones count together.
+/// Handles to the metrics; clones share their values.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     requests: IntCounterVec,
@@ -33,11 +33,11 @@
 }
 
 impl Metrics {
-    /// Registers everything.
+    /// Creates and registers the metrics.
     ///
     /// # Errors
     ///
-    /// When a name is registered already.
+    /// Returns an error if a name is already registered.
     pub fn open(registry: &Registry) -> prometheus::Result<Metrics> {
         let requests = Opts::new("cowslipchute_requests_total", "Requests given a final answer.");
         let seconds = HistogramOpts::new(
@@ -76,7 +76,7 @@
         self.latency.with_label_values(&[service, class]).observe(time.as_secs_f64());
     }
 
-    /// Counts an attempt that is not a request's first.
+    /// Counts an attempt that is not the first of its request: a retry or a hedge.
     pub fn extra_attempt(&self, service: &str, hedge: bool) {
         let counter = if hedge { &self.hedges } else { &self.retries };
         counter.with_label_values(&[service]).inc();
--- a/bin/entry/src/outbox.rs
+++ b/bin/entry/src/outbox.rs
@@ -1,13 +1,14 @@
-//! A ring's writing end for messages that must not be lost: what finds the ring full waits here.
+//! A ring sender for messages that must not be lost: messages that don't fit wait in a backlog.
 //!
-//! The wait is bounded by what is in progress, since every message here belongs to a request taken
-//! in before. Whoever takes requests looks at [`Outbox::lags`] first and refuses new ones.
+//! The backlog is bounded by the requests in progress, since every message belongs to a request
+//! admitted before. Code that admits requests uses [`Outbox::try_push`] and rejects new requests
+//! while there is a backlog.
 
 use std::collections::VecDeque;
 
 use cowslipchute_daemon::ring;
 
-/// The writing end of a ring, with what waits for room in it.
+/// The sender of a ring, with the messages that wait for free capacity.
 #[derive(Debug)]
 pub struct Outbox<T> {
     ring: ring::Sender<T>,
@@ -15,24 +16,24 @@
 }
 
 impl<T> Outbox<T> {
-    /// Opens an outbox before a ring.
+    /// Opens an outbox for a ring.
     pub fn open(ring: ring::Sender<T>) -> Outbox<T> {
         Outbox { ring, backlog: VecDeque::new() }
     }
 
-    /// Passes a message on in its order, now or as soon as there is room.
+    /// Sends a message, in order, now or as soon as the ring has free capacity.
     pub fn push(&mut self, message: T) {
         self.backlog.push_back(message);
         self.flush();
     }
 
-    /// Passes a message on only if there is room now; tells whether it was.
+    /// Sends a message only if it fits now, and returns `true` if it was sent.
     pub fn try_push(&mut self, message: T) -> bool {
         self.flush();
         !self.has_backlog() && self.ring.send(message).is_ok()
     }
 
-    /// Passes on what waits, as far as there is room.
+    /// Sends waiting messages until the ring is full.
     pub fn flush(&mut self) {
         while let Some(message) = self.backlog.pop_front() {
             match self.ring.send(message) {
@@ -41,13 +42,13 @@
                     self.backlog.push_front(message);
                     return;
                 }
-                // Nobody reads any more: the process is ending.
+                // The receiver is closed: the process is ending.
                 Err(ring::SendError::Closed(_)) => self.backlog.clear(),
             }
         }
     }
 
-    /// Tells whether anything waits.
+    /// Returns `true` if messages wait.
     pub fn has_backlog(&self) -> bool {
         !self.backlog.is_empty()
     }
--- a/bin/entry/src/peers.rs
+++ b/bin/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! The peer duty: everything that other processes of ours are asked, told or answered.
+//! The peer thread: all communication with the other processes of the deployment.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -39,47 +39,49 @@
 use crate::outbox::Outbox;
 use crate::roster;
 
-/// How often what did not fit into the ring is tried again.
+/// Retry interval for messages that did not fit into the ring.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(1);
-/// Outcomes of calls that may wait to be looked at.
+/// Capacity of the channel of call results.
 const OUTCOME_CAPACITY: usize = 1024;
-/// How long a planned stop waits for the slots of keys to be given up and for peers' calls.
+/// Timeout of a graceful stop for releasing the slots of keys, and for completing peers' calls.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the peer duty is started with.
+/// The inputs of the peer thread.
 pub struct Peers<S> {
-    /// This process as an owner of keys. Its address is the one that peers reach, if there is one.
+    /// This process as an owner of keys. Its address becomes the one that peers connect to, if any.
     pub me: Member,
     /// The platform's key-value service.
     pub store: S,
-    /// How peers are linked to; without it this process knows no peers.
+    /// Settings of the connections to peers; without them this process has no peers.
     pub links: Option<node::Settings>,
-    /// Answers what peers ask about the configuration.
+    /// Answers peers' calls about the configuration.
     pub follow: oneshot::Receiver<Handle>,
-    /// From every duty that has anything to ask or tell.
+    /// From every thread that sends commands.
     pub peer_commands: Vec<ring::Receiver<PeerCommand>>,
-    /// Rung by every ring of errands.
+    /// Wakes this thread; every ring of commands notifies it.
     pub bell: Bell,
-    /// To the deciding duty.
+    /// To the decision thread.
     pub peer_events: ring::Sender<PeerEvent>,
-    /// What is counted.
+    /// The metrics.
     pub metrics: Metrics,
     /// For log events.
     pub logger: Logger,
-    /// Cuts the end short when the stop is forced.
+    /// Ends the thread at once when the stop is forced.
     pub stop: Stop,
 }
 
-/// Starts the peer duty and returns the node by which peers are called. The duty ends when every
-/// ring of errands is closed and this process owns no key any more, or soon after.
+/// Starts the peer thread and returns the node that calls peers. The thread ends when every ring of
+/// commands is closed and this process has released its keys, or after a timeout.
 ///
 /// # Errors
 ///
-/// When the system refuses the thread or the address can't be bound.
+/// Returns an error if the thread can't be started or the address can't be bound.
 pub fn spawn<S: Store>(peers: Peers<S>) -> io::Result<(Duty, Option<Node>)> {
     let (opened, outcome) = blocking::channel();
     let duty = duty::spawn("peer", move || run(peers, opened))?;
-    let node = outcome.recv().unwrap_or_else(|_| Err(io::Error::other("the duty ended")))?;
+    let node = outcome
+        .recv()
+        .unwrap_or_else(|_| Err(io::Error::other("the peer thread ended before it was ready")))?;
     Ok((duty, node))
 }
 
@@ -140,7 +142,7 @@
     }
 }
 
-/// Waits for a call of a peer; without links there never is one.
+/// Waits for a call from a peer; pends forever without connections to peers.
 async fn next(incoming: &mut Option<mpsc::Receiver<Incoming>>) -> Option<Incoming> {
     match incoming {
         Some(incoming) => incoming.recv().await,
@@ -148,7 +150,7 @@
     }
 }
 
-/// Waits once for the handle that answers what peers ask about the configuration.
+/// Waits once for the handle that answers peers' calls about the configuration.
 async fn take_handle(
     follow: &mut Option<oneshot::Receiver<Handle>>,
 ) -> Result<Handle, oneshot::error::RecvError> {
@@ -170,12 +172,12 @@
     /// The other entries, by name.
     entries: BTreeMap<id::Instance, list::Member>,
     peer_events: Outbox<PeerEvent>,
-    /// Words to be passed on after each step.
+    /// Events to be sent after each step.
     new_events: Vec<PeerEvent>,
 }
 
 impl<S: Store> State<S> {
-    /// Passes on what was said.
+    /// Sends the new events to the decision thread.
     fn flush_events(&mut self) {
         for event in self.new_events.drain(..) {
             self.peer_events.push(event);
@@ -183,7 +185,7 @@
         self.peer_events.flush();
     }
 
-    /// Sees to every errand of a ring; tells whether the ring is still open.
+    /// Executes every command in a ring and returns `true` if the ring is still open.
     fn drain(&mut self, ring: &mut ring::Receiver<PeerCommand>) -> bool {
         loop {
             match ring.look() {
@@ -218,8 +220,8 @@
         self.entries = others.map(|member| (member.instance.clone(), member.clone())).collect();
     }
 
-    /// Tells every other entry that an instance is leaving. Each is told once: one that misses it
-    /// hears it from the list or from the backend server itself.
+    /// Notifies every other entry that an instance is leaving, without retries: an entry that misses
+    /// it learns it from the list or from the backend server itself.
     fn announce(&self, instance: id::Instance, incarnation: id::Incarnation) {
         let Some(node) = &self.node else { return };
         for member in self.entries.values() {
@@ -263,14 +265,15 @@
         }
     }
 
-    /// Begins to give up every key; returns when that has to be over.
+    /// Begins to release every key and returns the deadline for it.
     fn begin_drain(&mut self) -> tokio::time::Instant {
         self.keys.step(Event::Drain, &mut self.new_events);
         tokio::time::Instant::now() + DRAIN_TIMEOUT
     }
 }
 
-/// Has the configuration's duty answer a peer. Without an answer the peer asks another one.
+/// Answers a peer's call about the configuration. If there is no answer, the peer calls another
+/// process.
 async fn answer(follow: Option<Handle>, incoming: Incoming) {
     let Some(follow) = follow else { return incoming.answer(Reply::Misdirected) };
     match follow.answer(incoming.call.clone()).await {
--- a/bin/entry/src/reply.rs
+++ b/bin/entry/src/reply.rs
@@ -1,4 +1,4 @@
-//! Final answers as callers get them.
+//! Final answers as HTTP responses to callers.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 use poem::http::header;
 use serde::Serialize;
 
-/// Content type of an answer of our own.
+/// Content type of an answer that this process generates.
 const JSON: &str = "application/json";
-/// When to come back after a refusal that says nothing itself.
+/// Default of the retry-after header of a rejection.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The whole answer of a backend server.
@@ -24,14 +24,14 @@
 pub struct Answer {
     /// Its status.
     pub status: StatusCode,
-    /// Its headers, without those that concern one connection.
+    /// Its end-to-end headers.
     pub headers: HeaderMap,
     /// Its body.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// Makes the form in which the owner of an idempotency key keeps the answer.
+    /// Returns the form in which the owner of an idempotency key stores the answer.
     pub fn to_stored(&self) -> peer::Answer {
         let content_type = self.headers.get(header::CONTENT_TYPE);
         peer::Answer {
@@ -42,24 +42,24 @@
     }
 }
 
-/// What the caller is told in the end.
+/// The final answer to a caller.
 #[derive(Debug)]
 pub enum Final {
     /// A backend server's whole answer.
     Answer(Answer),
-    /// An answer kept from an earlier run under the same key.
+    /// An answer stored from an earlier run under the same key.
     Replay(peer::Answer),
-    /// An answer of our own.
+    /// An answer that this process generates.
     Own {
         /// The result.
         code: Code,
-        /// When to come back.
+        /// Delay after which the caller may retry.
         retry_after: Option<Duration>,
     },
 }
 
 impl Final {
-    /// Makes an answer of our own that says when to come back if that makes sense.
+    /// Returns a generated answer, with a retry delay if the request may be retried.
     pub fn own(code: Code) -> Final {
         let again = code.outcome() == Outcome::NotRun && matches!(code.status(), 429 | 503);
         Final::Own { code, retry_after: again.then_some(RETRY_AFTER) }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Makes the response; `close` ends the caller's connection with it.
+    /// Returns the HTTP response; `close` closes the caller's connection after it.
     pub fn response(self, close: bool) -> Response {
         let code = self.code();
         let mut response = match self {
@@ -109,7 +109,7 @@
     builder.body(answer.body)
 }
 
-/// The body of an answer of our own.
+/// The body of a generated answer.
 #[derive(Serialize)]
 struct Body {
     code: u16,
@@ -121,7 +121,7 @@
 }
 
 fn generated(code: Code, retry_after: Option<Duration>) -> Response {
-    let status = StatusCode::from_u16(code.status()).expect("every code has a status");
+    let status = StatusCode::from_u16(code.status()).expect("every code has a valid HTTP status");
     let mut builder = Response::builder().status(status).content_type(JSON);
     if let Some(time) = retry_after {
         builder = builder.header(header::RETRY_AFTER, whole_seconds(time));
@@ -137,14 +137,14 @@
         text: code.text(),
         retry_after_ms: retry_after.map(|time| time.as_millis() as u64),
     };
-    serde_json::to_vec(&body).expect("the body always has a JSON form")
+    serde_json::to_vec(&body).expect("the body can be serialised to JSON")
 }
 
-/// Makes the bytes of an answer of our own that ends its connection, for where there is no request
-/// to answer.
+/// Returns the bytes of a generated answer that closes its connection, for input that could not be
+/// parsed as a request.
 pub fn raw(code: Code) -> Vec<u8> {
     let body = body(code, None);
-    let status = StatusCode::from_u16(code.status()).expect("every code has a status");
+    let status = StatusCode::from_u16(code.status()).expect("every code has a valid HTTP status");
     let mut bytes = format!(
         "HTTP/1.1 {status}\r\ncontent-type: {JSON}\r\n{}: {}\r\n{}: {}\r\n\
          connection: close\r\ncontent-length: {}\r\n\r\n",
@@ -159,7 +159,7 @@
     bytes
 }
 
-/// Rounds up, so that nobody comes back too early.
+/// Rounds up to whole seconds, so that callers don't retry too early.
 fn whole_seconds(time: Duration) -> u64 {
     time.as_millis().div_ceil(1000) as u64
 }
--- a/bin/entry/src/roster.rs
+++ b/bin/entry/src/roster.rs
@@ -19,18 +19,18 @@
 
 use crate::metrics::Metrics;
 
-/// How long a call to the store may take in all.
+/// Timeout of a call to the store, retries included.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long to wait before a watch is opened again.
+/// Delay before a watch is opened again.
 const WATCH_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The roster as the store holds it.
+/// The roster as stored, with its revision.
 struct Versioned {
     revision: Revision,
     roster: Option<Arc<Roster>>,
 }
 
-/// Reads the roster once and says how that ended.
+/// Reads the roster once and returns the result as an event.
 pub async fn read<S: Store>(store: S, read: ReadId) -> Event {
     match tokio::time::timeout(CALL_TIMEOUT, find(&store)).await {
         Ok(Ok((_, found))) => {
@@ -40,14 +40,14 @@
     }
 }
 
-/// Proposes a roster, if the one in the store is still of `revision`, and says how that ended.
+/// Writes a roster if the stored one still has `revision`, and returns the result as an event.
 pub async fn propose<S: Store>(store: S, revision: Revision, roster: Roster) -> Event {
     let key = roster::KEY.to_owned();
     let guard = match revision {
         0 => Guard::Missing(key.clone()),
         revision => Guard::Unchanged(key.clone(), revision),
     };
-    let value = serde_json::to_vec(&roster).expect("a roster always has a JSON form");
+    let value = serde_json::to_vec(&roster).expect("a roster can be serialised to JSON");
     let txn = Txn { guards: vec![guard], changes: vec![Change::Put { key, value, lease: 0 }] };
     match tokio::time::timeout(CALL_TIMEOUT, store.commit(txn)).await {
         Ok(Ok(_)) => Event::Proposed,
@@ -55,8 +55,8 @@
     }
 }
 
-/// Tells of every roster that the store's watch brings, until nobody listens. Counts the time for
-/// which the store can't be read.
+/// Sends every roster that the store's watch delivers, until the receiver is closed. Counts the
+/// seconds for which the store can't be read.
 pub async fn follow<S: Store>(
     store: S,
     events: mpsc::Sender<Event>,
@@ -104,7 +104,7 @@
                     events.send(Event::RosterReceived { revision, roster }).await.ok()?;
                 }
             }
-            // Owners go on by the last roster; an operator has to put the removed one back.
+            // Owners keep using the last roster; an operator has to restore the removed one.
             Some(Update::Deleted { .. } | Update::Progress(_)) => {}
             Some(Update::Ended(_)) | None => return Some(()),
         }
--- a/bin/entry/src/settings.rs
+++ b/bin/entry/src/settings.rs
@@ -16,7 +16,7 @@
 use cowslipchute_routing::router;
 use slog::Logger;
 
-/// The address by which a process without links is known as an owner of its own keys.
+/// Placeholder address of a process without connections to peers, as the owner of its own keys.
 const NO_LINKS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 /// Settings of the entry process.
@@ -161,11 +161,11 @@
 }
 
 impl Settings {
-    /// Checks what no single flag can tell.
+    /// Checks the constraints between flags.
     ///
     /// # Errors
     ///
-    /// What is wrong, for the operator.
+    /// Returns a message for the operator.
     pub fn check(&self) -> Result<(), String> {
         if self.entry >= self.entries {
             return Err(format!("--entry {} is not below --entries {}", self.entry, self.entries));
@@ -188,12 +188,12 @@
         }
     }
 
-    /// Returns who this process says it is with each call that it makes.
+    /// Returns the identity that this process sends with each of its calls.
     pub fn origin(&self) -> Origin {
         Origin { domain: self.common.domain(), instance: self.common.instance() }
     }
 
-    /// Returns the settings of the duty that follows the configuration.
+    /// Returns the settings of the thread that follows the configuration.
     pub fn follow(&self, logger: &Logger) -> cowslipchute_follow::Settings {
         cowslipchute_follow::Settings {
             instance: self.common.instance(),
@@ -204,8 +204,8 @@
         }
     }
 
-    /// Returns this process as an owner of idempotency keys, in a life that begins now. Its address
-    /// is known when its links are open.
+    /// Returns this process as an owner of idempotency keys that starts now. Its address is set when
+    /// the address for peers is bound.
     pub fn member(&self) -> Member {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Member {
@@ -220,17 +220,17 @@
 }
 
 impl Limits {
-    /// Returns the time in which a request's body has to be here.
+    /// Returns the timeout for reading a request's body.
     pub fn body_within(&self) -> Duration {
         Duration::from_millis(self.body_within)
     }
 
-    /// Returns the time for which a caller's connection may send no whole request head.
+    /// Returns the timeout for reading a request's head on a caller's connection.
     pub fn idle_within(&self) -> Duration {
         Duration::from_millis(self.idle_within)
     }
 
-    /// Returns the time in which a connection to a backend server has to be made.
+    /// Returns the timeout for connecting to a backend server.
     pub fn connect(&self) -> Duration {
         Duration::from_millis(self.connect_within)
     }
--- a/bin/entry/src/share.rs
+++ b/bin/entry/src/share.rs
@@ -1,17 +1,17 @@
-//! How many connections to a backend server this entry may use at once, and how many stay idle.
+//! The numbers of active and idle connections that this entry may have to a backend server.
 //!
-//! All entries together must stay within a server's connections. The router bounds the attempts in
-//! flight, but each front keeps idle connections of its own besides. With an entry's share split
-//! evenly into `n` for each front, the router is given `n` and each front keeps `n - 1` idle: when
-//! all attempts are at one front, `n` are in use there and at most `n - 1` idle at each other, which
-//! leaves one in the share for a connection made while another came free.
+//! All entries together must stay within a server's connection limit. The router bounds the attempts
+//! in flight, but each front also keeps idle connections of its own. With an entry's share split
+//! evenly into `n` for each front, the router may use `n` and each front keeps `n - 1` idle: if all
+//! attempts are at one front, `n` are in use there and at most `n - 1` idle at each other, which
+//! leaves one in the share for a connection that is opened while another becomes idle.
 
 use std::collections::HashMap;
 
 use cowslipchute_base::id;
 use cowslipchute_ports::list;
 
-/// Splits connections between what is in use and what is idle.
+/// Splits a server's connections into active and idle ones.
 #[derive(Debug)]
 pub struct Share {
     entries: u16,
@@ -21,18 +21,18 @@
 }
 
 impl Share {
-    /// Shares between so many entries, each with so many fronts.
+    /// Opens a share for `entries` entries with `fronts` fronts each.
     pub fn open(entries: u16, fronts: u16) -> Share {
         Share { entries: entries.max(1), fronts: fronts.max(1), idle: HashMap::new() }
     }
 
-    /// Sets the connections of a list to what the router may use, and keeps how many each front may
-    /// leave idle.
+    /// Reduces the connections in a list to those that the router may use, and records how many idle
+    /// ones each front may keep.
     pub fn reserve_idle(&mut self, view: &mut list::View) {
         self.idle.clear();
         for member in view.members.iter_mut().filter(|member| member.role == list::Role::Backend) {
             let each = member.connections / self.entries / self.fronts;
-            // With fewer connections than fronts none is kept, and the router splits what there is.
+            // With fewer connections than fronts, none is kept idle and the router splits them.
             if each > 0 {
                 member.connections = each * self.entries;
             }
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns how many idle connections a front may keep to a backend server.
+    /// Returns the number of idle connections that a front may keep to a backend server.
     pub fn idle(&self, instance: &str) -> usize {
         self.idle.get(instance).copied().unwrap_or(0).into()
     }
--- a/bin/entry/src/watch.rs
+++ b/bin/entry/src/watch.rs
@@ -1,4 +1,4 @@
-//! The watching duty: keeps the other duties told of the platform's list.
+//! The watch thread: polls the platform's list and sends changes to the other threads.
 
 use std::io;
 use std::sync::Arc;
@@ -22,35 +22,35 @@
 use crate::message::Update;
 use crate::outbox::Outbox;
 
-/// How often the list is read.
+/// Interval between reads of the list.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the watching duty is started with.
+/// The inputs of the watch thread.
 pub struct Watch<L> {
     /// The platform's list.
     pub list: L,
-    /// To the deciding duty.
+    /// To the decision thread.
     pub updates: ring::Sender<Update>,
-    /// To the peer duty.
+    /// To the peer thread.
     pub peer_commands: ring::Sender<PeerCommand>,
-    /// To the duty that follows the configuration.
+    /// To the thread that follows the configuration.
     pub members: watch::Sender<Vec<Member>>,
     /// For log events.
     pub logger: Logger,
-    /// Closed by the deciding duty when it ends.
+    /// Closed by the decision thread when it ends.
     pub done: oneshot::Receiver<()>,
 }
 
-/// Starts the watching duty; it ends when the deciding duty has ended.
+/// Starts the watch thread. It ends when the decision thread has ended.
 ///
 /// # Errors
 ///
-/// When the system refuses the thread.
+/// Returns an error if the thread can't be started.
 pub fn spawn<L: List>(watch: Watch<L>) -> io::Result<Duty> {
     duty::spawn("watch", move || run(watch))
 }
 
-/// Reads the list again and again; a failed read leaves the last one in use.
+/// Polls the list; after a failed read the last list stays in use.
 async fn run<L: List>(watch: Watch<L>) {
     let Watch { list, updates, peer_commands, members, logger, mut done } = watch;
     let (mut updates, mut peer_commands) = (Outbox::open(updates), Outbox::open(peer_commands));
