--- a/bin/entry/examples/load.rs
+++ b/bin/entry/examples/load.rs
@@ -1,12 +1,12 @@
-//! Measures what an entry adds to a request over loopback, against calling the backend server
-//! directly: requests a second, latency and the entry's processor time by duty.
+//! Measures the overhead of an entry over direct calls to the backend server on loopback: requests
+//! per second, latency and the entry's CPU time by thread.
 //!
 //! `cargo run --release -p cowslipchute-entry --example load -- [connections] [seconds]`
 //!
 //! Everything runs in one process on loopback, bounded in connections and time. The backend servers
-//! and the callers are bare TCP, so that they cost as little as possible; the entry is the library
-//! that ships, with the platform's ports held in memory. Processor time is read for each of the
-//! entry's threads by its name.
+//! and the callers use plain TCP to keep their own cost low; the entry is the library of the release,
+//! with in-memory implementations of the platform's ports. CPU time is read for each of the entry's
+//! threads by its name.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -24,11 +24,11 @@
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 
-/// Backend servers behind the entry.
+/// Number of backend servers.
 const BACKENDS: usize = 8;
-/// Clock ticks a second in `/proc`, fixed on Linux.
-const TICKS: f64 = 100.0;
-/// Measured after this.
+/// Unit of CPU times in `/proc`, fixed on Linux.
+const TICKS_PER_SECOND: f64 = 100.0;
+/// Time before the measurement starts.
 const WARM_UP: Duration = Duration::from_millis(500);
 const ANSWER: &[u8] =
     b"HTTP/1.1 200 OK\r\ncontent-type: text/plain\r\ncontent-length: 32\r\n\r\n0123456789abcdef0123456789abcdef";
@@ -44,13 +44,13 @@
         .thread_name("backend")
         .enable_all()
         .build()
-        .expect("threads can be had");
+        .expect("threads can be started");
     let callers = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(3)
         .thread_name("caller")
         .enable_all()
         .build()
-        .expect("threads can be had");
+        .expect("threads can be started");
     let addresses: Vec<_> = (0..BACKENDS).map(|_| backends.block_on(backend())).collect();
     callers.block_on(async {
         let direct = load(&addresses, "/a", connections, time).await;
@@ -59,9 +59,9 @@
         let spec = service::Spec { queue: 4096, hedge: false, ..Default::default() };
         let flags = ["--fronts=2"];
         let entry = support::open(&list, &Store::with("shop", spec), &flags).await;
-        let before = processor_time();
+        let before = cpu_seconds();
         let through = load(&[entry.address()], "/shop/a", connections, time).await;
-        let after = processor_time();
+        let after = cpu_seconds();
         print("entry", connections, &through);
         let total = through.all as f64;
         let mut sum = 0.0;
@@ -69,14 +69,14 @@
             let spent = seconds - before.get(thread).unwrap_or(&0.0);
             if ["front", "decide", "peer", "watch", "follow"]
                 .iter()
-                .any(|duty| thread.starts_with(duty))
+                .any(|prefix| thread.starts_with(prefix))
             {
                 println!("  {thread}: {:.1} us a request", spent * 1e6 / total);
                 sum += spent;
             }
         }
         println!(
-            "  all duties: {:.1} us a request, {:.0} requests/s a core",
+            "  all threads: {:.1} us a request, {:.0} requests/s a core",
             sum * 1e6 / total,
             total / sum
         );
@@ -85,9 +85,9 @@
 }
 
 struct Load {
-    /// Round trips within the measured time.
+    /// Durations of the round trips within the measured time.
     times: Vec<Duration>,
-    /// Round trips, the warm-up included.
+    /// Number of round trips, including the warm-up.
     all: usize,
     failed: usize,
     time: Duration,
@@ -108,7 +108,7 @@
     );
 }
 
-/// Sends one request after another on each connection.
+/// Sends requests sequentially on each connection.
 async fn load(to: &[SocketAddr], path: &str, connections: usize, time: Duration) -> Load {
     let request = format!("GET {path} HTTP/1.1\r\nhost: bench\r\n\r\n");
     let start = Instant::now() + WARM_UP;
@@ -149,7 +149,7 @@
     }
 }
 
-/// Reads one answer with a length; tells whether it was a success.
+/// Reads one answer with a content length and returns `true` if its status is 200.
 async fn answer(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> bool {
     buffer.clear();
     loop {
@@ -190,8 +190,8 @@
     }
 }
 
-/// Reads the processor seconds of each thread of this process.
-fn processor_time() -> BTreeMap<String, f64> {
+/// Returns the CPU seconds of each thread of this process, by name.
+fn cpu_seconds() -> BTreeMap<String, f64> {
     let mut times = BTreeMap::new();
     for task in std::fs::read_dir("/proc/self/task").expect("this is Linux").flatten() {
         let Ok(stat) = std::fs::read_to_string(task.path().join("stat")) else { continue };
@@ -201,7 +201,7 @@
         };
         let fields: Vec<&str> = rest.split_whitespace().collect();
         let ticks = |place: usize| fields[place].parse::<f64>().unwrap_or(0.0);
-        *times.entry(name.to_owned()).or_default() += (ticks(11) + ticks(12)) / TICKS;
+        *times.entry(name.to_owned()).or_default() += (ticks(11) + ticks(12)) / TICKS_PER_SECOND;
     }
     times
 }
--- a/bin/entry/src/keys.rs
+++ b/bin/entry/src/keys.rs
@@ -150,7 +150,7 @@
     }
 
     /// Applies the platform's list of all failure domains.
-    pub fn listed(&mut self, view: list::View, peer_events: &mut Vec<PeerEvent>) {
+    pub fn apply_list(&mut self, view: list::View, peer_events: &mut Vec<PeerEvent>) {
         self.step(Event::Listed { view }, peer_events);
     }
 
--- a/bin/entry/src/peers.rs
+++ b/bin/entry/src/peers.rs
@@ -199,8 +199,8 @@
     fn execute(&mut self, command: PeerCommand) {
         match command {
             PeerCommand::Listed { view } => {
-                self.listed(&view);
-                self.keys.listed((*view).clone(), &mut self.new_events);
+                self.apply_list(&view);
+                self.keys.apply_list((*view).clone(), &mut self.new_events);
             }
             PeerCommand::Claim { request, service, key } => {
                 self.keys.claim(request, Key { service, key }, &mut self.new_events);
@@ -214,7 +214,7 @@
         }
     }
 
-    fn listed(&mut self, view: &list::View) {
+    fn apply_list(&mut self, view: &list::View) {
         let entries = view.members.iter().filter(|member| member.role == list::Role::Entry);
         let others = entries.filter(|member| member.instance != self.myself);
         self.entries = others.map(|member| (member.instance.clone(), member.clone())).collect();
--- a/bin/entry/src/settings.rs
+++ b/bin/entry/src/settings.rs
@@ -27,7 +27,7 @@
     /// Settings that every daemon has.
     #[bpaf(external(common))]
     pub common: Common,
-    /// Address that callers' requests come in on
+    /// Address on which callers' requests are accepted
     #[bpaf(long("listen"), env("COWSLIPCHUTE_LISTEN"), argument("IP:PORT"))]
     pub listen: SocketAddr,
     /// URL of the platform's key-value service
@@ -36,10 +36,10 @@
     /// URL of the platform's list of instances
     #[bpaf(long("list"), env("COWSLIPCHUTE_LIST"), argument("URL"))]
     pub list: String,
-    /// Links to other processes of ours.
+    /// Connections to other processes of the deployment.
     #[bpaf(external(peers))]
     pub peers: Peers,
-    /// How many entry instances share the backend servers
+    /// Number of entry instances that share the backend servers
     #[bpaf(
         long("entries"),
         env("COWSLIPCHUTE_ENTRIES"),
@@ -49,7 +49,7 @@
         guard(positive, "is not above zero")
     )]
     pub entries: u16,
-    /// Place of this entry instance among them, from zero
+    /// Index of this entry instance among them, from zero
     #[bpaf(
         long("entry"),
         env("COWSLIPCHUTE_ENTRY"),
@@ -58,7 +58,7 @@
         display_fallback
     )]
     pub entry: u16,
-    /// Threads that take callers' requests
+    /// Number of threads that serve callers' requests
     #[bpaf(
         long("fronts"),
         env("COWSLIPCHUTE_FRONTS"),
@@ -68,16 +68,16 @@
         guard(positive, "is not above zero")
     )]
     pub fronts: u16,
-    /// Sizes and times beyond which requests are refused.
+    /// Limits beyond which requests are rejected.
     #[bpaf(external(limits))]
     pub limits: Limits,
 }
 
-/// Links to other processes of ours.
+/// Connections to other processes of the deployment.
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct Peers {
-    /// Address for links from other processes
+    /// Address on which connections from other processes are accepted
     #[bpaf(long("peer-listen"), env("COWSLIPCHUTE_PEER_LISTEN"), argument("IP:PORT"), optional)]
     pub listen: Option<SocketAddr>,
     /// File with the certificate of this process, in PEM
@@ -86,16 +86,16 @@
     /// File with the private key of that certificate, in PEM
     #[bpaf(long("peer-key"), env("COWSLIPCHUTE_PEER_KEY"), argument("FILE"), optional)]
     pub key: Option<PathBuf>,
-    /// File with the authority that every process of the deployment is certified by, in PEM
+    /// File with the certificate authority of every process of the deployment, in PEM
     #[bpaf(long("peer-ca"), env("COWSLIPCHUTE_PEER_CA"), argument("FILE"), optional)]
     pub ca: Option<PathBuf>,
 }
 
-/// Sizes and times beyond which requests are refused.
+/// Limits beyond which requests are rejected.
 #[derive(Clone, Debug)]
 #[derive(Bpaf)]
 pub struct Limits {
-    /// Requests in progress at most
+    /// Maximum number of requests in progress
     #[bpaf(
         long("requests-max"),
         env("COWSLIPCHUTE_REQUESTS_MAX"),
@@ -104,7 +104,7 @@
         display_fallback
     )]
     pub requests: usize,
-    /// Largest head of a request, in bytes
+    /// Maximum size of a request's head, in bytes
     #[bpaf(
         long("head-max"),
         env("COWSLIPCHUTE_HEAD_MAX"),
@@ -113,7 +113,7 @@
         display_fallback
     )]
     pub head: usize,
-    /// Largest body of a request, in bytes
+    /// Maximum size of a request's body, in bytes
     #[bpaf(
         long("body-max"),
         env("COWSLIPCHUTE_BODY_MAX"),
@@ -122,7 +122,7 @@
         display_fallback
     )]
     pub body: usize,
-    /// Time in which a request's body has to be here, in milliseconds
+    /// Timeout for reading a request's body, in milliseconds
     #[bpaf(
         long("body-within"),
         env("COWSLIPCHUTE_BODY_WITHIN"),
@@ -131,7 +131,7 @@
         display_fallback
     )]
     pub body_within: u64,
-    /// Time for which a caller's connection may send no whole request head, in milliseconds
+    /// Timeout for reading a request's head on a caller's connection, idle time included, in milliseconds
     #[bpaf(
         long("idle-within"),
         env("COWSLIPCHUTE_IDLE_WITHIN"),
@@ -140,7 +140,7 @@
         display_fallback
     )]
     pub idle_within: u64,
-    /// Largest body of an answer, in bytes
+    /// Maximum size of an answer's body, in bytes
     #[bpaf(
         long("answer-max"),
         env("COWSLIPCHUTE_ANSWER_MAX"),
@@ -149,7 +149,7 @@
         display_fallback
     )]
     pub answer: usize,
-    /// Time in which a connection to a backend server has to be made, in milliseconds
+    /// Timeout for connecting to a backend server, in milliseconds
     #[bpaf(
         long("connect-within"),
         env("COWSLIPCHUTE_CONNECT_WITHIN"),
--- a/bin/entry/tests/backend_faults.rs
+++ b/bin/entry/tests/backend_faults.rs
@@ -1,4 +1,4 @@
-//! Backend servers that break off, refuse, leave or answer at the wrong time.
+//! Backend servers that close connections, reject requests, leave or answer late.
 
 mod support;
 
@@ -15,7 +15,7 @@
 use support::platform::Store;
 use yare::parameterized;
 
-/// Starts one entry before one backend server.
+/// Starts one backend server and one entry in front of it.
 async fn before(script: impl Fn(&Seen) -> Act + Send + Sync + 'static) -> (Backend, Running) {
     before_with(service::Spec::default(), script).await
 }
@@ -40,8 +40,8 @@
     server.seen().iter().filter(|seen| seen.head.starts_with(&line)).count()
 }
 
-/// The server reads the second POST of a kept connection and closes. The library must not send it
-/// again, nor may the router: it may have run.
+/// Guards against a POST that runs twice: the server reads the second POST on a pooled connection and
+/// closes it. Neither the HTTP library nor the router may send it again, since it may have run.
 #[tokio::test]
 async fn pooled_connection_closed_under_a_post_runs_it_once() {
     let (server, entry) =
@@ -59,8 +59,8 @@
     entry.stop().await;
 }
 
-/// The server closes its idle connection after the answer. The next POST goes over another one, or
-/// ends as unknown if it was begun on the old one; it never runs twice.
+/// Guards against a POST that runs twice: the server closes the idle connection after each answer.
+/// The next POST uses another connection, or ends as unknown if it was started on the closed one.
 #[tokio::test]
 async fn pooled_connection_closed_while_idle_never_doubles_a_post() {
     let (server, entry) =
@@ -117,11 +117,11 @@
     entry.stop().await;
 }
 
-/// Answers come in another order than the requests went out, on several connections; each caller
-/// gets its own.
+/// Guards against mixed-up answers: answers arrive on several connections in another order than the
+/// requests were sent, and each caller gets its own.
 #[tokio::test]
 async fn answers_out_of_order_reach_their_own_callers() {
-    // No request gives up its wait for a slot, however slow the machine is.
+    // No request times out in the queue, even on a slow machine.
     let patient = service::Spec {
         deadline: Duration::from_secs(60),
         queue_wait: Duration::from_secs(60),
@@ -148,8 +148,8 @@
     entry.stop().await;
 }
 
-/// An answer that comes after the deadline is dropped with its connection; the next caller gets its
-/// own.
+/// Guards against a late answer that reaches the next caller: an answer after the deadline is dropped
+/// with its connection.
 #[tokio::test]
 async fn late_answer_reaches_nobody() {
     let (server, entry) = before(|seen| {
@@ -214,7 +214,8 @@
     entry.stop().await;
 }
 
-/// A server that says it is leaving gets nothing more, though the list still calls it live.
+/// A server that announces that it is leaving gets no further requests, although it is still listed
+/// as live.
 #[tokio::test]
 async fn leaving_server_gets_no_further_request() {
     let leaving =
@@ -234,10 +235,11 @@
     entry.stop().await;
 }
 
-/// A caller that goes away frees its attempt: the connection to the backend server is closed.
+/// Guards against abandoned requests that occupy a backend server: when a caller disconnects, the
+/// attempt's connection is closed.
 #[tokio::test]
 async fn caller_gone_gives_the_attempt_up() {
-    // Only the caller ends this request: its deadline is far beyond the test's limit.
+    // Only the caller ends this request: its deadline is far beyond the test's timeout.
     let spec = service::Spec { deadline_max: Duration::from_secs(600), ..Default::default() };
     let (server, entry) = before_with(spec, |_| Act::Hold).await;
     let caller = support::raw::begin(
@@ -256,7 +258,7 @@
     entry.stop().await;
 }
 
-/// No connection to an earlier life of a server is used for a later one.
+/// No connection to an earlier incarnation of a server is used for a later one.
 #[tokio::test]
 async fn new_life_gets_new_connections() {
     let server = Backend::open(|_| backend::ok("")).await;
@@ -277,8 +279,7 @@
     entry.stop().await;
 }
 
-/// Connections in use and idle ones together stay within this entry's share, whichever front holds
-/// them.
+/// Active and idle connections of all fronts together stay within this entry's share.
 #[tokio::test]
 async fn connections_stay_within_the_share() {
     let server = Backend::open(|_| {
--- a/bin/entry/tests/bad_input.rs
+++ b/bin/entry/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input gets its numbered error at once, reaches no backend server and harms nobody else.
+//! Invalid input is rejected at once with its result code, reaches no backend server and doesn't
+//! affect other callers.
 
 mod support;
 
@@ -10,7 +11,7 @@
 use support::platform::Store;
 use yare::parameterized;
 
-/// More headers than the HTTP library takes.
+/// A request with more headers than the HTTP library accepts.
 const MANY: &str = concat!(
     "GET /shop/a HTTP/1.1\r\n",
     "a:1\r\na:1\r\na:1\r\na:1\r\na:1\r\na:1\r\na:1\r\na:1\r\na:1\r\na:1\r\na:1\r\na:1\r\na:1\r\na:1\r\na:1\r\n",
@@ -96,8 +97,8 @@
     entry.stop().await;
 }
 
-/// What a backend server answers is passed on as it is, whatever it looks like and wherever the
-/// system cuts it in pieces.
+/// Guards against a forwarded answer that is mistaken for the HTTP library's own error response: the
+/// answer's text looks like one, and the shifts move it against the boundaries of writes.
 #[tokio::test]
 async fn answer_that_looks_like_a_refusal_passes() {
     const LOOK: &str = "HTTP/1.1 4";
@@ -120,12 +121,12 @@
     entry.stop().await;
 }
 
-/// Repeats a text to a length of some megabytes, with its beginnings moved.
+/// Repeats a text to a length of several megabytes, shifted by `shift` bytes.
 fn shifted(text: &str, shift: usize) -> String {
     " ".repeat(shift) + &text.repeat(700_000)
 }
 
-/// A body that never comes to its end is given up, and its request never ran.
+/// A request whose body is never completed is rejected after a timeout and doesn't run.
 #[tokio::test]
 async fn body_that_stays_away_is_given_up() {
     let server = Backend::open(|_| backend::ok("")).await;
@@ -139,7 +140,7 @@
     entry.stop().await;
 }
 
-/// A connection that never sends a whole head is closed.
+/// A connection that never sends a whole head is closed after a timeout.
 #[tokio::test]
 async fn head_that_stays_away_ends_the_connection() {
     let list = List::of("shop", &[]);
@@ -149,7 +150,7 @@
     entry.stop().await;
 }
 
-/// What a caller names itself never becomes the name of a series, unless it is declared.
+/// Guards against unbounded metric labels: undeclared services from requests share one series.
 #[tokio::test]
 async fn unknown_services_make_one_series() {
     let server = Backend::open(|_| backend::ok("")).await;
@@ -167,7 +168,7 @@
     entry.stop().await;
 }
 
-/// Without a configuration nothing is served, and callers are told when to come back.
+/// Without a configuration requests are rejected with a retry delay.
 #[tokio::test]
 async fn before_its_configuration_an_entry_is_not_ready() {
     let server = Backend::open(|_| backend::ok("")).await;
--- a/bin/entry/tests/graceful_stop.rs
+++ b/bin/entry/tests/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off no request in progress, and a forced one ends at once.
+//! A graceful stop completes the requests in progress; a forced stop ends at once.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use support::platform::List;
 use support::platform::Store;
 
-/// Clients that load an entry while it stops.
+/// Number of clients that send requests while the entry stops.
 const CLIENTS: usize = 16;
 
 #[tokio::test]
@@ -44,7 +44,8 @@
     assert_eq!(server.seen().len(), whole, "every request that ran was answered");
 }
 
-/// Sends until told that the entry is stopping; returns how many whole answers came.
+/// Sends requests until one is rejected because the entry is stopping; returns the number of whole
+/// answers.
 async fn load(url: String, stopping: Arc<AtomicBool>) -> usize {
     let client = support::client();
     let mut whole = 0;
@@ -59,7 +60,10 @@
             1205 => {
                 assert!(closes, "an instance that stops closes its connections");
                 assert!(response.headers().contains_key("retry-after"));
-                assert!(stopping.load(Ordering::SeqCst), "only a stop is told as one");
+                assert!(
+                    stopping.load(Ordering::SeqCst),
+                    "requests are rejected with 1205 only during a stop"
+                );
                 return whole;
             }
             other => panic!("code {other}"),
--- a/bin/entry/tests/key_handover.rs
+++ b/bin/entry/tests/key_handover.rs
@@ -1,4 +1,4 @@
-//! What is known of idempotency keys travels from owner to owner when entries come and go.
+//! Records of idempotency keys are handed over between owners when entries join and leave.
 
 mod support;
 
@@ -36,11 +36,12 @@
 use tokio::sync::mpsc;
 
 const SERVICE: &str = "shop";
-/// So many that each of three owners has some.
+/// Number of keys in a set: enough that each of three owners has some.
 const KEYS: usize = 40;
-/// Between two tries of one key.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Tries of one key before a test gives up: far less than the time for which a key is in doubt.
+/// Delay between two attempts with one key.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum number of attempts with one key: their total time is far less than the time for which a
+/// key stays in doubt.
 const TRIES: usize = 1000;
 
 struct World {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Starts an entry and waits until this many own slots.
+    /// Starts an entry and waits until `owners` members own slots.
     async fn join(&self, name: &str, owners: usize) -> Running {
         let entry = support::open_peer(name, &self.identity, &self.list, &self.store).await;
         support::until("it owns its share", || self.owners() == owners).await;
@@ -95,7 +96,7 @@
                 return;
             }
         }
-        panic!("the roster changes all the time");
+        panic!("the roster changed before each of {TRIES} writes");
     }
 
     /// Counts the runs of each key.
@@ -109,7 +110,7 @@
 
     fn assert_each_ran_once(&self) {
         let twice: Vec<_> = self.runs().into_iter().filter(|(_, runs)| *runs != 1).collect();
-        assert!(twice.is_empty(), "ran not once: {twice:?}");
+        assert!(twice.is_empty(), "did not run exactly once: {twice:?}");
     }
 }
 
@@ -122,8 +123,8 @@
     request.header("idempotency-key", key).send().await.expect("the entry answers")
 }
 
-/// Books until the answer is final: owners that are on the move, and a settlement that is on its
-/// way, are told as such and pass.
+/// Books until the answer is final. Ownership that is being handed over and settlements in flight
+/// lead to temporary result codes, which are retried.
 async fn book_to_the_end(entry: &Running, key: &str) {
     let mut code = 0;
     for _ in 0..TRIES {
@@ -134,9 +135,9 @@
             assert_eq!(response.text().await.unwrap(), key);
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
-    panic!("the key {key} is still told as {code}");
+    panic!("the key {key} still gets the code {code}");
 }
 
 async fn book_all(entry: &Running, keys: &[String]) {
@@ -177,7 +178,7 @@
     c.stop().await;
 }
 
-/// Clients that go on while all entries are replaced.
+/// Number of clients that send requests while all entries are replaced.
 const CLIENTS: usize = 4;
 
 #[tokio::test]
@@ -223,29 +224,29 @@
             urls[attempt % urls.len()].clone()
         };
         let request = support::client().post(url).header("idempotency-key", key);
-        // No connection: the entry has ended. It told the client so before.
+        // A failed connection means that the entry has ended; it announced its stop before.
         if let Ok(response) = request.send().await {
             match support::code(&response) {
                 1000 => return assert_eq!(response.text().await.unwrap(), key),
                 1205 | 1303 | 1304 => {}
-                other => panic!("{key} is told as {other}"),
+                other => panic!("{key} gets the code {other}"),
             }
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
     panic!("the key {key} has no final answer");
 }
 
-/// A member of the roster that the test plays itself.
-struct Played {
+/// A fake member of the roster, controlled by the test.
+struct FakeMember {
     node: Node,
     calls: mpsc::Receiver<Incoming>,
     member: Member,
 }
 
 impl World {
-    /// Lists a played entry and makes it a member, so that the others hand slots over to it.
-    async fn play(&self, name: &str) -> Played {
+    /// Lists a fake entry and adds it to the roster, so that the others hand slots over to it.
+    async fn add_fake(&self, name: &str) -> FakeMember {
         let settings = node::Settings {
             address: support::ANY,
             identity: self.identity.clone(),
@@ -270,11 +271,11 @@
         };
         let joining = |roster: &Roster| roster.revised(&member, |_| false).expect("it is new");
         self.change_roster(joining).await;
-        Played { node, calls, member }
+        FakeMember { node, calls, member }
     }
 }
 
-impl Played {
+impl FakeMember {
     /// Waits for the next handover and answers it.
     async fn adopt(&mut self, reply: Option<Reply>) -> Handover {
         loop {
@@ -304,45 +305,46 @@
     let a = world.join("entry-a", 1).await;
     let known = keys("known");
     book_all(&a, &known).await;
-    let mut played = world.play("entry-x").await;
-    let handover = played.adopt(None).await;
+    let mut fake = world.add_fake("entry-x").await;
+    let handover = fake.adopt(None).await;
     assert!(handover.keys() > 0, "what is known of the slots was sent");
     book_all(&a, &known).await;
     book_all(&a, &keys("new")).await;
     assert_eq!(world.owners(), 1);
     world.assert_each_ran_once();
-    // The played member takes the slots when the owner stops, whatever it was told of them.
+    // The fake member owns the slots when their owner stops, even without a handover.
     a.stop().await;
-    assert!(world.roster().unwrap().members.iter().all(|member| member.is_same(&played.member)));
-    drop(played.node);
+    assert!(world.roster().unwrap().members.iter().all(|member| member.is_same(&fake.member)));
+    drop(fake.node);
 }
 
-/// The played member takes its share and gives it up to the entry that is left without a word.
+/// A fake member accepts its share and releases it to the remaining entry without a handover. Only
+/// the keys of the released slots are in doubt.
 #[tokio::test]
 async fn lost_handover_leaves_doubt_for_its_slots_alone() {
     let world = World::open().await;
     let a = world.join("entry-a", 1).await;
     let known = keys("known");
     book_all(&a, &known).await;
-    let mut played = world.play("entry-x").await;
-    let handover = played.adopt(Some(Reply::Noted)).await;
+    let mut fake = world.add_fake("entry-x").await;
+    let handover = fake.adopt(Some(Reply::Noted)).await;
     support::until("it owns its share", || world.owners() == 2).await;
     let before = world.roster().unwrap();
     let sent = handover.slots.iter().flat_map(|parcel| &parcel.grants);
     let sent: Vec<_> = sent.map(|kept| kept.key.key.to_string()).collect();
-    assert!(sent.iter().all(|key| played.owns(&before, key)));
+    assert!(sent.iter().all(|key| fake.owns(&before, key)));
 
     world
         .change_roster(|roster| {
-            let to = roster.members.iter().find(|member| !member.is_same(&played.member)).unwrap();
-            let slots = slot::all().filter(|slot| roster.owner_at(*slot).is_same(&played.member));
+            let to = roster.members.iter().find(|member| !member.is_same(&fake.member)).unwrap();
+            let slots = slot::all().filter(|slot| roster.owner_at(*slot).is_same(&fake.member));
             let moves: Vec<_> =
                 slots.map(|slot| Move { slot, to: to.clone(), number: 7 }).collect();
-            roster.released(&moves, Some(&played.member))
+            roster.released(&moves, Some(&fake.member))
         })
         .await;
     let (lost, kept): (Vec<_>, Vec<_>) =
-        known.iter().chain(&keys("new")).cloned().partition(|key| played.owns(&before, key));
+        known.iter().chain(&keys("new")).cloned().partition(|key| fake.owns(&before, key));
     assert!(!lost.is_empty() && lost.len() < kept.len() * 4);
     book_all(&a, &kept).await;
     for key in lost {
@@ -352,7 +354,7 @@
     a.stop().await;
 }
 
-/// The claim and settlement that a played owner gets, whatever else peers ask.
+/// Returns the next claim or settlement that a fake owner receives; rejects other calls.
 async fn next_of_key(calls: &mut mpsc::Receiver<Incoming>) -> Incoming {
     loop {
         let call = tokio::time::timeout(support::HANG, calls.recv()).await;
@@ -368,19 +370,19 @@
 async fn claim_whose_verdict_is_lost_is_settled_as_not_run() {
     let world = World::open().await;
     let a = world.join("entry-a", 1).await;
-    let mut played = world.play("entry-x").await;
-    played.adopt(Some(Reply::Noted)).await;
+    let mut fake = world.add_fake("entry-x").await;
+    fake.adopt(Some(Reply::Noted)).await;
     support::until("it owns its share", || world.owners() == 2).await;
     let roster = world.roster().unwrap();
-    let key = keys("lost").into_iter().find(|key| played.owns(&roster, key)).unwrap();
+    let key = keys("lost").into_iter().find(|key| fake.owns(&roster, key)).unwrap();
     let url = a.url("/shop/renders");
     let send = || support::client().post(&url).header("idempotency-key", &key).send();
 
-    // The entry goes by the new roster a moment after the store does.
+    // The entry applies the new roster shortly after it is stored.
     let refused = loop {
         let mut sent = tokio::spawn(send());
         let incoming = tokio::select! {
-            incoming = next_of_key(&mut played.calls) => incoming,
+            incoming = next_of_key(&mut fake.calls) => incoming,
             early = &mut sent => {
                 assert_eq!(support::code(&early.unwrap().unwrap()), 1304);
                 continue;
@@ -391,7 +393,7 @@
         assert_eq!(support::code(&sent.await.unwrap().unwrap()), 1304);
         break claimant;
     };
-    let settled = next_of_key(&mut played.calls).await;
+    let settled = next_of_key(&mut fake.calls).await;
     let Call::Settle { claimant, settlement, .. } = settled.call.clone() else {
         panic!("{settled:?}")
     };
@@ -399,12 +401,12 @@
     settled.answer(Reply::Noted);
 
     let sent = tokio::spawn(send());
-    let granted = next_of_key(&mut played.calls).await;
+    let granted = next_of_key(&mut fake.calls).await;
     let Call::Claim { claimant: second, .. } = granted.call.clone() else { panic!("{granted:?}") };
     assert_ne!(second, refused, "another request is another claimant");
     granted.answer(Reply::Claimed(Claimed::Granted));
     assert_eq!(support::code(&sent.await.unwrap().unwrap()), 1000);
-    let settled = next_of_key(&mut played.calls).await;
+    let settled = next_of_key(&mut fake.calls).await;
     let Call::Settle { claimant, settlement, .. } = settled.call.clone() else {
         panic!("{settled:?}")
     };
--- a/bin/entry/tests/settings.rs
+++ b/bin/entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Wrong settings end the process at once with their number, before anything is started.
+//! Invalid settings end the process at once with their error code, before anything is started.
 
 use std::process::Command;
 
--- a/bin/entry/tests/support/backend.rs
+++ b/bin/entry/tests/support/backend.rs
@@ -1,4 +1,4 @@
-//! A backend server made of bare TCP, so that a test decides every byte and every close.
+//! A backend server on plain TCP, so that a test controls every byte and every close.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,12 +12,12 @@
 
 use crate::support::ANY;
 
-/// A request as the server read it.
+/// A request that the server read.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// Which connection it came on, from zero.
+    /// The index of its connection, from zero.
     pub connection: usize,
-    /// Which request of that connection it was, from zero.
+    /// Its index among the connection's requests, from zero.
     pub place: usize,
     /// The request line and headers.
     pub head: String,
@@ -33,41 +33,41 @@
     }
 }
 
-/// What the server does about a request.
+/// The server's reaction to a request.
 #[derive(Clone, Debug)]
 pub enum Act {
     /// Writes this and keeps the connection.
     Write(String),
     /// Writes this and closes.
     WriteAndClose(String),
-    /// Writes this after a time and keeps the connection.
+    /// Writes this after a delay and keeps the connection.
     WriteLater(Duration, String),
-    /// Closes without a byte.
+    /// Closes without writing.
     Close,
-    /// Says nothing and keeps the connection until the other side closes it.
+    /// Writes nothing and keeps the connection until the peer closes it.
     Hold,
 }
 
-/// Makes a whole answer.
+/// Returns a whole answer.
 pub fn answer(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\ncontent-length: {}\r\n{headers}\r\n{body}", body.len())
 }
 
-/// Makes a whole answer with status 200.
+/// Returns a whole answer with status 200.
 pub fn ok(body: &str) -> Act {
     Act::Write(answer("200 OK", "", body))
 }
 
 /// A running server.
 pub struct Backend {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     seen: Arc<Mutex<Vec<Seen>>>,
     closed: Arc<Mutex<usize>>,
     open: Arc<Mutex<Open>>,
 }
 
-/// Connections that are open, and the most that ever were.
+/// The number of open connections, and its maximum.
 #[derive(Clone, Copy, Default)]
 struct Open {
     now: usize,
@@ -77,7 +77,7 @@
 type Script = dyn Fn(&Seen) -> Act + Send + Sync;
 
 impl Backend {
-    /// Starts a server that does as the script says.
+    /// Starts a server that reacts to each request as `script` returns.
     pub async fn open(script: impl Fn(&Seen) -> Act + Send + Sync + 'static) -> Backend {
         let listener = TcpListener::bind(ANY).await.expect("loopback ports are free");
         let address = listener.local_addr().expect("it is bound");
@@ -95,8 +95,8 @@
                 tokio::spawn(async move {
                     opened(&open);
                     serve(stream, connection, &*script, &seen).await;
-                    open.lock().expect("no test panics with it").now -= 1;
-                    *closed.lock().expect("no test panics with it") += 1;
+                    open.lock().expect("the lock is not poisoned").now -= 1;
+                    *closed.lock().expect("the lock is not poisoned") += 1;
                 });
                 connection += 1;
             }
@@ -106,22 +106,22 @@
 
     /// Returns every request read so far.
     pub fn seen(&self) -> Vec<Seen> {
-        self.seen.lock().expect("no test panics with it").clone()
+        self.seen.lock().expect("the lock is not poisoned").clone()
     }
 
-    /// Returns the most connections that were ever open at once.
+    /// Returns the maximum number of connections open at once.
     pub fn most_open(&self) -> usize {
-        self.open.lock().expect("no test panics with it").most
+        self.open.lock().expect("the lock is not poisoned").most
     }
 
-    /// Counts the connections that have ended.
+    /// Returns the number of connections that have ended.
     pub fn closed(&self) -> usize {
-        *self.closed.lock().expect("no test panics with it")
+        *self.closed.lock().expect("the lock is not poisoned")
     }
 }
 
 fn opened(open: &Mutex<Open>) {
-    let mut open = open.lock().expect("no test panics with it");
+    let mut open = open.lock().expect("the lock is not poisoned");
     open.now += 1;
     open.most = open.most.max(open.now);
 }
@@ -136,7 +136,7 @@
     loop {
         let (head, body) = read(&mut stream).await?;
         let request = Seen { connection, place, head, body };
-        seen.lock().expect("no test panics with it").push(request.clone());
+        seen.lock().expect("the lock is not poisoned").push(request.clone());
         match script(&request) {
             Act::Write(text) => stream.write_all(text.as_bytes()).await.ok()?,
             Act::WriteAndClose(text) => return stream.write_all(text.as_bytes()).await.ok(),
@@ -154,7 +154,7 @@
     }
 }
 
-/// Reads one request with a length, or none.
+/// Reads one request with an optional content length, or returns `None` at the end.
 async fn read(stream: &mut TcpStream) -> Option<(String, String)> {
     let mut bytes = Vec::new();
     let end = loop {
--- a/bin/entry/tests/support/mod.rs
+++ b/bin/entry/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Small fakes at the edges of an entry process: the platform's ports, and backend servers as bare
-//! TCP servers that answer, break off or stay silent as the test says.
+//! Fakes of the platform's ports and of backend servers: plain TCP servers that answer, close or stay
+//! silent as the test specifies.
 
 #![allow(dead_code)]
 
@@ -25,19 +25,19 @@
 use crate::support::platform::List;
 use crate::support::platform::Store;
 
-/// Limit for waits that only a hang reaches.
+/// Timeout of waits, reached only if something hangs.
 pub const HANG: Duration = Duration::from_secs(60);
 
-/// An address on loopback with a port that the system chooses.
+/// A loopback address with a port chosen by the system.
 pub const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// An entry process within the test.
+/// An entry that runs in the test process.
 pub struct Running {
     entry: Entry,
     switch: Switch,
 }
 
-/// Makes settings from further flags.
+/// Returns settings with additional flags.
 pub fn settings_with(flags: &[&str]) -> Settings {
     let base = [
         "--instance=entry-1",
@@ -52,24 +52,24 @@
     settings::settings().run_inner(arguments.as_slice()).expect("the flags are right")
 }
 
-/// Starts an entry before these backend servers and waits until it is ready.
+/// Starts an entry and waits until it is ready.
 pub async fn open(list: &List, store: &Store, flags: &[&str]) -> Running {
     let running = open_early(list, store, flags);
     until("the entry is ready", || running.entry.is_ready()).await;
     running
 }
 
-/// Starts an entry without waiting for its readiness.
+/// Starts an entry without waiting until it is ready.
 pub fn open_early(list: &List, store: &Store, flags: &[&str]) -> Running {
     start(settings_with(flags), None, list, store)
 }
 
-/// Starts an entry that has links to others of the same identity, and lists it.
+/// Starts an entry that connects to others with the same identity, and lists it.
 pub async fn open_peer(name: &str, identity: &Identity, list: &List, store: &Store) -> Running {
     let mut settings = settings_with(&["--peer-listen=127.0.0.1:0", "--entries=2"]);
     settings.common.instance = name.to_owned();
     let running = start(settings, Some(identity.clone()), list, store);
-    let address = running.entry.peer_address().expect("it has links");
+    let address = running.entry.peer_address().expect("it listens for peers");
     list.add(list::Member { role: list::Role::Entry, ..platform::member(name, "", address) });
     until("the entry is ready", || running.entry.is_ready()).await;
     running
@@ -93,17 +93,17 @@
 }
 
 impl Running {
-    /// Returns where callers come in.
+    /// Returns the address for callers.
     pub fn address(&self) -> SocketAddr {
         self.entry.address()
     }
 
-    /// Tells whether the process wants work.
+    /// Returns `true` if the entry is ready for requests.
     pub fn ready(&self) -> bool {
         self.entry.is_ready()
     }
 
-    /// Makes the URL of a path below a service.
+    /// Returns the URL of a path.
     pub fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.entry.address())
     }
@@ -119,19 +119,19 @@
             .sum()
     }
 
-    /// Counts the series of a metric.
+    /// Returns the number of series of a metric.
     pub fn series(&self, name: &str) -> usize {
         let families = self.entry.registry().gather();
         let family = families.iter().find(|family| family.name() == name);
         family.map_or(0, |family| family.get_metric().len())
     }
 
-    /// Asks for a graceful stop.
+    /// Begins a graceful stop.
     pub fn drain(&self) {
         self.switch.advance(Stage::Draining);
     }
 
-    /// Asks for the stop to be forced.
+    /// Forces the stop.
     pub fn force(&self) {
         self.switch.advance(Stage::Forced);
     }
@@ -140,7 +140,10 @@
     pub async fn ended(self) {
         let Running { entry, switch } = self;
         let join = tokio::task::spawn_blocking(move || entry.join());
-        tokio::time::timeout(HANG, join).await.expect("the entry ends").expect("no duty panicked");
+        tokio::time::timeout(HANG, join)
+            .await
+            .expect("the entry ends")
+            .expect("no thread panicked");
         drop(switch);
     }
 
@@ -151,7 +154,7 @@
     }
 }
 
-/// Opens a client that neither follows nor retries anything.
+/// Opens a client that follows no redirects and doesn't retry.
 pub fn client() -> reqwest::Client {
     reqwest::Client::builder()
         .no_proxy()
--- a/bin/entry/tests/support/platform.rs
+++ b/bin/entry/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's ports, held in memory.
+//! In-memory implementations of the platform's ports.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
 }
 
 impl List {
-    /// Lists backend servers of one service.
+    /// Returns a list with backend servers of one service.
     pub fn of(service: &str, addresses: &[SocketAddr]) -> List {
         let list = List::default();
         for (number, address) in addresses.iter().enumerate() {
@@ -40,14 +40,14 @@
         list
     }
 
-    /// Counts the reads so far.
+    /// Returns the number of reads so far.
     pub fn reads(&self) -> usize {
         self.reads.load(Ordering::Relaxed)
     }
 
     /// Adds or replaces an instance.
     pub fn add(&self, member: list::Member) {
-        let mut view = self.view.lock().expect("no test panics with it");
+        let mut view = self.view.lock().expect("the lock is not poisoned");
         view.members.retain(|other| other.instance != member.instance);
         view.members.push(member);
         view.members.sort_by(|a, b| a.instance.cmp(&b.instance));
@@ -55,7 +55,7 @@
     }
 }
 
-/// Makes a live backend server.
+/// Returns a live backend server.
 pub fn member(instance: &str, service: &str, address: SocketAddr) -> list::Member {
     list::Member {
         instance: instance.into(),
@@ -79,7 +79,7 @@
         known: Option<list::Version>,
     ) -> Result<Option<list::View>, list::Error> {
         self.reads.fetch_add(1, Ordering::Relaxed);
-        let view = self.view.lock().expect("no test panics with it").clone();
+        let view = self.view.lock().expect("the lock is not poisoned").clone();
         Ok((known != Some(view.version)).then_some(view))
     }
 }
@@ -104,14 +104,14 @@
 }
 
 impl Store {
-    /// Holds one service.
+    /// Returns a store with one service.
     pub fn with(name: &str, spec: service::Spec) -> Store {
         let store = Store::default();
         store.put(name, spec);
         store
     }
 
-    /// Lets every call fail, or none.
+    /// Sets whether every call fails.
     pub fn set_down(&self, down: bool) {
         self.down.store(down, Ordering::SeqCst);
     }
@@ -129,7 +129,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no test panics with it")
+        self.state.lock().expect("the lock is not poisoned")
     }
 
     fn check(&self) -> Result<(), kv::Error> {
@@ -152,7 +152,7 @@
         self.entries.push(entry.clone());
         for watch in &self.watches {
             if entry.key.starts_with(&watch.prefix) {
-                // A test's watches are read faster than its store is written.
+                // The channel never fills up: tests read their watches faster than they write the store.
                 let _ = watch.updates.try_send(Update::Put(entry.clone()));
             }
         }
--- a/bin/entry/tests/support/raw.rs
+++ b/bin/entry/tests/support/raw.rs
@@ -1,4 +1,4 @@
-//! A caller made of bare TCP, for requests that no library would send.
+//! A caller on plain TCP, for requests that an HTTP library would not send.
 
 use std::net::SocketAddr;
 
@@ -15,10 +15,10 @@
     stream
 }
 
-/// Writes these bytes and returns everything that comes back before the connection closes.
+/// Writes these bytes and returns everything received until the connection closes.
 pub async fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.expect("the entry listens");
-    // An entry that has seen enough may close before it has read everything.
+    // The entry may reject the request and close before it has read everything.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
@@ -26,7 +26,7 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// Writes these bytes and returns the first answer that comes back, which has a length.
+/// Writes these bytes and returns the first answer, which has a content length.
 pub async fn first_answer(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = begin(address, bytes).await;
     let mut answer = Vec::new();
--- a/bin/entry/tests/two_entries.rs
+++ b/bin/entry/tests/two_entries.rs
@@ -1,4 +1,4 @@
-//! Two entries with links between them: repeated keys, and what one hears first.
+//! Two connected entries: repeated keys, announcements and the exchange of the configuration.
 
 mod support;
 
@@ -23,7 +23,7 @@
     b: Running,
 }
 
-/// Starts two entries before these backend servers and waits until both are in the roster.
+/// Starts two entries in front of `servers` and waits until both are in the roster.
 async fn open(servers: &[&Backend]) -> Pair {
     let addresses: Vec<_> = servers.iter().map(|server| server.address).collect();
     let list = List::of("shop", &addresses);
@@ -64,7 +64,7 @@
     request.header("idempotency-key", key).send().await.expect("the entry answers")
 }
 
-/// Books until the entry knows who owns the key; a claim before that is refused at once.
+/// Books until the entry knows the key's owner; a claim before that is rejected at once.
 async fn book_when_owned(entry: &Running, key: &str) -> reqwest::Response {
     for _ in 0..1000 {
         let response = book(entry, key).await;
@@ -74,7 +74,7 @@
         assert_eq!(response.headers()["cowslipchute-outcome"], "unknown");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("nobody owns the key {key}");
+    panic!("the key {key} has no owner");
 }
 
 #[tokio::test]
@@ -87,7 +87,7 @@
         let answer = book_when_owned(first, &key).await;
         assert_eq!(support::code(&answer), 1000);
         let runs = server.seen().len();
-        // The settlement travels beside the answer, so the repeat may come before it.
+        // The settlement is sent concurrently with the answer, so the repeat may arrive before it.
         let repeat = loop {
             let repeat = book_when_owned(second, &key).await;
             if support::code(&repeat) != 1303 {
@@ -103,8 +103,8 @@
     pair.b.stop().await;
 }
 
-/// Guards against a repeat that is told anything but that its key is in progress. Whether it is can't be told while the
-/// key's slot is handed over, so both entries know the slot's owner before the first request.
+/// Guards against a repeat that gets any code but the one of a key in progress. While the key's slot
+/// is being handed over, another code is correct, so both entries first learn the slot's owner.
 #[tokio::test]
 async fn key_in_progress_is_told_through_the_other_entry() {
     let sibling = sibling("k");
@@ -143,7 +143,7 @@
     pair.b.stop().await;
 }
 
-/// Entry A hears from the backend server itself that it is leaving; entry B hears it from A alone.
+/// Entry A learns from the backend server that it is leaving; entry B learns it only from A.
 #[tokio::test]
 async fn leaving_server_is_announced_to_the_other_entry() {
     let leaving = Backend::open(|seen| {
@@ -174,12 +174,12 @@
     pair.b.stop().await;
 }
 
-/// Long enough that the requests of a burst overlap, so that they use every server.
+/// Response time: long enough that the requests of a burst overlap and so use every server.
 const SLOW: Duration = Duration::from_millis(20);
-/// Requests of a burst: more than one server takes at once, fewer than both do.
+/// Requests in a burst: more than one server runs at once, fewer than both do.
 const BURST: usize = 6;
 
-/// Sends a burst; returns how many of its requests one server got.
+/// Sends a burst and returns the number of its requests that `server` received.
 async fn burst(entry: &Running, path: &str, server: &Backend) -> usize {
     let before = server.seen().len();
     let client = support::client();
@@ -192,7 +192,7 @@
     server.seen().len() - before
 }
 
-/// A configuration that the store can't give any more is learnt from the other entry.
+/// An entry that can't read the store gets the configuration from the other entry.
 #[tokio::test]
 async fn new_entry_learns_the_configuration_from_its_peer() {
     let server = Backend::open(|_| backend::ok("")).await;
--- a/bin/entry/tests/whole_answer.rs
+++ b/bin/entry/tests/whole_answer.rs
@@ -1,4 +1,4 @@
-//! A request goes to a backend server and its whole answer comes back.
+//! A request is sent to a backend server and its whole answer is returned.
 
 mod support;
 
@@ -29,7 +29,7 @@
     assert_eq!(support::code(&response), 1000);
     assert_eq!(response.headers()["cowslipchute-outcome"], "answered");
     assert_eq!(response.headers()["x-web"], "shop");
-    assert!(!response.headers().contains_key("x-hop"), "hop-by-hop headers stay here");
+    assert!(!response.headers().contains_key("x-hop"), "hop-by-hop headers are not forwarded");
     assert_eq!(response.text().await.expect("the whole body"), "lift slot 7");
 
     let seen = server.seen();
@@ -38,12 +38,12 @@
     assert_eq!(seen[0].body, "research 12");
     assert_eq!(seen[0].header("x-caller"), Some("harbour"));
     assert!(seen[0].header(backend::ATTEMPT_HEADER).is_some());
-    let left = seen[0].header(backend::DEADLINE_HEADER).expect("the deadline is passed on");
+    let left = seen[0].header(backend::DEADLINE_HEADER).expect("the deadline is forwarded");
     assert!((1..=900).contains(&left.parse::<u64>().expect("milliseconds")), "{left}");
     entry.stop().await;
 }
 
-/// Answers in every form that has an end come through whole.
+/// Every form of answer that is delimited is forwarded whole.
 #[parameterized(
     empty = { "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n", 200, "" },
     no_content = { "HTTP/1.1 204 No Content\r\n\r\n", 204, "" },
@@ -87,7 +87,7 @@
     entry.stop().await;
 }
 
-/// A body of megabytes comes in many pieces, in both directions.
+/// Bodies of a size that takes many chunks, in both directions.
 #[tokio::test]
 async fn large_bodies_pass_whole() {
     let server = Backend::open(|seen| backend_echo(&seen.body)).await;
