--- a/bin/entry/examples/load.rs
+++ b/bin/entry/examples/load.rs
@@ -4,9 +4,9 @@
 //! `cargo run --release -p cowslipchute-entry --example load -- [connections] [seconds]`
 //!
 //! Everything runs in one process on loopback, bounded in connections and time. The backend servers
-//! and the callers use plain TCP to keep their own cost low; the entry is the library of the release,
-//! with in-memory implementations of the platform's ports. CPU time is read for each of the entry's
-//! threads by its name.
+//! and the callers use plain TCP to keep their own cost low; the entry is the library of the
+//! release, with in-memory implementations of the platform's ports. CPU time is read for each of
+//! the entry's threads by its name.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
--- a/bin/entry/src/entry.rs
+++ b/bin/entry/src/entry.rs
@@ -104,7 +104,7 @@
         peer_bell: Bell::default(),
         settings,
     };
-    // The admin thread serves until the process ends, so that a stop can be observed until it is complete.
+    // The admin thread serves until the process ends, so that a stop can be observed to its end.
     let admin = shared.settings.common.admin;
     admin::spawn(admin, registry.clone(), shared.readiness.clone(), None)
         .with_context(|| format!("can't bind {admin}"))?;
@@ -115,7 +115,7 @@
     let (list_commands, ring) = ring::open_with(PEER_COMMAND_CAPACITY, shared.peer_bell.clone());
     peer_command_rings.push(ring);
     let (peer_events, peer_events_in) = ring::open_with(PEER_COMMAND_CAPACITY, shared.bell.clone());
-    let (give_follow, follow) = oneshot::channel();
+    let (follow_sender, follow) = oneshot::channel();
     let parts =
         PeerParts { identity, store: store.clone(), follow, peer_command_rings, peer_events };
     let (duty, node) = open_peers(&shared, parts)?;
@@ -125,7 +125,7 @@
     let (change, changes) = ring::open_with(UPDATE_CAPACITY, shared.bell.clone());
     let following = shared.settings.follow(&shared.logger);
     let follower = cowslipchute_follow::spawn(following, store, node, listed, change)?;
-    let _ = give_follow.send(follower.handle());
+    let _ = follow_sender.send(follower.handle());
     let (updates, updates_in) = ring::open_with(UPDATE_CAPACITY, shared.bell.clone());
     let (done, ended) = oneshot::channel();
     let (accepting, closed) = oneshot::channel();
@@ -211,7 +211,7 @@
     let peers = Peers {
         me: shared.settings.member(),
         store: parts.store,
-        links: links(&shared.settings, parts.identity)?,
+        node_settings: node_settings(&shared.settings, parts.identity)?,
         follow: parts.follow,
         peer_commands: parts.peer_command_rings,
         bell: shared.peer_bell.clone(),
@@ -224,7 +224,7 @@
 }
 
 /// Returns the settings of the connections to peers, if there are any.
-fn links(
+fn node_settings(
     settings: &Settings,
     identity: Option<Identity>,
 ) -> anyhow::Result<Option<node::Settings>> {
--- a/bin/entry/src/front/exchange.rs
+++ b/bin/entry/src/front/exchange.rs
@@ -113,8 +113,8 @@
 }
 
 async fn read_body(response: &mut Response, answer_max: usize) -> Result<Bytes, Ending> {
-    let announced = response.content_length().unwrap_or(0);
-    if announced > answer_max as u64 {
+    let declared = response.content_length().unwrap_or(0);
+    if declared > answer_max as u64 {
         return Err(Ending::TooLarge);
     }
     let mut first = Bytes::new();
@@ -149,7 +149,8 @@
     if head::strip_hop_by_hop(&mut headers).is_err() {
         headers.remove(header::CONNECTION);
     }
-    // An answer to HEAD has the length that GET would return; any other length follows from the body.
+    // An answer to HEAD has the length that GET would return; any other length follows from the
+    // body.
     if method != Method::HEAD {
         headers.remove(header::CONTENT_LENGTH);
     }
--- a/bin/entry/src/front/handler.rs
+++ b/bin/entry/src/front/handler.rs
@@ -40,13 +40,13 @@
 
     async fn serve(&self, request: Request, began: Instant) -> Served {
         let (parts, body) = request.into_parts();
-        let announced = declared_length(&parts.headers);
+        let declared = declared_length(&parts.headers);
         let head = match head::read(parts.method, &parts.uri, parts.headers, self.limits.head) {
             Ok(head) => head,
-            Err(code) => return Served::refused(code),
+            Err(code) => return Served::rejected(code),
         };
         let label = self.pending.label(&head.service, head.class);
-        let body = match self.body(body, announced).await {
+        let body = match self.body(body, declared).await {
             Ok(body) => body,
             Err(code) => return Served { label: Some(label), last: Final::own(code) },
         };
@@ -64,8 +64,8 @@
     }
 
     /// Reads the whole body, within the limits on size and time.
-    async fn body(&self, body: Body, announced: u64) -> Result<Bytes, Code> {
-        if announced > self.limits.body as u64 {
+    async fn body(&self, body: Body, declared: u64) -> Result<Bytes, Code> {
+        if declared > self.limits.body as u64 {
             return Err(Code::TooLarge);
         }
         if body.is_empty() {
@@ -87,7 +87,7 @@
 }
 
 impl Served {
-    fn refused(code: Code) -> Served {
+    fn rejected(code: Code) -> Served {
         Served { label: None, last: Final::own(code) }
     }
 }
--- a/bin/entry/src/front/pending.rs
+++ b/bin/entry/src/front/pending.rs
@@ -129,8 +129,8 @@
     ///
     /// # Errors
     ///
-    /// Returns `NotReady` before the first configuration, `Busy` if the ring to the decision thread is
-    /// full, and `QueueTimeout` if the deadline has passed.
+    /// Returns `NotReady` before the first configuration, `Busy` if the ring to the decision thread
+    /// is full, and `QueueTimeout` if the deadline has passed.
     pub fn take(&self, head: Head, body: Bytes, began: Instant) -> Result<Ticket, Code> {
         let mut table = self.table();
         if table.services.is_none() {
--- a/bin/entry/src/front/serve.rs
+++ b/bin/entry/src/front/serve.rs
@@ -34,8 +34,8 @@
 use crate::front::handler::Handler;
 use crate::front::stream::Stream;
 
-/// Serves connections until their ring is closed, then closes each as soon as its current request is
-/// answered, and returns.
+/// Serves connections until their ring is closed, then closes each as soon as its current request
+/// is answered, and returns.
 pub async fn run(
     mut accepted: ring::Receiver<Accepted>,
     local: SocketAddr,
--- a/bin/entry/src/keys.rs
+++ b/bin/entry/src/keys.rs
@@ -189,7 +189,8 @@
         self.spawn(async move {
             match verdict.await {
                 Ok(Reply::Claimed(verdict)) => Outcome::Claimed { request, verdict },
-                // It may have been granted, which would leave the key in doubt until its retention ends.
+                // It may have been granted, which would leave the key in doubt until its retention
+                // ends.
                 Err(node::Error::Unknown(_)) => Outcome::Lost { request, key },
                 _ => Outcome::Claimed { request, verdict: Claimed::NotOwner },
             }
--- a/bin/entry/src/peers.rs
+++ b/bin/entry/src/peers.rs
@@ -53,7 +53,7 @@
     /// The platform's key-value service.
     pub store: S,
     /// Settings of the connections to peers; without them this process has no peers.
-    pub links: Option<node::Settings>,
+    pub node_settings: Option<node::Settings>,
     /// Answers peers' calls about the configuration.
     pub follow: oneshot::Receiver<Handle>,
     /// From every thread that sends commands.
@@ -86,7 +86,7 @@
 }
 
 async fn run<S: Store>(mut peers: Peers<S>, opened: blocking::Sender<io::Result<Option<Node>>>) {
-    let (node, mut incoming) = match peers.links.take().map(Node::open).transpose() {
+    let (node, mut incoming) = match peers.node_settings.take().map(Node::open).transpose() {
         Ok(Some((node, incoming))) => (Some(node), Some(incoming)),
         Ok(None) => (None, None),
         Err(error) => {
@@ -220,8 +220,8 @@
         self.entries = others.map(|member| (member.instance.clone(), member.clone())).collect();
     }
 
-    /// Notifies every other entry that an instance is leaving, without retries: an entry that misses
-    /// it learns it from the list or from the backend server itself.
+    /// Notifies every other entry that an instance is leaving, without retries: an entry that
+    /// misses it learns it from the list or from the backend server itself.
     fn announce(&self, instance: id::Instance, incarnation: id::Incarnation) {
         let Some(node) = &self.node else { return };
         for member in self.entries.values() {
--- a/bin/entry/src/settings.rs
+++ b/bin/entry/src/settings.rs
@@ -131,7 +131,7 @@
         display_fallback
     )]
     pub body_within: u64,
-    /// Timeout for reading a request's head on a caller's connection, idle time included, in milliseconds
+    /// Timeout for reading a request's head, idle time included, in milliseconds
     #[bpaf(
         long("idle-within"),
         env("COWSLIPCHUTE_IDLE_WITHIN"),
@@ -204,8 +204,8 @@
         }
     }
 
-    /// Returns this process as an owner of idempotency keys that starts now. Its address is set when
-    /// the address for peers is bound.
+    /// Returns this process as an owner of idempotency keys that starts now. Its address is set
+    /// when the address for peers is bound.
     pub fn member(&self) -> Member {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Member {
--- a/bin/entry/src/share.rs
+++ b/bin/entry/src/share.rs
@@ -1,10 +1,10 @@
 //! The numbers of active and idle connections that this entry may have to a backend server.
 //!
-//! All entries together must stay within a server's connection limit. The router bounds the attempts
-//! in flight, but each front also keeps idle connections of its own. With an entry's share split
-//! evenly into `n` for each front, the router may use `n` and each front keeps `n - 1` idle: if all
-//! attempts are at one front, `n` are in use there and at most `n - 1` idle at each other, which
-//! leaves one in the share for a connection that is opened while another becomes idle.
+//! All entries together must stay within a server's connection limit. The router bounds the
+//! attempts in flight, but each front also keeps idle connections of its own. With an entry's share
+//! split evenly into `n` for each front, the router may use `n` and each front keeps `n - 1` idle:
+//! if all attempts are at one front, `n` are in use there and at most `n - 1` idle at each other,
+//! which leaves one in the share for a connection that is opened while another becomes idle.
 
 use std::collections::HashMap;
 
@@ -26,8 +26,8 @@
         Share { entries: entries.max(1), fronts: fronts.max(1), idle: HashMap::new() }
     }
 
-    /// Reduces the connections in a list to those that the router may use, and records how many idle
-    /// ones each front may keep.
+    /// Reduces the connections in a list to those that the router may use, and records how many
+    /// idle ones each front may keep.
     pub fn reserve_idle(&mut self, view: &mut list::View) {
         self.idle.clear();
         for member in view.members.iter_mut().filter(|member| member.role == list::Role::Backend) {
--- a/bin/entry/tests/backend_faults.rs
+++ b/bin/entry/tests/backend_faults.rs
@@ -40,8 +40,8 @@
     server.seen().iter().filter(|seen| seen.head.starts_with(&line)).count()
 }
 
-/// Guards against a POST that runs twice: the server reads the second POST on a pooled connection and
-/// closes it. Neither the HTTP library nor the router may send it again, since it may have run.
+/// Guards against a POST that runs twice: the server reads the second POST on a pooled connection
+/// and closes it. Neither the HTTP library nor the router may send it again, since it may have run.
 #[tokio::test]
 async fn pooled_connection_closed_under_a_post_runs_it_once() {
     let (server, entry) =
@@ -148,8 +148,8 @@
     entry.stop().await;
 }
 
-/// Guards against a late answer that reaches the next caller: an answer after the deadline is dropped
-/// with its connection.
+/// Guards against a late answer that reaches the next caller: an answer after the deadline is
+/// dropped with its connection.
 #[tokio::test]
 async fn late_answer_reaches_nobody() {
     let (server, entry) = before(|seen| {
--- a/bin/entry/tests/bad_input.rs
+++ b/bin/entry/tests/bad_input.rs
@@ -97,8 +97,8 @@
     entry.stop().await;
 }
 
-/// Guards against a forwarded answer that is mistaken for the HTTP library's own error response: the
-/// answer's text looks like one, and the shifts move it against the boundaries of writes.
+/// Guards against a forwarded answer that is mistaken for the HTTP library's own error response:
+/// the answer's text looks like one, and the shifts move it against the boundaries of writes.
 #[tokio::test]
 async fn answer_that_looks_like_a_refusal_passes() {
     const LOOK: &str = "HTTP/1.1 4";
--- a/bin/entry/tests/support/mod.rs
+++ b/bin/entry/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Fakes of the platform's ports and of backend servers: plain TCP servers that answer, close or stay
-//! silent as the test specifies.
+//! Fakes of the platform's ports and of backend servers: plain TCP servers that answer, close or
+//! stay silent as the test specifies.
 
 #![allow(dead_code)]
 
--- a/bin/entry/tests/support/platform.rs
+++ b/bin/entry/tests/support/platform.rs
@@ -152,7 +152,8 @@
         self.entries.push(entry.clone());
         for watch in &self.watches {
             if entry.key.starts_with(&watch.prefix) {
-                // The channel never fills up: tests read their watches faster than they write the store.
+                // The channel never fills up: tests read their watches faster than they write the
+                // store.
                 let _ = watch.updates.try_send(Update::Put(entry.clone()));
             }
         }
--- a/bin/entry/tests/two_entries.rs
+++ b/bin/entry/tests/two_entries.rs
@@ -103,8 +103,9 @@
     pair.b.stop().await;
 }
 
-/// Guards against a repeat that gets any code but the one of a key in progress. While the key's slot
-/// is being handed over, another code is correct, so both entries first learn the slot's owner.
+/// Guards against a repeat that gets any code but the one of a key in progress. While the key's
+/// slot is being handed over, another code is correct, so both entries first learn the slot's
+/// owner.
 #[tokio::test]
 async fn key_in_progress_is_told_through_the_other_entry() {
     let sibling = sibling("k");
