--- a/bin/entry/src/accept.rs
+++ b/bin/entry/src/accept.rs
@@ -1,7 +1,7 @@
-//! The accepting duty: takes callers' connections and gives each to the front that has fewest.
+//! The accept thread: accepts callers' connections and passes each to the front with the fewest.
 //!
-//! A listener shared by the fronts leaves most connections with one of them, and one listener for
-//! each (`SO_REUSEPORT`) would let a second process take the address without an error.
+//! With one listener shared by the fronts, one front would get most of the connections; with one
+//! listener each (`SO_REUSEPORT`), a second process could bind the address without an error.
 
 use std::io;
 use std::net::SocketAddr;
@@ -20,71 +20,71 @@
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
-/// How long to leave the listener alone when the system can't accept, for want of descriptors say.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A caller's connection on its way to a front.
+/// An accepted connection to be passed to a front.
 #[derive(Debug)]
 pub struct Accepted {
     /// The connection, non-blocking.
     pub stream: std::net::TcpStream,
-    /// Where it comes from.
+    /// The caller's address.
     pub remote: SocketAddr,
-    /// Kept for as long as the connection is.
-    pub place: Place,
+    /// Counts the connection until it is closed.
+    pub guard: Guard,
 }
 
 /// Counts a connection at its front until it is dropped.
 #[derive(Debug)]
-pub struct Place {
-    held: Arc<AtomicUsize>,
+pub struct Guard {
+    connections: Arc<AtomicUsize>,
 }
 
-impl Drop for Place {
+impl Drop for Guard {
     fn drop(&mut self) {
-        self.held.fetch_sub(1, Ordering::Relaxed);
+        self.connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// The way to one front.
+/// The ring to one front, with the number of its connections.
 #[derive(Debug)]
-pub struct Gate {
+pub struct Target {
     ring: ring::Sender<Accepted>,
-    held: Arc<AtomicUsize>,
+    connections: Arc<AtomicUsize>,
 }
 
-impl Gate {
-    /// Opens the way to a front.
-    pub fn open(ring: ring::Sender<Accepted>) -> Gate {
-        Gate { ring, held: Arc::default() }
+impl Target {
+    /// Opens a target without connections.
+    pub fn open(ring: ring::Sender<Accepted>) -> Target {
+        Target { ring, connections: Arc::default() }
     }
 
-    /// Gives the front a connection; one that it has no room for is closed.
-    fn give(&mut self, stream: std::net::TcpStream, remote: SocketAddr) {
-        self.held.fetch_add(1, Ordering::Relaxed);
-        let place = Place { held: self.held.clone() };
-        let _ = self.ring.send(Accepted { stream, remote, place });
+    /// Passes a connection to the front, or closes it if the ring is full.
+    fn dispatch(&mut self, stream: std::net::TcpStream, remote: SocketAddr) {
+        self.connections.fetch_add(1, Ordering::Relaxed);
+        let guard = Guard { connections: self.connections.clone() };
+        let _ = self.ring.send(Accepted { stream, remote, guard });
     }
 }
 
-/// Starts the accepting duty on a bound, non-blocking listener. It ends when `close` is closed or
-/// the stop is forced, and the fronts see their rings closed.
+/// Starts the accept thread on a bound, non-blocking listener. It ends when `close` is closed or
+/// the stop is forced, which closes the rings to the fronts.
 ///
 /// # Errors
 ///
-/// When the system refuses the thread.
+/// Returns an error if the thread can't be started.
 pub fn spawn(
     listener: std::net::TcpListener,
-    gates: Vec<Gate>,
+    targets: Vec<Target>,
     close: oneshot::Receiver<()>,
     stop: Stop,
 ) -> io::Result<Duty> {
-    duty::spawn("accept", move || run(listener, gates, close, stop))
+    duty::spawn("accept", move || run(listener, targets, close, stop))
 }
 
 async fn run(
     listener: std::net::TcpListener,
-    mut gates: Vec<Gate>,
+    mut targets: Vec<Target>,
     mut close: oneshot::Receiver<()>,
     mut stop: Stop,
 ) {
@@ -92,23 +92,23 @@
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
-                Ok((stream, remote)) => give(&mut gates, stream, remote),
-                Err(_) => tokio::time::sleep(PAUSE).await,
+                Ok((stream, remote)) => dispatch(&mut targets, stream, remote),
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
             _ = &mut close => break,
             () = stop.reached(Stage::Forced) => return,
         }
     }
-    // Connections that the system has made already are answered, too, rather than reset.
+    // Connections that wait in the system's accept queue are served, too, rather than reset.
     while let Some(Ok((stream, remote))) = listener.accept().now_or_never() {
-        give(&mut gates, stream, remote);
+        dispatch(&mut targets, stream, remote);
     }
 }
 
-fn give(gates: &mut [Gate], stream: TcpStream, remote: SocketAddr) {
+fn dispatch(targets: &mut [Target], stream: TcpStream, remote: SocketAddr) {
     let Ok(stream) = stream.into_std() else { return };
-    let fewest = gates.iter_mut().min_by_key(|gate| gate.held.load(Ordering::Relaxed));
-    if let Some(gate) = fewest {
-        gate.give(stream, remote);
+    let fewest = targets.iter_mut().min_by_key(|target| target.connections.load(Ordering::Relaxed));
+    if let Some(target) = fewest {
+        target.dispatch(stream, remote);
     }
 }
--- a/bin/entry/src/decide/mod.rs
+++ b/bin/entry/src/decide/mod.rs
@@ -1,5 +1,5 @@
-//! The deciding duty: it alone owns the router, feeds it one event after another and sends what it
-//! wants done to the front that holds the request.
+//! The decision thread: the only owner of the router. It passes events to the router one at a time
+//! and sends the resulting commands to the front that holds the request.
 
 mod act;
 mod stop;
@@ -34,59 +34,59 @@
 use slog::o;
 use tokio::sync::oneshot;
 
-use crate::message::Errand;
-use crate::message::News;
-use crate::message::Order;
+use crate::message::Command;
+use crate::message::PeerCommand;
+use crate::message::PeerEvent;
 use crate::message::Report;
 use crate::message::Services;
-use crate::message::Word;
+use crate::message::Update;
 use crate::outbox::Outbox;
 use crate::share::Share;
 
-/// Messages taken from one ring before the next one is looked at.
+/// Maximum number of messages read from one ring before the next ring is read.
 const BATCH: usize = 64;
 
 /// The rings to and from one front.
-pub struct Link {
+pub struct Channels {
     /// From the front.
     pub reports: ring::Receiver<Report>,
     /// To the front.
-    pub orders: ring::Sender<Order>,
+    pub commands: ring::Sender<Command>,
 }
 
-/// What the deciding duty is started with.
+/// The inputs of the decision thread.
 pub struct Decide {
     /// Settings of the router.
     pub router: router::Settings,
-    /// The fronts, by their number.
-    pub fronts: Vec<Link>,
-    /// From the duty that follows the configuration.
+    /// The rings of the fronts, by the front's number.
+    pub fronts: Vec<Channels>,
+    /// From the thread that follows the configuration.
     pub changes: ring::Receiver<Change>,
-    /// From the watching duty.
-    pub news: ring::Receiver<News>,
-    /// To the peer duty.
-    pub errands: ring::Sender<Errand>,
-    /// From the peer duty.
-    pub words: ring::Receiver<Word>,
-    /// Rung by every ring that ends here.
+    /// From the watch thread.
+    pub updates: ring::Receiver<Update>,
+    /// To the peer thread.
+    pub peer_commands: ring::Sender<PeerCommand>,
+    /// From the peer thread.
+    pub peer_events: ring::Receiver<PeerEvent>,
+    /// Wakes this thread; every ring that ends here notifies it.
     pub bell: Bell,
-    /// Set when configuration and list are in force, unset when a stop is asked for.
+    /// Set when configuration and list are loaded, cleared when a stop begins.
     pub readiness: Readiness,
-    /// How far the stop has come.
+    /// The stage of the stop.
     pub stop: Stop,
     /// For log events.
     pub logger: Logger,
-    /// Dropped when nothing is in progress any more, which ends the accepting duty.
+    /// Dropped when a drain has no request in progress, which ends the accept thread.
     pub accepting: oneshot::Sender<()>,
-    /// Dropped when the duty ends, which ends the watching duty.
-    pub over: oneshot::Sender<()>,
+    /// Dropped when this thread ends, which ends the watch thread.
+    pub done: oneshot::Sender<()>,
 }
 
-/// Starts the deciding duty. It ends when every front has ended, or when the stop is forced.
+/// Starts the decision thread. It ends when every front has ended, or when the stop is forced.
 ///
 /// # Errors
 ///
-/// When the system refuses the thread.
+/// Returns an error if the thread can't be started.
 pub fn spawn(decide: Decide) -> io::Result<Duty> {
     duty::spawn("decide", move || async move { Decider::open(decide).run().await })
 }
@@ -95,39 +95,39 @@
     router: Router,
     fronts: Vec<Front>,
     changes: ring::Receiver<Change>,
-    news: ring::Receiver<News>,
-    errands: ring::Sender<Errand>,
-    words: ring::Receiver<Word>,
+    updates: ring::Receiver<Update>,
+    peer_commands: ring::Sender<PeerCommand>,
+    peer_events: ring::Receiver<PeerEvent>,
     bell: Bell,
     readiness: Readiness,
     stop: Stop,
     logger: Logger,
-    _over: oneshot::Sender<()>,
+    _done: oneshot::Sender<()>,
     clock: Clock,
     share: Share,
-    /// Which front carries an attempt.
+    /// The front that runs each attempt.
     attempts: HashMap<Attempt, usize>,
-    /// Requests whose claim could not be passed on.
-    unclaimed: Vec<id::Request>,
+    /// Requests whose claim could not be sent to the peer thread.
+    unsent_claims: Vec<id::Request>,
     services: Services,
     services_changed: bool,
     configured: bool,
     listed: bool,
-    drained: Option<Time>,
+    draining_since: Option<Time>,
     accepting: Option<oneshot::Sender<()>>,
-    /// Reused from step to step.
+    /// A buffer reused between steps.
     actions: Vec<Action>,
 }
 
 struct Front {
     reports: ring::Receiver<Report>,
-    orders: Outbox<Order>,
+    commands: Outbox<Command>,
     ended: bool,
 }
 
 impl Front {
-    fn open(link: Link) -> Front {
-        Front { reports: link.reports, orders: Outbox::open(link.orders), ended: false }
+    fn open(channels: Channels) -> Front {
+        Front { reports: channels.reports, commands: Outbox::open(channels.commands), ended: false }
     }
 }
 
@@ -138,22 +138,22 @@
             router: Router::open(decide.router),
             fronts: decide.fronts.into_iter().map(Front::open).collect(),
             changes: decide.changes,
-            news: decide.news,
-            errands: decide.errands,
-            words: decide.words,
+            updates: decide.updates,
+            peer_commands: decide.peer_commands,
+            peer_events: decide.peer_events,
             bell: decide.bell,
             readiness: decide.readiness,
             stop: decide.stop,
             logger: decide.logger,
-            _over: decide.over,
+            _done: decide.done,
             clock: Clock::start(),
             attempts: HashMap::new(),
-            unclaimed: Vec::new(),
+            unsent_claims: Vec::new(),
             services: Services::new(),
             services_changed: false,
             configured: false,
             listed: false,
-            drained: None,
+            draining_since: None,
             accepting: Some(decide.accepting),
             actions: Vec::new(),
         }
@@ -161,12 +161,12 @@
 
     async fn run(mut self) {
         loop {
-            self.read_news();
-            self.read_words();
+            self.read_updates();
+            self.read_peer_events();
             let more = self.read_reports();
             self.tick();
             self.publish();
-            self.wind_down();
+            self.advance_stop();
             if self.ended() {
                 break;
             }
@@ -183,23 +183,23 @@
         self.stop.stage() == Stage::Forced || self.fronts.iter().all(|front| front.ended)
     }
 
-    fn read_news(&mut self) {
+    fn read_updates(&mut self) {
         while let Look::Value(change) = self.changes.look() {
-            self.changed(change);
+            self.apply_change(change);
         }
-        while let Look::Value(News::Listed { view }) = self.news.look() {
+        while let Look::Value(Update::Listed { view }) = self.updates.look() {
             self.listed = true;
             self.services_changed = true;
             let mut view = Arc::unwrap_or_clone(view);
-            self.share.set_aside(&mut view);
+            self.share.reserve_idle(&mut view);
             self.step(Event::Listed { view });
         }
     }
 
-    fn changed(&mut self, change: Change) {
+    fn apply_change(&mut self, change: Change) {
         match change {
             Change::Put { name, spec, .. } => {
-                // Jobs, teams and policies are the placer's.
+                // Jobs, teams and policies concern only the scheduler.
                 let Spec::Service(spec) = *spec else { return };
                 self.services.insert(name.clone(), spec.class);
                 self.services_changed = true;
@@ -218,24 +218,24 @@
         }
     }
 
-    fn read_words(&mut self) {
-        while let Some(request) = self.unclaimed.pop() {
+    fn read_peer_events(&mut self) {
+        while let Some(request) = self.unsent_claims.pop() {
             let verdict = peer::Claimed::NotOwner;
             self.step(Event::Claimed { request, verdict });
         }
-        while let Look::Value(word) = self.words.look() {
-            match word {
-                Word::Claimed { request, verdict } => {
+        while let Look::Value(event) = self.peer_events.look() {
+            match event {
+                PeerEvent::Claimed { request, verdict } => {
                     self.step(Event::Claimed { request, verdict });
                 }
-                Word::Leaving { instance, incarnation } => {
+                PeerEvent::Leaving { instance, incarnation } => {
                     self.step(Event::Leaving { instance, incarnation });
                 }
             }
         }
     }
 
-    /// Reads a batch from each front; tells whether there may be more.
+    /// Reads a batch from each front and returns `true` if there may be more.
     fn read_reports(&mut self) -> bool {
         let mut more = false;
         for number in 0..self.fronts.len() {
@@ -247,7 +247,7 @@
     fn read_batch(&mut self, number: usize) -> bool {
         for _ in 0..BATCH {
             match self.fronts[number].reports.look() {
-                Look::Value(report) => self.report(report),
+                Look::Value(report) => self.handle_report(report),
                 Look::Empty => return false,
                 Look::Closed => {
                     self.fronts[number].ended = true;
@@ -258,7 +258,7 @@
         true
     }
 
-    fn report(&mut self, report: Report) {
+    fn handle_report(&mut self, report: Report) {
         let event = match report {
             Report::Arrived { request, arrival } => Event::Arrived { request, arrival },
             Report::Abandoned { request } => Event::Abandoned { request },
--- a/bin/entry/src/front/door.rs
+++ b/bin/entry/src/front/handler.rs
@@ -1,4 +1,4 @@
-//! Where callers' requests come in: an endpoint of the HTTP server.
+//! The HTTP endpoint for callers' requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,32 +21,32 @@
 use crate::reply::Final;
 use crate::settings::Limits;
 
-/// Takes every request on the callers' address.
-pub struct Door {
+/// Handles every request on the callers' address.
+pub struct Handler {
     pending: Arc<Pending>,
     limits: Limits,
 }
 
-impl Door {
-    /// Opens the endpoint of a front.
-    pub fn open(pending: Arc<Pending>, limits: Limits) -> Door {
-        Door { pending, limits }
+impl Handler {
+    /// Opens the handler of a front.
+    pub fn open(pending: Arc<Pending>, limits: Limits) -> Handler {
+        Handler { pending, limits }
     }
 
     /// Counts a request that could not be parsed.
-    pub fn refused(&self) {
+    pub fn count_unparsable(&self) {
         self.pending.metrics.answered(None, Code::BadRequest, Duration::ZERO);
     }
 
     async fn serve(&self, request: Request, began: Instant) -> Served {
         let (parts, body) = request.into_parts();
-        let announced = announced(&parts.headers);
+        let declared = declared_length(&parts.headers);
         let head = match head::read(parts.method, &parts.uri, parts.headers, self.limits.head) {
             Ok(head) => head,
-            Err(code) => return Served::refused(code),
+            Err(code) => return Served::rejected(code),
         };
         let label = self.pending.label(&head.service, head.class);
-        let body = match self.body(body, announced).await {
+        let body = match self.body(body, declared).await {
             Ok(body) => body,
             Err(code) => return Served { label: Some(label), last: Final::own(code) },
         };
@@ -55,7 +55,7 @@
                 let mut guard = Guard { pending: &self.pending, request: Some(ticket.request) };
                 let last = ticket.answer.await;
                 guard.request = None;
-                // The sender is dropped only when the duty ends, which a forced stop does.
+                // The sender is dropped only when the thread ends, which happens on a forced stop.
                 last.unwrap_or_else(|_| Final::own(Code::Timeout))
             }
             Err(code) => Final::own(code),
@@ -63,9 +63,9 @@
         Served { label: Some(label), last }
     }
 
-    /// Reads the whole body, up to the limit and for no longer than a body may take.
-    async fn body(&self, body: Body, announced: u64) -> Result<Bytes, Code> {
-        if announced > self.limits.body as u64 {
+    /// Reads the whole body, within the limits on size and time.
+    async fn body(&self, body: Body, declared: u64) -> Result<Bytes, Code> {
+        if declared > self.limits.body as u64 {
             return Err(Code::TooLarge);
         }
         if body.is_empty() {
@@ -80,20 +80,20 @@
     }
 }
 
-/// A final answer with what is counted about it.
+/// A final answer with its metric labels.
 struct Served {
     label: Option<Label>,
     last: Final,
 }
 
 impl Served {
-    fn refused(code: Code) -> Served {
+    fn rejected(code: Code) -> Served {
         Served { label: None, last: Final::own(code) }
     }
 }
 
-/// Tells the pending when the request is dropped before its final answer, which the HTTP server does
-/// when the caller's connection goes away.
+/// Abandons the request when it is dropped before its final answer, which the HTTP server does when
+/// the caller's connection closes.
 struct Guard<'a> {
     pending: &'a Pending,
     request: Option<id::Request>,
@@ -107,13 +107,13 @@
     }
 }
 
-/// Returns the length that a request's head announces; the server has checked its form.
-fn announced(headers: &HeaderMap) -> u64 {
+/// Returns the declared length of a request's body; the HTTP server has checked its format.
+fn declared_length(headers: &HeaderMap) -> u64 {
     let length = headers.get(header::CONTENT_LENGTH);
     length.and_then(|value| value.to_str().ok()?.parse().ok()).unwrap_or(0)
 }
 
-impl Endpoint for Door {
+impl Endpoint for Handler {
     type Output = Response;
 
     async fn call(&self, request: Request) -> poem::Result<Response> {
--- a/bin/entry/src/front/pending.rs
+++ b/bin/entry/src/front/pending.rs
@@ -1,7 +1,7 @@
-//! The requests that one front holds, with their attempts and answers.
+//! The requests in progress at one front, with their attempts and answers.
 //!
-//! Everything here runs on the front's own thread; the lock is there because the HTTP library asks
-//! for `Sync`, and is never waited for.
+//! Everything here runs on the front's own thread. The lock exists only because the HTTP library
+//! requires `Sync`; it is never contended.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -24,30 +24,30 @@
 use smallvec::SmallVec;
 use tokio::sync::oneshot;
 
-use crate::front::carry::Carried;
 use crate::front::client;
+use crate::front::exchange::Outcome;
 use crate::front::table::Answered;
-use crate::front::table::Held;
+use crate::front::table::InFlight;
 use crate::front::table::Table;
 use crate::head::Head;
-use crate::message::Errand;
+use crate::message::PeerCommand;
 use crate::message::Report;
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
 use crate::reply::Final;
 use crate::settings::Limits;
 
-/// Bits of a request's number that count within its front.
+/// Number of low bits of a request's number that hold its sequence number within the front.
 const SEQUENCE_BITS: u32 = 48;
 
-/// Tells which front holds a request.
+/// Returns the index of the front that holds a request.
 pub fn front_of(request: id::Request) -> usize {
     (request >> SEQUENCE_BITS) as usize
 }
 
-/// The requests of one front.
+/// The requests in progress at one front.
 pub struct Pending {
-    /// Says in each attempt who sends it.
+    /// The value of the origin header of each attempt.
     pub(super) origin: HeaderValue,
     pub(super) limits: Limits,
     pub(super) metrics: Metrics,
@@ -55,35 +55,35 @@
     table: Mutex<Table>,
 }
 
-/// A request just taken in.
+/// An admitted request.
 pub struct Ticket {
     /// Its number.
     pub request: id::Request,
-    /// Where its final answer comes.
+    /// Receives its final answer.
     pub answer: oneshot::Receiver<Final>,
 }
 
-/// Names a request's series in the metrics; a service that isn't declared has no name there.
+/// The metric labels of a request; a service that isn't declared is not named.
 #[derive(Clone, Debug)]
 pub struct Label {
-    /// The service, if it is in force.
+    /// The service, if it is declared.
     pub service: Option<id::Service>,
-    /// The class in effect.
+    /// The effective class.
     pub class: Class,
 }
 
 impl Pending {
-    /// Opens the pending of a front, which isn't ready until it is told the services.
+    /// Opens the requests of a front, which isn't ready until it receives the services.
     ///
     /// # Panics
     ///
-    /// Panics when a name of the origin fits no header, which the checks of the settings rule out.
+    /// Panics if the origin is not a valid header value, which the checks of the settings rule out.
     pub fn open(
         number: u16,
         origin: &Origin,
         limits: Limits,
         reports: ring::Sender<Report>,
-        errands: ring::Sender<Errand>,
+        peer_commands: ring::Sender<PeerCommand>,
         metrics: Metrics,
     ) -> Pending {
         let table = Table {
@@ -94,24 +94,25 @@
             attempts: HashMap::new(),
             clients: client::Table::default(),
             reports: Outbox::open(reports),
-            errands,
+            peer_commands,
         };
-        let origin = HeaderValue::try_from(origin.to_string()).expect("names are checked settings");
+        let origin = HeaderValue::try_from(origin.to_string())
+            .expect("the settings' names are valid header values");
         Pending { origin, limits, metrics, clock: Clock::start(), table: Mutex::new(table) }
     }
 
-    /// Returns the requests.
+    /// Locks and returns the table of requests.
     pub(super) fn table(&self) -> MutexGuard<'_, Table> {
-        // A panic between two statements can't leave the table in a state worse than it was.
+        // A panic can't leave the table inconsistent, so a poisoned lock is ignored.
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells whether answers close their connections.
+    /// Returns `true` if answers close their connections.
     pub fn draining(&self) -> bool {
         self.table().draining
     }
 
-    /// Names the series of a request.
+    /// Returns the metric labels of a request.
     pub fn label(&self, service: &id::Service, asked: Option<Class>) -> Label {
         let table = self.table();
         let found = table.services.as_ref().and_then(|services| services.get_key_value(service));
@@ -124,18 +125,19 @@
         }
     }
 
-    /// Takes a whole request in and tells the deciding duty.
+    /// Admits a completely read request and reports it to the decision thread.
     ///
     /// # Errors
     ///
-    /// `NotReady` before the first configuration, `Busy` when the deciding duty lags.
+    /// Returns `NotReady` before the first configuration, `Busy` if the ring to the decision thread
+    /// is full, and `QueueTimeout` if the deadline has passed.
     pub fn take(&self, head: Head, body: Bytes, began: Instant) -> Result<Ticket, Code> {
         let mut table = self.table();
         if table.services.is_none() {
             return Err(Code::NotReady);
         }
         let deadline = match head.deadline {
-            Some(deadline) => Some(left(deadline, began)?),
+            Some(deadline) => Some(remaining(deadline, began)?),
             None => None,
         };
         let arrival = Arrival {
@@ -146,12 +148,12 @@
             deadline,
         };
         let request = table.next;
-        if !table.reports.offer(Report::Arrived { request, arrival }) {
+        if !table.reports.try_push(Report::Arrived { request, arrival }) {
             return Err(Code::Busy);
         }
         table.next += 1;
         let (caller, answer) = oneshot::channel();
-        let held = Held {
+        let in_flight = InFlight {
             head: Arc::new(head),
             body,
             caller: Some(caller),
@@ -160,48 +162,48 @@
             running: 0,
             sent: 0,
         };
-        table.requests.insert(request, held);
+        table.requests.insert(request, in_flight);
         Ok(Ticket { request, answer })
     }
 
-    /// Notes that the caller went away.
+    /// Records that the caller disconnected.
     pub fn abandon(&self, request: id::Request) {
         let mut table = self.table();
-        let Some(held) = table.requests.get_mut(&request) else { return };
-        held.caller = None;
+        let Some(in_flight) = table.requests.get_mut(&request) else { return };
+        in_flight.caller = None;
         table.drop_if_done(request);
         table.reports.push(Report::Abandoned { request });
     }
 
-    /// Tells whether reports wait for room in the ring.
-    pub fn lags(&self) -> bool {
-        self.table().reports.lags()
+    /// Returns `true` if reports wait for free capacity in the ring.
+    pub fn has_backlog(&self) -> bool {
+        self.table().reports.has_backlog()
     }
 
-    /// Tries to pass on reports that wait for room in the ring.
+    /// Sends waiting reports until the ring is full.
     pub fn flush(&self) {
         self.table().reports.flush();
     }
 
-    /// Takes in how an attempt ended.
-    pub(super) fn ended(&self, attempt: Attempt, carried: Carried) {
+    /// Records how an attempt ended.
+    pub(super) fn ended(&self, attempt: Attempt, outcome: Outcome) {
         let mut table = self.table();
-        // Without its entry the attempt was cancelled; whatever it brought is nobody's.
+        // An attempt without an entry was cancelled, so its outcome is dropped.
         let Some(running) = table.attempts.remove(&attempt) else { return };
         self.metrics.attempts.dec();
-        if let Some(held) = table.requests.get_mut(&running.request) {
-            held.running -= 1;
-            if let Some(answer) = carried.answer {
-                held.answers.push(Answered { attempt, answer });
+        if let Some(in_flight) = table.requests.get_mut(&running.request) {
+            in_flight.running -= 1;
+            if let Some(answer) = outcome.answer {
+                in_flight.answers.push(Answered { attempt, answer });
             }
         }
         table.drop_if_done(running.request);
-        table.reports.push(Report::Ended { attempt, ending: carried.ending });
+        table.reports.push(Report::Ended { attempt, ending: outcome.ending });
     }
 }
 
-/// What is left of a deadline since the request began to arrive.
-fn left(deadline: Duration, began: Instant) -> Result<Duration, Code> {
+/// Returns the time left until a deadline that started when the request began to arrive.
+fn remaining(deadline: Duration, began: Instant) -> Result<Duration, Code> {
     let left = deadline.saturating_sub(began.elapsed());
     if left.is_zero() { Err(Code::QueueTimeout) } else { Ok(left) }
 }
--- a/bin/entry/src/front/table.rs
+++ b/bin/entry/src/front/table.rs
@@ -1,4 +1,4 @@
-//! The requests of one front with their attempts, answers and rings.
+//! The table of one front's requests, attempts and answers, with its rings.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::front::client;
 use crate::head::Head;
 use crate::keys;
-use crate::message::Errand;
+use crate::message::PeerCommand;
 use crate::message::Report;
 use crate::message::Services;
 use crate::outbox::Outbox;
@@ -27,37 +27,37 @@
 pub struct Table {
     /// Number of the next request.
     pub next: id::Request,
-    /// Services in force; nothing before the first configuration.
+    /// Declared services; `None` before the first configuration.
     pub services: Option<Arc<Services>>,
     /// Whether answers close their connections.
     pub draining: bool,
     /// Requests without a final answer, or whose key is not settled.
-    pub requests: HashMap<id::Request, Held>,
+    pub requests: HashMap<id::Request, InFlight>,
     /// Attempts that have not ended.
     pub attempts: HashMap<Attempt, Running>,
     /// Clients to backend servers.
     pub clients: client::Table,
-    /// To the deciding duty.
+    /// To the decision thread.
     pub reports: Outbox<Report>,
-    /// To the peer duty.
-    pub errands: ring::Sender<Errand>,
+    /// To the peer thread.
+    pub peer_commands: ring::Sender<PeerCommand>,
 }
 
 /// A request that has no final answer yet, or whose key is not settled.
-pub struct Held {
-    /// What the caller asks.
+pub struct InFlight {
+    /// The request's head.
     pub head: Arc<Head>,
     /// Its whole body.
     pub body: Bytes,
-    /// Nothing when the caller went away.
+    /// Receives the final answer; `None` after it was sent or the caller disconnected.
     pub caller: Option<oneshot::Sender<Final>>,
-    /// Whole answers that are not passed on yet.
+    /// Whole answers that are not forwarded yet.
     pub answers: SmallVec<[Answered; 1]>,
-    /// Whether the owner of its key was told what became of it.
+    /// Whether the settlement of its key was sent to the key's owner.
     pub settled: bool,
-    /// Attempts that have not ended.
+    /// Number of attempts that have not ended.
     pub running: u16,
-    /// Attempts made.
+    /// Number of attempts made.
     pub sent: u16,
 }
 
@@ -73,24 +73,24 @@
 pub struct Running {
     /// The request.
     pub request: id::Request,
-    /// Stops it.
+    /// Aborts it.
     pub task: AbortHandle,
 }
 
 impl Table {
-    /// Takes out the answer of an attempt.
+    /// Removes and returns the answer of an attempt.
     pub fn answer(&mut self, request: id::Request, attempt: Attempt) -> Option<Answer> {
-        let held = self.requests.get_mut(&request)?;
-        let place = held.answers.iter().position(|answered| answered.attempt == attempt)?;
-        Some(held.answers.swap_remove(place).answer)
+        let in_flight = self.requests.get_mut(&request)?;
+        let place = in_flight.answers.iter().position(|answered| answered.attempt == attempt)?;
+        Some(in_flight.answers.swap_remove(place).answer)
     }
 
-    /// Makes what the owner of the request's key is told.
+    /// Returns the settlement for the owner of the request's key, and marks the request as settled.
     pub fn settlement(&mut self, request: id::Request, settled: Settled) -> Settlement {
-        let held = self.requests.get_mut(&request);
+        let in_flight = self.requests.get_mut(&request);
         let Settled::Ran { attempt } = settled else {
-            if let Some(held) = held {
-                held.settled = true;
+            if let Some(in_flight) = in_flight {
+                in_flight.settled = true;
             }
             return if settled == Settled::NotRun {
                 Settlement::NotRun
@@ -98,29 +98,30 @@
                 Settlement::Unknown
             };
         };
-        let answer = held.and_then(|held| {
-            held.settled = true;
-            held.answers.iter().find(|answered| answered.attempt == attempt)
+        let answer = in_flight.and_then(|in_flight| {
+            in_flight.settled = true;
+            in_flight.answers.iter().find(|answered| answered.attempt == attempt)
         });
-        let kept = answer.filter(|answered| answered.answer.body.len() <= keys::ANSWER_BYTES);
-        Settlement::Ran(kept.map(|answered| answered.answer.kept()))
+        let kept = answer.filter(|answered| answered.answer.body.len() <= keys::MAX_ANSWER_BYTES);
+        Settlement::Ran(kept.map(|answered| answered.answer.to_stored()))
     }
 
-    /// Gives the caller its final answer.
+    /// Sends the caller its final answer.
     pub fn finish(&mut self, request: id::Request, last: Final) {
-        let Some(held) = self.requests.get_mut(&request) else { return };
-        if let Some(caller) = held.caller.take() {
-            // A caller that went away in this moment is told about by its guard.
+        let Some(in_flight) = self.requests.get_mut(&request) else { return };
+        if let Some(caller) = in_flight.caller.take() {
+            // If the caller has just disconnected, its guard abandons the request.
             let _ = caller.send(last);
         }
         self.drop_if_done(request);
     }
 
-    /// Lets go of a request that nobody waits for and nothing runs for.
+    /// Removes a request that has no caller, no running attempt and no key to settle.
     pub fn drop_if_done(&mut self, request: id::Request) {
-        let Some(held) = self.requests.get(&request) else { return };
-        let unsettled = held.head.key.is_some() && !held.settled && !held.answers.is_empty();
-        if held.caller.is_none() && held.running == 0 && !unsettled {
+        let Some(in_flight) = self.requests.get(&request) else { return };
+        let unsettled =
+            in_flight.head.key.is_some() && !in_flight.settled && !in_flight.answers.is_empty();
+        if in_flight.caller.is_none() && in_flight.running == 0 && !unsettled {
             self.requests.remove(&request);
         }
     }
--- a/bin/entry/src/peers.rs
+++ b/bin/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! The peer duty: everything that other processes of ours are asked, told or answered.
+//! The peer thread: all communication with the other processes of the deployment.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -30,61 +30,63 @@
 use tokio::sync::mpsc;
 use tokio::sync::oneshot;
 
+use crate::keys::Delivery;
 use crate::keys::Keys;
 use crate::keys::Outcome;
-use crate::keys::Told;
-use crate::message::Errand;
-use crate::message::Word;
+use crate::message::PeerCommand;
+use crate::message::PeerEvent;
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
 use crate::roster;
 
-/// How often what did not fit into the ring is tried again.
-const FLUSH_EVERY: Duration = Duration::from_millis(1);
-/// Outcomes of calls that may wait to be looked at.
-const OUTCOMES: usize = 1024;
-/// How long a planned stop waits for the slots of keys to be given up and for peers' calls.
-const DRAIN_WITHIN: Duration = Duration::from_secs(2);
+/// Retry interval for messages that did not fit into the ring.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(1);
+/// Capacity of the channel of call results.
+const OUTCOME_CAPACITY: usize = 1024;
+/// Timeout of a graceful stop for releasing the slots of keys, and for completing peers' calls.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the peer duty is started with.
+/// The inputs of the peer thread.
 pub struct Peers<S> {
-    /// This process as an owner of keys. Its address is the one that peers reach, if there is one.
+    /// This process as an owner of keys. Its address becomes the one that peers connect to, if any.
     pub me: Member,
     /// The platform's key-value service.
     pub store: S,
-    /// How peers are linked to; without it this process knows no peers.
-    pub links: Option<node::Settings>,
-    /// Answers what peers ask about the configuration.
+    /// Settings of the connections to peers; without them this process has no peers.
+    pub node_settings: Option<node::Settings>,
+    /// Answers peers' calls about the configuration.
     pub follow: oneshot::Receiver<Handle>,
-    /// From every duty that has anything to ask or tell.
-    pub errands: Vec<ring::Receiver<Errand>>,
-    /// Rung by every ring of errands.
+    /// From every thread that sends commands.
+    pub peer_commands: Vec<ring::Receiver<PeerCommand>>,
+    /// Wakes this thread; every ring of commands notifies it.
     pub bell: Bell,
-    /// To the deciding duty.
-    pub words: ring::Sender<Word>,
-    /// What is counted.
+    /// To the decision thread.
+    pub peer_events: ring::Sender<PeerEvent>,
+    /// The metrics.
     pub metrics: Metrics,
     /// For log events.
     pub logger: Logger,
-    /// Cuts the end short when the stop is forced.
+    /// Ends the thread at once when the stop is forced.
     pub stop: Stop,
 }
 
-/// Starts the peer duty and returns the node by which peers are called. The duty ends when every
-/// ring of errands is closed and this process owns no key any more, or soon after.
+/// Starts the peer thread and returns the node that calls peers. The thread ends when every ring of
+/// commands is closed and this process has released its keys, or after a timeout.
 ///
 /// # Errors
 ///
-/// When the system refuses the thread or the address can't be bound.
+/// Returns an error if the thread can't be started or the address can't be bound.
 pub fn spawn<S: Store>(peers: Peers<S>) -> io::Result<(Duty, Option<Node>)> {
     let (opened, outcome) = blocking::channel();
     let duty = duty::spawn("peer", move || run(peers, opened))?;
-    let node = outcome.recv().unwrap_or_else(|_| Err(io::Error::other("the duty ended")))?;
+    let node = outcome
+        .recv()
+        .unwrap_or_else(|_| Err(io::Error::other("the peer thread ended before it was ready")))?;
     Ok((duty, node))
 }
 
 async fn run<S: Store>(mut peers: Peers<S>, opened: blocking::Sender<io::Result<Option<Node>>>) {
-    let (node, mut incoming) = match peers.links.take().map(Node::open).transpose() {
+    let (node, mut incoming) = match peers.node_settings.take().map(Node::open).transpose() {
         Ok(Some((node, incoming))) => (Some(node), Some(incoming)),
         Ok(None) => (None, None),
         Err(error) => {
@@ -96,9 +98,9 @@
     if let Some(node) = &node {
         peers.me.address = node.address();
     }
-    let (outcomes, mut outcome) = mpsc::channel(OUTCOMES);
-    let (heard, mut rosters) = mpsc::channel(1);
-    let watching = roster::follow(peers.store.clone(), heard, peers.metrics);
+    let (outcomes, mut outcome) = mpsc::channel(OUTCOME_CAPACITY);
+    let (roster_events, mut rosters) = mpsc::channel(1);
+    let watching = roster::follow(peers.store.clone(), roster_events, peers.metrics);
     let watching = tokio::spawn(watching);
     let mut state = State {
         myself: peers.me.instance.clone(),
@@ -106,41 +108,41 @@
         node,
         follow: None,
         entries: BTreeMap::new(),
-        words: Outbox::open(peers.words),
-        said: Vec::new(),
+        peer_events: Outbox::open(peers.peer_events),
+        new_events: Vec::new(),
     };
     let mut follow = Some(peers.follow);
-    let mut over = None;
+    let mut drain_deadline = None;
     loop {
-        peers.errands.retain_mut(|ring| state.drain(ring));
-        if peers.errands.is_empty() {
-            let until = *over.get_or_insert_with(|| state.end());
+        peers.peer_commands.retain_mut(|ring| state.drain(ring));
+        if peers.peer_commands.is_empty() {
+            let until = *drain_deadline.get_or_insert_with(|| state.begin_drain());
             if state.keys.is_drained() || tokio::time::Instant::now() >= until {
                 break;
             }
         }
-        state.speak();
-        let lags = state.words.lags();
+        state.flush_events();
+        let has_backlog = state.peer_events.has_backlog();
         tokio::select! {
             () = peers.bell.wait() => {}
-            Some(call) = next(&mut incoming) => state.called(call),
-            Some(outcome) = outcome.recv() => state.came(outcome),
-            Some(roster) = rosters.recv() => state.keys.step(roster, &mut state.said),
-            Ok(handle) = handle(&mut follow) => state.follow = Some(handle),
-            () = tokio::time::sleep(FLUSH_EVERY), if lags => {}
-            () = tokio::time::sleep_until(state.keys.due()) => {
-                state.keys.step(Event::Tick, &mut state.said);
+            Some(call) = next(&mut incoming) => state.handle_call(call),
+            Some(outcome) = outcome.recv() => state.handle_outcome(outcome),
+            Some(roster) = rosters.recv() => state.keys.step(roster, &mut state.new_events),
+            Ok(handle) = take_handle(&mut follow) => state.follow = Some(handle),
+            () = tokio::time::sleep(FLUSH_INTERVAL), if has_backlog => {}
+            () = tokio::time::sleep_until(state.keys.next_due()) => {
+                state.keys.step(Event::Tick, &mut state.new_events);
             }
             () = peers.stop.reached(Stage::Forced) => break,
         }
     }
     watching.abort();
     if let (Some(node), true) = (&state.node, peers.stop.stage() < Stage::Forced) {
-        node.drain(DRAIN_WITHIN).await;
+        node.drain(DRAIN_TIMEOUT).await;
     }
 }
 
-/// Waits for a call of a peer; without links there never is one.
+/// Waits for a call from a peer; pends forever without connections to peers.
 async fn next(incoming: &mut Option<mpsc::Receiver<Incoming>>) -> Option<Incoming> {
     match incoming {
         Some(incoming) => incoming.recv().await,
@@ -148,8 +150,8 @@
     }
 }
 
-/// Waits once for the handle that answers what peers ask about the configuration.
-async fn handle(
+/// Waits once for the handle that answers peers' calls about the configuration.
+async fn take_handle(
     follow: &mut Option<oneshot::Receiver<Handle>>,
 ) -> Result<Handle, oneshot::error::RecvError> {
     match follow {
@@ -169,56 +171,57 @@
     follow: Option<Handle>,
     /// The other entries, by name.
     entries: BTreeMap<id::Instance, list::Member>,
-    words: Outbox<Word>,
-    /// Words to be passed on after each step.
-    said: Vec<Word>,
+    peer_events: Outbox<PeerEvent>,
+    /// Events to be sent after each step.
+    new_events: Vec<PeerEvent>,
 }
 
 impl<S: Store> State<S> {
-    /// Passes on what was said.
-    fn speak(&mut self) {
-        for word in self.said.drain(..) {
-            self.words.push(word);
+    /// Sends the new events to the decision thread.
+    fn flush_events(&mut self) {
+        for event in self.new_events.drain(..) {
+            self.peer_events.push(event);
         }
-        self.words.flush();
+        self.peer_events.flush();
     }
 
-    /// Sees to every errand of a ring; tells whether the ring is still open.
-    fn drain(&mut self, ring: &mut ring::Receiver<Errand>) -> bool {
+    /// Executes every command in a ring and returns `true` if the ring is still open.
+    fn drain(&mut self, ring: &mut ring::Receiver<PeerCommand>) -> bool {
         loop {
             match ring.look() {
-                Look::Value(errand) => self.see_to(errand),
+                Look::Value(command) => self.execute(command),
                 Look::Empty => return true,
                 Look::Closed => return false,
             }
         }
     }
 
-    fn see_to(&mut self, errand: Errand) {
-        match errand {
-            Errand::Listed { view } => {
-                self.listed(&view);
-                self.keys.listed((*view).clone(), &mut self.said);
+    fn execute(&mut self, command: PeerCommand) {
+        match command {
+            PeerCommand::Listed { view } => {
+                self.apply_list(&view);
+                self.keys.apply_list((*view).clone(), &mut self.new_events);
             }
-            Errand::Claim { request, service, key } => {
-                self.keys.claim(request, Key { service, key }, &mut self.said);
+            PeerCommand::Claim { request, service, key } => {
+                self.keys.claim(request, Key { service, key }, &mut self.new_events);
             }
-            Errand::Settle { request, service, key, settlement } => {
-                let told = Told { request, key: Key { service, key }, settlement, tries: 0 };
-                self.keys.settle(told, &mut self.said);
+            PeerCommand::Settle { request, service, key, settlement } => {
+                let delivery =
+                    Delivery { request, key: Key { service, key }, settlement, attempts: 0 };
+                self.keys.settle(delivery, &mut self.new_events);
             }
-            Errand::Announce { instance, incarnation } => self.announce(instance, incarnation),
+            PeerCommand::Announce { instance, incarnation } => self.announce(instance, incarnation),
         }
     }
 
-    fn listed(&mut self, view: &list::View) {
+    fn apply_list(&mut self, view: &list::View) {
         let entries = view.members.iter().filter(|member| member.role == list::Role::Entry);
         let others = entries.filter(|member| member.instance != self.myself);
         self.entries = others.map(|member| (member.instance.clone(), member.clone())).collect();
     }
 
-    /// Tells every other entry that an instance is leaving. Each is told once: one that misses it
-    /// hears it from the list or from the backend server itself.
+    /// Notifies every other entry that an instance is leaving, without retries: an entry that
+    /// misses it learns it from the list or from the backend server itself.
     fn announce(&self, instance: id::Instance, incarnation: id::Incarnation) {
         let Some(node) = &self.node else { return };
         for member in self.entries.values() {
@@ -230,27 +233,28 @@
         }
     }
 
-    fn came(&mut self, outcome: Outcome) {
+    fn handle_outcome(&mut self, outcome: Outcome) {
         match outcome {
-            Outcome::Event(event) => self.keys.step(event, &mut self.said),
+            Outcome::Event(event) => self.keys.step(event, &mut self.new_events),
             Outcome::Claimed { request, verdict } => {
-                self.said.push(Word::Claimed { request, verdict });
+                self.new_events.push(PeerEvent::Claimed { request, verdict });
             }
             Outcome::Lost { request, key } => {
-                self.said.push(Word::Claimed { request, verdict: Claimed::NotOwner });
-                let told = Told { request, key, settlement: Settlement::NotRun, tries: 0 };
-                self.keys.settle(told, &mut self.said);
+                self.new_events.push(PeerEvent::Claimed { request, verdict: Claimed::NotOwner });
+                let delivery =
+                    Delivery { request, key, settlement: Settlement::NotRun, attempts: 0 };
+                self.keys.settle(delivery, &mut self.new_events);
             }
-            Outcome::Unsettled(told) => self.keys.settle(told, &mut self.said),
+            Outcome::Undelivered(delivery) => self.keys.settle(delivery, &mut self.new_events),
         }
     }
 
-    fn called(&mut self, incoming: Incoming) {
-        let Some(incoming) = self.keys.called(incoming, &mut self.said) else { return };
+    fn handle_call(&mut self, incoming: Incoming) {
+        let Some(incoming) = self.keys.handle_call(incoming, &mut self.new_events) else { return };
         match &incoming.call {
             Call::Leaving { instance, incarnation } => {
                 let (instance, incarnation) = (instance.clone(), *incarnation);
-                self.said.push(Word::Leaving { instance, incarnation });
+                self.new_events.push(PeerEvent::Leaving { instance, incarnation });
                 incoming.answer(Reply::Noted);
             }
             Call::Hello { .. } | Call::Pull { .. } | Call::Push { .. } => {
@@ -261,14 +265,15 @@
         }
     }
 
-    /// Begins to give up every key; returns when that has to be over.
-    fn end(&mut self) -> tokio::time::Instant {
-        self.keys.step(Event::Drain, &mut self.said);
-        tokio::time::Instant::now() + DRAIN_WITHIN
+    /// Begins to release every key and returns the deadline for it.
+    fn begin_drain(&mut self) -> tokio::time::Instant {
+        self.keys.step(Event::Drain, &mut self.new_events);
+        tokio::time::Instant::now() + DRAIN_TIMEOUT
     }
 }
 
-/// Has the configuration's duty answer a peer. Without an answer the peer asks another one.
+/// Answers a peer's call about the configuration. If there is no answer, the peer calls another
+/// process.
 async fn answer(follow: Option<Handle>, incoming: Incoming) {
     let Some(follow) = follow else { return incoming.answer(Reply::Misdirected) };
     match follow.answer(incoming.call.clone()).await {
