--- a/bin/entry/src/front/serve.rs
+++ b/bin/entry/src/front/serve.rs
@@ -72,7 +72,7 @@
 
 /// Serves one connection. Dropping the connection, in particular on an error, drops the handler.
 async fn serve(server: Arc<Server>, accepted: Accepted, mut ended: watch::Receiver<()>) {
-    let Accepted { stream, remote, guard: _place } = accepted;
+    let Accepted { stream, remote, guard: _guard } = accepted;
     let Ok(stream) = TcpStream::from_std(stream) else { return };
     // Without `TCP_NODELAY` a short answer may wait for the caller's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
