--- a/bin/scheduler/src/api.rs
+++ b/bin/scheduler/src/api.rs
@@ -114,8 +114,8 @@
     }
 
     /// Returns the rejection for a client while the store isn't reachable from here. If the owner
-    /// of the cell reaches it, the client is told to try another instance at once, since a pause of
-    /// a second would make short jobs late.
+    /// of the cell reaches it, the retry-after time is zero, so that the client tries another
+    /// instance at once: a pause of a second would make short jobs late.
     async fn unavailable(&self) -> Rejection {
         let owner_reaches_store =
             self.call_owner(Request::StoreReachable).await == Some(Response::StoreReachable(true));
--- a/bin/scheduler/src/clock.rs
+++ b/bin/scheduler/src/clock.rs
@@ -22,6 +22,6 @@
 
 /// Returns the time of day, since 1970.
 pub fn wall() -> Duration {
-    // A time of day before 1970 isn't set yet; zero makes no job due.
+    // A clock before 1970 has not been set yet; zero makes no job due.
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/bin/scheduler/src/election.rs
+++ b/bin/scheduler/src/election.rs
@@ -34,8 +34,8 @@
 const LEASE_TTL: Duration = Duration::from_millis(1200);
 /// Longest sleep between two checks for due work.
 const MAX_SLEEP: Duration = Duration::from_millis(500);
-/// Random part of the claim delay: a few times the duration of a claim, so that most processes of
-/// equal size see another's claim before they send their own.
+/// Maximum jitter of the claim delay: a few times the duration of a claim, so that most processes
+/// of equal size see another's claim before they send their own.
 const CLAIM_JITTER: Duration = Duration::from_millis(20);
 
 /// Value of the key that names the owner.
--- a/bin/scheduler/src/health.rs
+++ b/bin/scheduler/src/health.rs
@@ -1,11 +1,10 @@
 //! Health of the store as this process sees it: a circuit breaker for clients' requests.
 //!
-//! An outage shows only by calls that time out. Clients would be held for as long, and one whose
-//! write is lost can't be told whether its job was accepted, so that it must not submit it
-//! elsewhere. So after one failed call or a broken watch, clients are refused, which they can
-//! safely retry; at an interval, one of them waits for a probing read and is served if the store is
-//! back. Readiness follows, so that the clients of a failure domain that is cut off go to the
-//! others.
+//! An outage shows only by calls that time out. Clients would have to wait for the timeout, and a
+//! client whose write has an unknown outcome must not submit its job elsewhere. So after one failed
+//! call or a broken watch, clients are refused, which they can safely retry; at an interval, one of
+//! them waits for a probing read and is served if it succeeds. Readiness uses the same state, so
+//! that the clients of a failure domain that is cut off connect to the others.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -43,7 +42,7 @@
     probed_at: Option<Time>,
 }
 
-/// How to handle a client.
+/// Decision on a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// Serve it.
--- a/bin/scheduler/src/instrumented.rs
+++ b/bin/scheduler/src/instrumented.rs
@@ -86,7 +86,8 @@
         prefix: &str,
         after: Revision,
     ) -> Result<mpsc::Receiver<Update>, kv::Error> {
-        // A watch lasts, so only its start is timed; its receiver records whether it is answered.
+        // A watch stays open, so only its start is timed; its receiver records answers and
+        // failures.
         let sent_at = clock::now();
         let outcome = self.inner.watch(prefix, after).await;
         let took = clock::now().saturating_sub(sent_at);
--- a/bin/scheduler/src/owner.rs
+++ b/bin/scheduler/src/owner.rs
@@ -63,7 +63,7 @@
     pub machines: M,
     /// The configuration in force.
     pub config: Current,
-    /// How long the final states of jobs are kept.
+    /// Time for which the final states of jobs are kept.
     pub final_state_retention: Duration,
     /// The planner.
     pub planner: SharedPlanner,
--- a/bin/scheduler/src/process.rs
+++ b/bin/scheduler/src/process.rs
@@ -174,7 +174,7 @@
     }
 }
 
-/// Returns how long a job's final state is kept.
+/// Returns the time for which a job's final state is kept.
 fn final_state_retention(settings: &Settings) -> Duration {
     settings.bounds.status + RETENTION_MARGIN
 }
--- a/bin/scheduler/src/retention.rs
+++ b/bin/scheduler/src/retention.rs
@@ -2,8 +2,8 @@
 //!
 //! A final state records how a job ended, and keeps a repeated submission from running it again;
 //! clients query it for a bounded time. Its age isn't stored: a key is old enough if two scans that
-//! are this time apart find it unchanged. This needs no state beyond that of one owner, costs one
-//! read of the prefix per period, and starts over with each owner.
+//! are one such period apart find it unchanged. This needs no state beyond that of one owner, costs
+//! one read of the prefix per period, and starts over with each owner.
 
 use std::collections::HashMap;
 use std::time::Duration;
--- a/bin/scheduler/src/retry.rs
+++ b/bin/scheduler/src/retry.rs
@@ -1,10 +1,10 @@
 //! Rate limit of retried writes.
 //!
 //! While the store rejects or doesn't answer calls, an owner has a dozen writes of different jobs
-//! in flight. Retried each on its own, they would make some two hundred calls a second for the
-//! whole outage, and the platform counts them. One is enough to find out whether the store is back,
-//! so one write is retried per [`INTERVAL`] while calls fail, and all others as soon as one
-//! succeeds.
+//! in flight. If each were retried independently, they would make some two hundred calls a second
+//! for the whole outage, and the platform counts calls. One is enough to find out whether the store
+//! is back, so one write is retried per [`INTERVAL`] while calls fail, and all others as soon as
+//! one succeeds.
 
 use std::sync::Arc;
 use std::sync::Mutex;
--- a/bin/scheduler/src/submission.rs
+++ b/bin/scheduler/src/submission.rs
@@ -1,8 +1,9 @@
 //! Writes submitted jobs to the store; jobs that arrive together are written in one batch.
 //!
-//! A job is accepted once the store holds it, and rejected only if the store surely never will. A
-//! write without an answer is unsettled: it is retried, which its guards make idempotent. If it
-//! stays so, the client is told that the outcome is unknown, and retries under the same job number.
+//! A job is accepted once the store holds it, and rejected only if the store certainly never will.
+//! A write without an answer is unsettled: it is retried, which its guards make idempotent. If it
+//! stays unsettled, the client is answered that the outcome is unknown, and retries under the same
+//! job number.
 
 use std::time::Duration;
 
@@ -32,8 +33,8 @@
 /// Fraction of a client's timeout during which an unsettled write is retried; the rest is needed to
 /// return the answer.
 const RETRY_FRACTION: f64 = 0.4;
-/// Fraction of a client's timeout after which it is told that the outcome is unknown, so that it
-/// has time to ask another instance.
+/// Fraction of a client's timeout after which it is answered that the outcome is unknown, so that
+/// it has time to ask another instance.
 const ANSWER_FRACTION: f64 = 0.5;
 /// Retry-after time while the store rejects writes: outages last seconds, and the limit of a busy
 /// store is lifted within one.
--- a/bin/scheduler/src/writer.rs
+++ b/bin/scheduler/src/writer.rs
@@ -53,7 +53,7 @@
         Writer { store, epoch, revisions, retry: Limiter::open(), log }
     }
 
-    /// Writes changes, retrying until the store surely holds them.
+    /// Writes changes, retrying until the store certainly holds them.
     ///
     /// # Errors
     ///
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Returns `true`, and takes over the revisions, if an earlier attempt whose answer was lost
-    /// was applied: every record is then as this attempt would have left it.
+    /// Returns `true`, and adopts the store's revisions, if an earlier attempt whose answer was
+    /// lost was applied: every record is then as this attempt would have left it.
     fn is_already_applied(
         &self,
         changes: &[Change],
@@ -201,7 +201,7 @@
         records_match && ended
     }
 
-    /// Takes over the revisions that the store returned.
+    /// Adopts the revisions that the store returned.
     fn refresh_revisions(&self, changes: &[Change], current: &[kv::Entry]) {
         for change in changes {
             let (Change::Progress { job, .. } | Change::End { job, .. }) = change;
--- a/crates/cell/src/cell.rs
+++ b/crates/cell/src/cell.rs
@@ -69,7 +69,8 @@
     /// it.
     pub(crate) attempt_floors: HashMap<id::Job, id::Attempt>,
     pub(crate) arrivals: u64,
-    /// Jobs in the order in which they were first seen, until their time to be declared is over.
+    /// Jobs in the order in which they were first seen, each until its time to be declared has
+    /// expired.
     pub(crate) undeclared: VecDeque<Undeclared>,
     /// Jobs to be checked for removal at the end of the step.
     pub(crate) to_reap: Vec<JobId>,
--- a/crates/cell/src/choose.rs
+++ b/crates/cell/src/choose.rs
@@ -10,12 +10,13 @@
 
 /// Number of workers sampled for one placement.
 const SAMPLES: usize = 12;
-/// Number of candidates after which a scan ends; workers are scanned if no sampled one has room.
+/// Number of candidates after which a scan ends; workers are scanned if no sampled one has enough
+/// free capacity.
 const SCAN_CANDIDATES_MAX: usize = 4;
 /// Weight of a worker's unused capacity: fuller workers are preferred, so that large tasks fit
 /// elsewhere.
 const FIT_WEIGHT: f64 = 1.0;
-/// Weight of the share of a job's tasks in the same rack, which spreads a job over racks.
+/// Weight of the fraction of a job's tasks in the same rack, which spreads a job over racks.
 const SPREAD_WEIGHT: f64 = 0.5;
 
 /// Weight of a recent failure of the job on the worker: other workers are preferred if there are
--- a/crates/cell/src/event.rs
+++ b/crates/cell/src/event.rs
@@ -14,7 +14,7 @@
 /// The number of an exchange, which increases within a cell.
 pub type Sequence = u64;
 
-/// What is known about the former owner of a cell when its ownership is taken.
+/// What is known about the previous owner of a cell when its ownership is acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Former {
     /// There was none, or it released the cell after stopping all lease renewals.
@@ -28,16 +28,16 @@
 /// An input of a cell.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The cell's ownership was taken in the store, under a new epoch.
+    /// The cell's ownership was acquired in the store, under a new epoch.
     OwnershipAcquired {
         /// The epoch.
         epoch: id::Epoch,
-        /// What is known about the former owner.
+        /// What is known about the previous owner.
         former: Former,
         /// What the store holds about the cell's tasks, one record for each job.
         records: Vec<Record>,
     },
-    /// More is known about the former owner.
+    /// More is known about the previous owner.
     Former {
         /// What is known about it.
         former: Former,
--- a/crates/cell/src/failure.rs
+++ b/crates/cell/src/failure.rs
@@ -24,7 +24,7 @@
 const PRIOR_RUNS: f32 = 2.0;
 /// Number of failures in the prior of a score.
 const PRIOR_FAILURES: f32 = 0.04;
-/// Decay of a score with each run; the last twenty runs or so count.
+/// Factor by which a score decays with each run, so that about the last twenty runs count.
 const DECAY: f32 = 0.95;
 /// Minimum number of failures attributed to a worker before it is quarantined.
 const QUARANTINE_FAILURES_MIN: f32 = 1.5;
@@ -32,11 +32,11 @@
 const QUARANTINE_PROBABILITY_MIN: f32 = 0.4;
 /// Failure probability of a job below which its failures count as evidence against a worker.
 const SOUND_PROBABILITY_MAX: f32 = 0.2;
-/// Minimum share of a failed probe that is attributed to the worker to extend its quarantine.
+/// Minimum fraction of a failed probe that is attributed to the worker to extend its quarantine.
 const PROBE_SHARE_MIN: f32 = 0.3;
 /// Duration of the first quarantine; doubled by each failed probe.
 const QUARANTINE_FIRST: Duration = Duration::from_secs(10);
-/// Maximum number of doublings.
+/// Maximum number of times that a quarantine is doubled.
 const DOUBLINGS_MAX: u32 = 7;
 /// Run time after which a probe counts as successful.
 const PROBE_RUN_TIME: Duration = Duration::from_secs(60);
@@ -74,7 +74,7 @@
 struct Failure {
     job: JobId,
     task: TaskIndex,
-    /// The part of the failure that was attributed to the job.
+    /// The fraction of the failure that was attributed to the job.
     job_share: f32,
 }
 
--- a/crates/cell/src/interference.rs
+++ b/crates/cell/src/interference.rs
@@ -72,7 +72,8 @@
 }
 
 impl Model {
-    /// Returns the effect of one unthrottled run on the slowdown of another job's, in thousandths.
+    /// Returns the effect of one unthrottled run on the slowdown of another job's run, in
+    /// thousandths.
     pub(crate) fn effect(&self, victim: JobId, neighbour: JobId, class: Class) -> f32 {
         let pair = Pair { victim, neighbour };
         self.pairs.get(&pair).map_or(self.classes[class as usize], |estimate| estimate.mean)
--- a/crates/cell/src/inventory.rs
+++ b/crates/cell/src/inventory.rs
@@ -294,7 +294,7 @@
     }
 }
 
-/// Applies a reported throttle, which a former owner may have set, to a run's stage.
+/// Applies a reported throttle, which a previous owner may have set, to a run's stage.
 fn with_throttle(stage: Stage, permille: u16) -> Stage {
     if stage.is_ending() { stage } else { stage.throttle(permille).unwrap_or(stage) }
 }
--- a/crates/cell/src/job.rs
+++ b/crates/cell/src/job.rs
@@ -99,7 +99,7 @@
     pub(crate) removed: bool,
     /// Whether its record is being removed from the store.
     pub(crate) deleting_record: bool,
-    /// A new declaration under the same name, received while the former one's last runs end.
+    /// A new declaration under the same name, received while the previous one's last runs end.
     pub(crate) successor: Option<Arc<job::Spec>>,
     /// The highest attempt of any of its tasks.
     pub(crate) highest_attempt: Attempt,
--- a/crates/cell/src/jobs.rs
+++ b/crates/cell/src/jobs.rs
@@ -217,7 +217,8 @@
 
     /// Drops a job whose record was removed and declares its successor under the same name.
     ///
-    /// The successor waits until then because a later owner would take the old record for its own.
+    /// The successor waits until then because a later owner would take the old record for that
+    /// of the successor.
     pub(crate) fn record_removed(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.deleting_record = false;
@@ -227,8 +228,8 @@
         }
         let name = job.name.clone();
         let successor = job.successor.clone();
-        // A worker whose lease was waited out may return with a run of a former owner that was
-        // never seen here.
+        // A worker whose lease was waited out may return with a run of a previous owner that this
+        // owner has not seen, so the floor covers all attempts of lower epochs.
         let epoch = self.ownership.epoch().expect("only an owner removes records");
         let floor = job.highest_attempt.max(first_attempt(epoch).saturating_sub(1));
         self.attempt_floors.insert(name.clone(), floor);
--- a/crates/cell/src/membership.rs
+++ b/crates/cell/src/membership.rs
@@ -33,7 +33,7 @@
     /// The longest lease that may be granted: the store has at least this bound, or gets it in the
     /// same write as the first list version; zero before that.
     pub(crate) lease_limit: Duration,
-    /// The longest lease that may be in force, including those granted by former owners.
+    /// The longest lease that may be in force, including those granted by previous owners.
     pub(crate) lease_max: Duration,
     /// The time since which no lease longer than the policy's has been granted.
     pub(crate) since: Time,
@@ -122,7 +122,7 @@
         } else {
             membership.lease_limit.min(lease)
         };
-        // Our list may be older than the one that the former owner used.
+        // Our list may be older than the one that the previous owner used.
         let view = self.list_version.max(membership.stored_version);
         Record { job: id::Job::from(LIST), view, lease, ..Record::default() }
     }
--- a/crates/cell/src/mitigate.rs
+++ b/crates/cell/src/mitigate.rs
@@ -40,13 +40,13 @@
 /// Excess slowdown, in thousandths, from which an eviction is worth its cost at equal weights.
 const EVICT_EXCESS_PERMILLE: f64 = 5.0;
 
-/// Minimum part of the allowed slowdown up to which trial and batch tasks are placed, however far
-/// the policy weighs latency above throughput.
+/// Minimum fraction of the allowed slowdown up to which trial and batch tasks are placed, whatever
+/// the policy's weights of latency and throughput.
 const LIMIT_PART_MIN: f32 = 0.7;
 
-/// Minimum number of a job's runs that may start beside paying tasks that it was not measured with.
+/// Number of runs that a job may always have before its effect on a paying task is measured.
 const PROBES_MIN: u32 = 4;
-/// Divisor of a job's number of tasks that gives the same limit for large jobs.
+/// Divisor of a job's number of tasks; the quotient replaces [`PROBES_MIN`] if it is larger.
 const PROBES_DIVISOR: u32 = 20;
 
 /// A paying job with a run that is slowed too much.
--- a/crates/cell/src/ownership.rs
+++ b/crates/cell/src/ownership.rs
@@ -15,8 +15,8 @@
 use crate::worker::WorkerId;
 
 impl Cell {
-    /// Takes the ownership and rebuilds the state from the stored records; the workers' inventories
-    /// add what runs.
+    /// Acquires the ownership and rebuilds the state from the stored records; the workers'
+    /// inventories add the runs.
     pub(crate) fn acquire(&mut self, epoch: Epoch, former: Former, records: &[Record]) {
         if self.ownership.epoch().is_some_and(|current| current >= epoch) {
             return;
@@ -34,8 +34,8 @@
 
     pub(crate) fn update_former(&mut self, former: Former) {
         if let Ownership::Fencing(fencing) = &mut self.ownership {
-            // The former owner may have granted leases until now, so their expiry is counted from
-            // now.
+            // The previous owner may have granted leases until now, so their expiry is counted
+            // from now.
             *fencing = Fencing { former, since: self.now, ..*fencing };
             self.fencing_changed = true;
             self.touch_all();
@@ -75,8 +75,8 @@
         self.free_capacity.fill(Default::default());
     }
 
-    /// Returns the time by which all leases granted by the former owner have expired, or `None` if
-    /// it may still be renewing them.
+    /// Returns the time by which all leases granted by the previous owner have expired, or `None`
+    /// if it may still be renewing them.
     pub(crate) fn former_expiry(&self) -> Option<Time> {
         match self.ownership {
             Ownership::Fencing(fencing) if fencing.former != Former::Unheard => {
@@ -93,7 +93,7 @@
             return;
         }
         let Ownership::Fencing(fencing) = self.ownership else { return };
-        // A list older than the former owner's may lack workers that it used.
+        // A list older than the previous owner's may lack workers that it used.
         let is_list_behind =
             self.list_version == 0 || self.list_version < self.membership.stored_version;
         if is_list_behind || self.workers.iter().any(|(_, w)| w.fence == Fence::Unfenced) {
--- a/crates/cell/src/place.rs
+++ b/crates/cell/src/place.rs
@@ -154,7 +154,7 @@
 
 /// Returns an attempt above `last` that no other owner has assigned or will assign.
 ///
-/// The epoch is in the upper bits, so any attempt that a former owner assigned without our
+/// The epoch is in the upper bits, so any attempt that a previous owner assigned without our
 /// knowledge is lower, and no write is needed before a start.
 fn next_attempt(last: Attempt, epoch: Epoch) -> Attempt {
     last.saturating_add(1).max(first_attempt(epoch))
--- a/crates/cell/src/report.rs
+++ b/crates/cell/src/report.rs
@@ -85,7 +85,7 @@
             let worker = &mut self.workers[id];
             worker.fence = Fence::Fenced;
             worker.lease_expiry = worker.lease_expiry.max(lease::expiry(now, lease_max));
-            // Its lease was granted by a former owner; grants one of ours at once.
+            // Its lease was granted by a previous owner; grants one of ours at once.
             worker.next_exchange = now;
             self.fencing_changed = true;
         }
--- a/crates/cell/src/size.rs
+++ b/crates/cell/src/size.rs
@@ -16,7 +16,8 @@
 const SAMPLES_MIN: usize = 8;
 /// Number of measurements between two updates of the estimate.
 const UPDATE_INTERVAL: usize = 8;
-/// Index of the measurement used, in descending order: one in sixteen may be larger.
+/// Index, in descending order, of the measurement used: one in sixteen of [`SAMPLES_MAX`] may be
+/// larger.
 const QUANTILE_RANK: usize = 2;
 /// Processor allocation as a multiple of the measured usage, in thousandths.
 const CPU_FACTOR_PERMILLE: u64 = 1150;
--- a/crates/cell/src/stage.rs
+++ b/crates/cell/src/stage.rs
@@ -144,11 +144,11 @@
 /// The share, in thousandths, of a run that is not throttled.
 pub(crate) const FULL_PERMILLE: u16 = 1000;
 
-/// The cell has no owner or another one.
+/// We don't own the cell.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Unowned;
 
-/// We own the cell, but a worker may still have runs of a former owner that we don't know of.
+/// We own the cell, but a worker may still have runs of a previous owner that we don't know of.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Fencing {
     pub(crate) epoch: Epoch,
--- a/crates/cell/src/status.rs
+++ b/crates/cell/src/status.rs
@@ -19,7 +19,7 @@
 pub enum Phase {
     /// We don't own it.
     Unowned,
-    /// We own it, but a worker may still have unknown runs of a former owner.
+    /// We own it, but a worker may still have unknown runs of a previous owner.
     Fencing,
     /// We own it, and every run is known.
     Ready,
--- a/crates/cell/src/worker.rs
+++ b/crates/cell/src/worker.rs
@@ -31,8 +31,7 @@
     pub(crate) attempt: Attempt,
     pub(crate) amount: Amount,
     pub(crate) stage: Stage,
-    /// The time at which the run was placed or found, and from its confirmation on the time of
-    /// that.
+    /// The time at which the run was placed or found; replaced by the time of its confirmation.
     pub(crate) since: Time,
     /// The time at which its eviction was decided; zero before that.
     pub(crate) evicted_at: Time,
@@ -47,7 +46,7 @@
     pub(crate) sends: u32,
     /// Whether the exchange in flight contains its start command.
     pub(crate) start_in_flight: bool,
-    /// The time until which an exchange with its start, given up as lost, may still take effect.
+    /// The time until which a start command that was not answered may still be executed.
     pub(crate) late_start_until: Time,
 }
 
