--- a/bin/scheduler/src/api.rs
+++ b/bin/scheduler/src/api.rs
@@ -119,8 +119,9 @@
     async fn unavailable(&self) -> Rejection {
         let owner_reaches_store =
             self.call_owner(Request::StoreReachable).await == Some(Response::StoreReachable(true));
-        let pause = if owner_reaches_store { Duration::ZERO } else { RETRY_AFTER };
-        Rejection::new(Code::StoreDown, "the store did not answer a moment ago").retry_after(pause)
+        let retry_after = if owner_reaches_store { Duration::ZERO } else { RETRY_AFTER };
+        Rejection::new(Code::StoreDown, "the store did not answer a moment ago")
+            .retry_after(retry_after)
     }
 
     /// Returns `true` if new clients are accepted: a configuration is known and the store is
--- a/bin/scheduler/src/precedence.rs
+++ b/bin/scheduler/src/precedence.rs
@@ -5,7 +5,7 @@
 //! not lose time waiting for larger ones that don't exist. After an outage of the store, instances
 //! see the vacancy within half a second of each other, so a small one waits for longer than that.
 //! Each owner publishes its size, and others compare theirs with the largest seen; until one is
-//! known, as at the first start, the delay depends on its own size alone.
+//! known, as at the first start, the delay depends on the instance's own size alone.
 
 use std::time::Duration;
 
--- a/crates/cell/src/preempt.rs
+++ b/crates/cell/src/preempt.rs
@@ -142,7 +142,7 @@
         let worker = &self.workers[id];
         let skips_checkpoint = self.skips_checkpoint_for(job);
         let mut order: SmallVec<[(f64, usize); 32]> = SmallVec::new();
-        let mut room = worker.free().minus(worker.reserved_for_others(job, self.now));
+        let mut available = worker.free().minus(worker.reserved_for_others(job, self.now));
         for (index, allocation) in worker.allocations.iter().enumerate() {
             if self.is_evictable(allocation) {
                 // Prefers few large runs to many small ones, up to the amount that is needed.
@@ -152,22 +152,22 @@
                     index,
                 ));
             } else if allocation.stage.is_ending() {
-                room = room.plus(allocation.amount);
+                available = available.plus(allocation.amount);
             }
         }
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut picked: SmallVec<[(f64, usize); 4]> = SmallVec::new();
         for &(cost, index) in &order {
-            if amount.fits(room) {
+            if amount.fits(available) {
                 break;
             }
-            room = room.plus(worker.allocations[index].amount);
+            available = available.plus(worker.allocations[index].amount);
             picked.push((cost, index));
         }
-        if !amount.fits(room) {
+        if !amount.fits(available) {
             return None;
         }
-        let mut surplus = room.minus(amount);
+        let mut surplus = available.minus(amount);
         for i in (0..picked.len()).rev() {
             let spare = worker.allocations[picked[i].1].amount;
             if spare.fits(surplus) {
