--- a/bin/scheduler/src/api.rs
+++ b/bin/scheduler/src/api.rs
@@ -114,13 +114,14 @@
     }
 
     /// Returns the rejection for a client while the store isn't reachable from here. If the owner
-    /// of the cell reaches it, the client is told to try another instance at once, since a pause of
-    /// a second would make short jobs late.
+    /// of the cell reaches it, the retry-after time is zero, so that the client tries another
+    /// instance at once: a pause of a second would make short jobs late.
     async fn unavailable(&self) -> Rejection {
         let owner_reaches_store =
             self.call_owner(Request::StoreReachable).await == Some(Response::StoreReachable(true));
-        let pause = if owner_reaches_store { Duration::ZERO } else { RETRY_AFTER };
-        Rejection::new(Code::StoreDown, "the store did not answer a moment ago").retry_after(pause)
+        let retry_after = if owner_reaches_store { Duration::ZERO } else { RETRY_AFTER };
+        Rejection::new(Code::StoreDown, "the store did not answer a moment ago")
+            .retry_after(retry_after)
     }
 
     /// Returns `true` if new clients are accepted: a configuration is known and the store is
