--- a/crates/planner/src/admission.rs
+++ b/crates/planner/src/admission.rs
@@ -1,9 +1,9 @@
 //! The last check of a start before it is sent.
 //!
-//! A start waits for the store, the link, a response or CPU time while its worker changes. The
-//! placement was right when it was chosen, but a worker that has shrunk, is draining or has had its
-//! failure domain evacuated by then must not be started on. Every start passes this check, however
-//! its worker was chosen: when it falls due, when it is retried, and right before it is sent.
+//! A worker may change while a start for it waits for the store, the link, a response or CPU time.
+//! If it has shrunk, is draining or has had its failure domain evacuated since the placement,
+//! nothing may be started on it. Every start passes this check, however its worker was chosen: when
+//! it falls due, when it is retried, and right before it is sent.
 
 use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_ports::executor::How;
--- a/crates/planner/src/advice.rs
+++ b/crates/planner/src/advice.rs
@@ -21,7 +21,7 @@
 use crate::planner::Planner;
 use crate::worker::WorkerId;
 
-/// Maximum number of workers in one query, which users rely on.
+/// Maximum number of workers in one query; users rely on this limit.
 const MAX_WORKERS_PER_QUERY: usize = 30;
 /// Workers named in a query for each task of the step.
 const WORKERS_PER_TASK: usize = 3;
--- a/crates/planner/src/colocate.rs
+++ b/crates/planner/src/colocate.rs
@@ -1,10 +1,11 @@
 //! Colocation of best-effort tasks with latency-critical tasks.
 //!
-//! Best-effort tasks use the CPU that latency-critical tasks leave, and slow some of them by
+//! Best-effort tasks use the CPU that latency-critical tasks leave unused, and slow some of them by
 //! amounts that differ by image and change within seconds ([`crate::interference`]). So a
 //! best-effort task is placed only where every latency-critical task beside it is expected to meet
-//! its target, also at the peak of its load. Where a tail latency comes near its target all the
-//! same, the best-effort tasks that interfere are throttled, and moved away if that lasts.
+//! its target, also at the peak of its load. Where a tail latency approaches its target
+//! nevertheless, the best-effort tasks that interfere are throttled, and moved if they stay
+//! throttled.
 
 use std::borrow::Cow;
 use std::time::Duration;
--- a/crates/planner/src/command.rs
+++ b/crates/planner/src/command.rs
@@ -1,8 +1,8 @@
 //! Commands to workers: when they are sent, and how their results are handled.
 //!
-//! A command without a response may have been carried out, or may be later. A start is then
-//! repeated for the same run, which is idempotent. If the repeated start is refused, a stop of that
-//! run ensures that the first start never takes effect.
+//! An unanswered command may have been carried out, or may still be carried out later. A start is
+//! then repeated for the same run, which is idempotent. If the repeated start is refused, a stop of
+//! that run ensures that the first start never takes effect.
 
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 /// Delay before an unanswered command is retried. Short, since the command's own timeout has passed
 /// already.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Backoff of a worker that refused a start for lack of room: its next report shows why.
+/// Backoff of a worker that refused a start for lack of free capacity; its next report shows why.
 const NO_ROOM_BACKOFF: Duration = Duration::from_millis(150);
 /// Backoff of a worker that could not be reached, reported itself unhealthy or refused the ticket.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(500);
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Schedules a command about a run, be it the first or a repeated one.
+    /// Schedules the first or a repeated command about a run.
     pub(crate) fn schedule_command(&mut self, worker: WorkerId, run: Run, delay: Duration) {
         self.timers.insert((self.now + delay, Timer::Command(worker, run)));
     }
@@ -217,7 +217,7 @@
         }
         let Some(hosted) = self.workers[worker].runs.get_mut(&run) else { return };
         let Stage::Starting { command: Command::Sent, unsettled } = stage else {
-            // It is being stopped, which resolves it.
+            // A report has listed the run already, or a stop of the run resolves the start.
             return;
         };
         match outcome {
@@ -275,7 +275,8 @@
         }
     }
 
-    /// Handles a start that was certainly not carried out.
+    /// Handles a start that was certainly not carried out. If `unsettled`, an earlier start of the
+    /// same run may still be.
     fn handle_refusal(&mut self, worker: WorkerId, run: Run, unsettled: bool, failure: Failure) {
         let name = self.workers[worker].name.clone();
         let (text, backoff) = match failure {
--- a/crates/planner/src/crash.rs
+++ b/crates/planner/src/crash.rs
@@ -1,13 +1,13 @@
 //! Detection of tasks that crash the workers which start them.
 //!
-//! A run that is lost with its worker has no listed end, so its task looks like a victim, is
-//! started elsewhere at once and takes down the next worker with everything that runs there. So a
-//! crash is counted against the runs that began just before it. Most of these are victims, which
-//! are cleared once they have run for a while elsewhere; they aren't started on the same worker if
-//! that can be avoided. A task that is one crash short of [`CRASH_LIMIT`] in a row is on
-//! *probation* ([`crate::probation`]): it is started on a worker where nothing else has begun
-//! recently, and nothing else begins there for a while. A crash then counts against this task
-//! alone, and its job is ended as crashed.
+//! A run that is lost with its worker reports no end, so its task is started elsewhere at once. A
+//! task that caused the crash then crashes the next worker too, with everything that runs there. So
+//! a crash is counted against the runs that began just before it, whose tasks become suspects. Most
+//! of them didn't cause the crash and are cleared once they have run for a while elsewhere;
+//! suspects aren't placed together on a worker if that can be avoided. A task that is one crash
+//! short of [`CRASH_LIMIT`] in a row is on *probation* ([`crate::probation`]): it is started on a
+//! worker where nothing else has begun recently, and nothing else begins there for a while. A crash
+//! then counts against this task alone, and its job is ended as crashed.
 //!
 //! Incarnations that end with notice (a drain, maintenance) aren't counted, nor are workers that
 //! can't be reached, since they may be partitioned. The counts are part of the job's record, so
@@ -41,14 +41,15 @@
 const EXTRA_STARTS: usize = 2;
 /// Time within which crashes of several machines may have one cause.
 const CORRELATION_WINDOW: Duration = Duration::from_millis(200);
-/// A worker that is known to have survived a start for this long may well have crashed by itself.
+/// A worker that is known to have survived a start for this long may have crashed for another
+/// reason.
 pub(crate) const SURVIVAL_THRESHOLD: Duration = Duration::from_millis(100);
 /// Maximum delay of the response to a heartbeat by a worker with a task on probation.
 pub(crate) const PROBATION_HEARTBEAT_WAIT: Duration = Duration::from_millis(75);
 /// A worker that survives a start for this long did not crash because of the start itself.
 pub(crate) const START_CRASH_WINDOW: Duration = Duration::from_millis(500);
-/// Time during which nothing else begins beside a task on probation. Jobs of a small cell wait that
-/// long wherever they could go, so it stays well below the seconds within which every task starts.
+/// Time during which nothing else begins beside a task on probation. In a small cell other jobs may
+/// have to wait that long, so it stays well below the seconds within which every task starts.
 const PROBATION_ISOLATION: Duration = Duration::from_millis(1000);
 /// Running time without a crash after which a task is no longer a suspect.
 const CLEARED_AFTER: Duration = Duration::from_millis(1500);
@@ -61,7 +62,7 @@
 /// Strength of the evidence that a run caused the crash of its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Evidence {
-    /// It is unknown when the run began, if it did: its worker has never listed it to this owner,
+    /// It is unknown whether and when the run began: its worker has never listed it to this owner,
     /// and a previous owner placed it or its start is unanswered.
     Unconfirmed,
     /// Another run may have caused the crash, the worker may have survived the start, or another
@@ -190,7 +191,7 @@
         };
         let is_suspect = |(_, hosted): &(&Run, &Hosted)| hosted.crashes > 0;
         // A run that began just before explains a crash better than a suspect that had run for a
-        // while. A run whose begin is unknown explains nothing.
+        // while. A run whose start time is unknown explains nothing.
         let has_known_start = |(_, hosted): &(&Run, &Hosted)| known_start(hosted).is_some();
         let (recent_span, suspect_span) = match within(START_CRASH_WINDOW).find(has_known_start) {
             Some(_) => (START_CRASH_WINDOW, PROBATION_ISOLATION),
@@ -282,7 +283,7 @@
         }
         let task = job.task_mut(run.task);
         if task.crashed.contains(&run.attempt) {
-            // Counted by a previous owner that died before it placed the task again.
+            // Counted by a previous owner that crashed before it placed the task again.
             return false;
         }
         task.crashed.push(run.attempt);
--- a/crates/planner/src/disruption.rs
+++ b/crates/planner/src/disruption.rs
@@ -18,8 +18,8 @@
 use crate::planner::Planner;
 use crate::worker::WorkerId;
 
-/// Tasks of a step that may be unavailable at once if its client doesn't say: the minimum that lets
-/// anything be moved.
+/// Number of a step's tasks that may be unavailable at once if its client sets no limit: the
+/// minimum with which a task can be moved at all.
 const DEFAULT_MAX_UNAVAILABLE: u32 = 1;
 
 impl Planner {
--- a/crates/planner/src/evacuation.rs
+++ b/crates/planner/src/evacuation.rs
@@ -1,8 +1,8 @@
 //! Evacuated failure domains.
 //!
-//! An operator evacuates a failure domain while the cell is busy: a third of the capacity is
-//! unavailable for new work at once, and comes back all at once later. Nothing more is started in
-//! the domain; starts that were decided on but not sent are withdrawn and placed elsewhere. Runs
+//! An operator may evacuate a failure domain of a busy cell: a third of the capacity becomes
+//! unavailable for new work at once, and all of it returns at once later. Nothing more is started
+//! in the domain; starts that were decided on but not sent are withdrawn and placed elsewhere. Runs
 //! there continue to their end, since stopping them would waste work just when the rest of the cell
 //! has the least free capacity.
 //!
--- a/crates/planner/src/fit.rs
+++ b/crates/planner/src/fit.rs
@@ -25,9 +25,11 @@
 /// is shared rather than left unused.
 const MIN_FREE_FRACTION: f64 = 0.8;
 
-/// An image with at least this weight is worth a worker without latency-critical tasks.
+/// Best-effort images with a higher mean weight than this prefer workers without latency-critical
+/// tasks, and others avoid them.
 const TYPICAL_WEIGHT: f64 = 1.2;
-/// Maximum score of such a worker, where the free CPU of a whole worker scores 1.
+/// Maximum bonus or penalty of a worker without latency-critical tasks, where the free CPU of a
+/// whole worker scores 1.
 const MAX_VACANT_SCORE: f64 = 0.4;
 /// Penalty for each other image of latency-critical tasks on a worker, larger than any difference
 /// in free CPU. The fewer such images a worker has, the easier a best-effort image finds a worker
@@ -86,7 +88,7 @@
     }
 }
 
-/// A task of a step to be placed, with what is looked up once for all workers.
+/// A task of a step to be placed, with the values that are the same for all workers.
 pub(crate) struct Request<'a> {
     task: TaskId,
     step: &'a Step,
@@ -163,7 +165,7 @@
     /// Tasks that reserve CPU go to the worker with the least CPU left over, which keeps large gaps
     /// for large tasks. Latency-critical tasks go to workers with others of their image.
     /// Best-effort tasks go where the most CPU is free and where they interfere least. Workers
-    /// without latency-critical tasks are kept for images that interfere strongly.
+    /// without latency-critical tasks are left to images that interfere strongly.
     pub(crate) fn score(&self, worker: &Worker, request: &Request<'_>) -> Option<f64> {
         if !self.has_room(worker, request) {
             return None;
--- a/crates/planner/src/health.rs
+++ b/crates/planner/src/health.rs
@@ -9,12 +9,12 @@
 
 use cowslipchute_base::id::Time;
 
-/// Failures after which a worker is quarantined: three in a row without a success are rare by
-/// chance where one run in twenty fails.
+/// Failures after which a worker is quarantined: three in a row are unlikely by chance where one
+/// run in twenty fails.
 const FAILURE_LIMIT: u32 = 3;
-/// First quarantine of a worker.
+/// Duration of a worker's first quarantine.
 const MIN_QUARANTINE: Duration = Duration::from_secs(2);
-/// Longest quarantine; a worker that has recovered is in use again soon after.
+/// Maximum duration of a quarantine, so that a worker that has recovered is used again soon.
 const MAX_QUARANTINE: Duration = Duration::from_secs(8);
 
 /// Recent results of a worker's runs.
--- a/crates/planner/src/heartbeat.rs
+++ b/crates/planner/src/heartbeat.rs
@@ -65,8 +65,8 @@
         if !worker.answers() {
             Duration::ZERO
         } else if let Some(since) = worker.missing_since() {
-            // A report requested after the longest time of a stop shows whether the missing runs
-            // are gone.
+            // A report requested after the longest duration of a stop shows whether the missing
+            // runs are gone.
             (since + self.settings.max_stop_time).saturating_sub(self.now)
         } else if worker.runs.is_empty() {
             IDLE_HEARTBEAT_WAIT
--- a/crates/planner/src/host.rs
+++ b/crates/planner/src/host.rs
@@ -97,7 +97,7 @@
     /// Number of its starts whose outcome is unknown: the worker's next incarnation may carry them
     /// out.
     pub(crate) starts_in_flight: u32,
-    /// Whether one of them went unanswered, so that the store has to hold it as outstanding.
+    /// Whether one of its starts went unanswered, so that the store has to hold it as outstanding.
     pub(crate) start_unanswered: bool,
     /// When its latest start was sent. For a start of a previous owner, the latest possible time.
     pub(crate) start_last_sent: Time,
@@ -110,8 +110,8 @@
     pub(crate) first_progress: u8,
     /// When `progress` last changed, or the run got a new speed limit.
     pub(crate) progressed_at: Time,
-    /// Last report of the tail latency in milliseconds for a latency-critical task, or of the
-    /// thousandths of a processor in use for any other task.
+    /// Last reported tail latency in milliseconds of a latency-critical task, or CPU use in
+    /// millicores of any other task.
     pub(crate) measurement: u32,
     /// Headroom forecast of a latency-critical task, once it was measured.
     pub(crate) headroom: Option<Headroom>,
@@ -205,7 +205,7 @@
     }
 }
 
-/// Returns the amount that a task reserves on a worker. Best-effort tasks reserve no processors.
+/// Returns the amount that a task reserves on a worker. Best-effort tasks reserve no CPU.
 pub(crate) fn reserved(demand: Amount, fills: bool) -> Amount {
     let cpu_milli = if fills { 0 } else { demand.cpu_milli };
     Amount { cpu_milli, ..demand }
--- a/crates/planner/src/idle.rs
+++ b/crates/planner/src/idle.rs
@@ -1,10 +1,10 @@
 //! Free capacity that service tasks may take.
 //!
-//! Service tasks would fill the cell, and what they take is gone for the day, so a reserve is kept
-//! for short tasks. If service tasks took each gap between two short tasks, no gap would be left
-//! for a large short task, and such jobs would starve while a twentieth of the cell is free in
-//! pieces. So the reserve is given up only as far as it has been free all the time. Service tasks
-//! must not wait for long beside capacity that stays free.
+//! Service tasks run for the rest of the day and could fill the cell, so some capacity is reserved
+//! for short tasks ([`crate::reserve`]). If service tasks took each gap between two short tasks, no
+//! gap would be left for a large short task, and such jobs would starve while a twentieth of the
+//! cell is free in pieces. So service tasks may use the reserve only as far as it has been free all
+//! the time. They must not wait for long beside capacity that stays free.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -22,8 +22,9 @@
 
 /// Interval at which a service task that waits beside the reserve for short tasks is checked again.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// A gap shorter than two windows counts as free: between two short tasks are the store's and the
-/// worker's answers, which take some tens of milliseconds.
+/// Capacity that is free at any moment of a window counts as free in that window, so it may be in
+/// use for almost two windows in between. Between two short tasks are the store's and the worker's
+/// answers, which take some tens of milliseconds.
 const WINDOW: Duration = Duration::from_millis(150);
 /// Number of windows that have to be free: two seconds. After three a task that waits beside free
 /// capacity counts as lost.
@@ -31,7 +32,7 @@
 
 /// Fraction of the time with free capacity for two tasks from which a returning task no longer
 /// waits. It counts as lost after three seconds beside free capacity for two, and an observer who
-/// samples rarely sees capacity that is free half of the time as if it were always there.
+/// samples rarely may see capacity that is free half of the time as always free.
 const MIN_PAIR_FRACTION: f64 = 0.5;
 /// Time constant of that average.
 const PAIR_AVERAGE_TIME: Duration = Duration::from_millis(1500);
@@ -137,8 +138,8 @@
         self.updated = now;
     }
 
-    /// Returns `true` if there is free capacity for two now and has been for much of the time. One
-    /// task at a time is placed on this ground.
+    /// Returns `true` if there is free capacity for two now and has been for much of the time. Only
+    /// one task at a time is placed because of this.
     fn has_frequent_pair(&self) -> bool {
         self.has_pair && self.windows.len() == WINDOWS && self.pair_fraction >= MIN_PAIR_FRACTION
     }
--- a/crates/planner/src/incarnations.rs
+++ b/crates/planner/src/incarnations.rs
@@ -1,9 +1,9 @@
 //! The end of a worker's incarnation, and what its successor may hold.
 //!
-//! When a machine or a rack fails, its tasks would wait until the lease that their worker may have
-//! been granted has expired, which takes ten seconds and more. Each new owner begins that wait
-//! anew, so that service tasks waited for twenty seconds. Three sources show earlier that an
-//! incarnation has ended:
+//! Without other information, the tasks of a failed machine or rack wait until the lease that their
+//! worker may have been granted has expired, which takes ten seconds or more. Each new owner begins
+//! that wait again, so that service tasks may wait for twenty seconds. Three sources show earlier
+//! that an incarnation has ended:
 //!
 //! - a report of another start of the worker, or one whose clock has gone back;
 //! - a directory entry of a later start;
@@ -42,14 +42,14 @@
 use crate::worker::Worker;
 use crate::worker::WorkerId;
 
-/// Delay of the machine list against the directory: the list says nothing of a worker that became
-/// known less than this before it was requested. Workers write to the directory every one or two
-/// seconds.
+/// Maximum lag of the machine list behind the directory: the list says nothing of a worker that
+/// became known less than this before it was requested. Workers write to the directory every one or
+/// two seconds.
 const MACHINE_LIST_LAG: Duration = Duration::from_secs(2);
 
 impl Worker {
-    /// Returns `true` if a list that was requested at `requested_at` would name this worker unless it has
-    /// ended.
+    /// Returns `true` if a list that was requested at `requested_at` would name this worker unless
+    /// it had ended.
     fn should_be_listed(&self, requested_at: Time) -> bool {
         let silent = match self.contact {
             Contact::Unfenced { since } | Contact::Silent { at: since } => since < requested_at,
@@ -242,8 +242,9 @@
         self.note(LogEvent::WorkerRestarted, None, None, Some(name), detail);
     }
 
-    /// Ends every other worker at the address of a worker that has answered there: an address has
-    /// one at a time. A directory entry alone, which anybody may write, ends none.
+    /// Ends every other worker at the address of a worker that has answered there: an address
+    /// belongs to one worker at a time. A directory entry alone, which anybody may write, ends
+    /// none.
     pub(crate) fn end_others_at_address(&mut self, worker: WorkerId) {
         let address = self.workers[worker].address;
         let others = self.workers.iter().filter(|(id, other)| {
--- a/crates/planner/src/interference.rs
+++ b/crates/planner/src/interference.rs
@@ -38,7 +38,7 @@
 pub(crate) const SAMPLE_VARIANCE: f64 = 0.04;
 /// Variance added with each sample, since the behaviour of tasks changes over time.
 const DRIFT: f64 = 0.002;
-/// A smaller CPU fraction tells nothing about its image.
+/// A sample with a smaller CPU fraction says nothing about its image.
 const MIN_SHARE: f64 = 0.005;
 /// With this headroom or less the queue is saturated: lower values can't be told apart.
 const SATURATED_HEADROOM: f64 = 0.25;
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Raises the weights for a saturated queue: they are at least this high, and no better known.
+    /// Raises the weights for a saturated queue: they are at least this high, and their variance
+    /// doesn't change.
     fn raise_weights(&mut self, error: f64, shares: &Shares, total: f64) {
         for (best_effort, share) in shares.iter().filter(|(_, share)| *share >= MIN_SHARE) {
             let weight = self.weights.entry(best_effort.clone()).or_insert(INITIAL_ESTIMATE);
--- a/crates/planner/src/job.rs
+++ b/crates/planner/src/job.rs
@@ -46,8 +46,7 @@
     pub(crate) attempt: id::Attempt,
     /// Attempts that failed.
     pub(crate) failed: Attempts,
-    /// Attempts whose worker crashed right after their start, since the task last worked for a
-    /// while.
+    /// Attempts whose worker crashed right after their start, since the task was last cleared.
     pub(crate) crashed: Attempts,
     /// Checkpoint to resume from.
     pub(crate) checkpoint: Option<id::Checkpoint>,
@@ -391,7 +390,7 @@
     }
 
     /// Returns the state that a client may see: one that the store holds, or that the next owner
-    /// will find out.
+    /// will derive.
     pub(crate) fn state(&self) -> State {
         match self.started {
             true => State::Active,
--- a/crates/planner/src/load.rs
+++ b/crates/planner/src/load.rs
@@ -166,7 +166,7 @@
 }
 
 impl Load {
-    /// Begins with the usual level of the step's image.
+    /// Returns a load that begins at the usual level of the step's image.
     pub(crate) fn open(now: Time, usual: f64) -> Load {
         Load { at: now, filters: PERIODS.map(|period| Filter::open(period, usual)), best: 0 }
     }
@@ -182,14 +182,14 @@
 
     /// Corrects the load for a sample of a task's headroom without best-effort tasks; `noise` is
     /// the variance of the sample.
-    pub(crate) fn correct(&mut self, own: f64, noise: f64, rhythm: &mut Periodicity) {
-        for (filter, cell_misfit) in self.filters.iter_mut().zip(&mut rhythm.misfits) {
+    pub(crate) fn correct(&mut self, own: f64, noise: f64, periodicity: &mut Periodicity) {
+        for (filter, cell_misfit) in self.filters.iter_mut().zip(&mut periodicity.misfits) {
             let surprise = filter.correct(own, noise + BURST_VARIANCE);
             *cell_misfit += CELL_FIT_WEIGHT * (surprise - *cell_misfit);
         }
         let misfit = |index: usize| {
             self.filters[index].misfit * (1.0 - CELL_FRACTION)
-                + rhythm.misfits[index] * CELL_FRACTION
+                + periodicity.misfits[index] * CELL_FRACTION
         };
         let best = (0..FILTER_COUNT).min_by(|&a, &b| misfit(a).total_cmp(&misfit(b)));
         self.best = best.expect("there are several filters");
--- a/crates/planner/src/locality.rs
+++ b/crates/planner/src/locality.rs
@@ -14,8 +14,8 @@
 use crate::planner::Planner;
 use crate::worker::WorkerId;
 
-/// Fraction of the time lost elsewhere for which a task waits for a worker of its rack: if the wait
-/// went on, it would on average take as long again.
+/// Fraction of the time lost elsewhere for which a task waits for a worker of its rack: a wait that
+/// hasn't ended by then is expected to take as long again.
 const WAIT_FRACTION: f64 = 0.5;
 
 impl Planner {
--- a/crates/planner/src/measurement.rs
+++ b/crates/planner/src/measurement.rs
@@ -2,8 +2,8 @@
 //! best-effort tasks.
 //!
 //! A measurement covers about the last half second. The best-effort CPU use beside a task in that
-//! time is taken as the mean of this report and the previous one. A report that arrives sooner than
-//! that isn't counted as another sample.
+//! time is taken as the mean of this report and the previous one. A report that arrives within
+//! [`MIN_SAMPLE_INTERVAL`] of the last sample isn't counted as another one.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
 const PLACEMENT_HORIZON: Duration = Duration::from_millis(1000);
 /// Standard deviation for a task that hasn't been measured yet, from the variation of loads.
 const INITIAL_DEVIATION: f64 = 0.8;
-/// With less headroom than this a task may violate its target in truth, since measurements are
+/// With less headroom than this a task may actually violate its target, since measurements are
 /// noisy.
 const SAFE_HEADROOM: f64 = 1.05;
 
@@ -110,8 +110,8 @@
             } else {
                 hosted.over_target_since.get_or_insert(now);
             }
-            let step = self.jobs.get_mut(&run.task.job);
-            let step = step.and_then(|job| job.step_mut(run.task.step_id()));
+            let job = self.jobs.get_mut(&run.task.job);
+            let step = job.and_then(|job| job.step_mut(run.task.step_id()));
             let (Some(shares), Some(step)) = (&shares, step) else { continue };
             let image = image(hosted);
             let usual = self.interference.usual_headroom(&image);
--- a/crates/planner/src/pin.rs
+++ b/crates/planner/src/pin.rs
@@ -11,8 +11,8 @@
 //! incarnation lists a run that was carried out late before it is given another one. Pins are part
 //! of the job's record, so they outlive the owner.
 //!
-//! Only workers that report when they started restart under their names. A draining worker won't
-//! restart, and a worker in an evacuated failure domain may not be given the task again: both
+//! Only a worker that reports its start time can restart under the same name. A draining worker
+//! won't restart, and a worker in an evacuated failure domain may not be given the task again: both
 //! release their tasks once they have been fenced.
 
 use std::time::Duration;
@@ -141,11 +141,11 @@
         self.room_changed |= self.pins.len() != before;
     }
 
-    /// Restarts pinned tasks on their workers, before anything else may take their room there.
+    /// Restarts pinned tasks on their workers, before anything else may take their capacity there.
     pub(crate) fn place_pinned(&mut self) {
         self.drop_expired_pins();
-        let waiting: Vec<TaskId> = self.pins.keys().copied().collect();
-        for task in waiting {
+        let pinned: Vec<TaskId> = self.pins.keys().copied().collect();
+        for task in pinned {
             if !self.sending.allows(self.now) {
                 self.timers.insert((self.now + START_RETRY, Timer::Place));
                 return;
--- a/crates/planner/src/place.rs
+++ b/crates/planner/src/place.rs
@@ -31,8 +31,8 @@
 use crate::reservation::Unplaced;
 use crate::worker::WorkerId;
 
-/// Time for which a best-effort job runs nothing, though most of the cell is free, before one of
-/// its tasks goes where it costs the least. After three seconds the job counts as lost.
+/// Time for which a best-effort job has nothing running, although most of the cell is free, before
+/// one of its tasks is placed where it costs the least. After three seconds the job counts as lost.
 const STARVATION_DELAY: Duration = Duration::from_millis(1200);
 /// A cell counts as mostly free if less than this fraction of its CPU is reserved. Users expect one
 /// half.
@@ -307,7 +307,8 @@
         with_room.min_by(|&&a, &&b| cost(a).total_cmp(&cost(b))).copied()
     }
 
-    /// Places a step's tasks one by one. Returns `true` if each found a worker.
+    /// Places a step's tasks one by one. Returns `false` if a task found no worker, but `true` if
+    /// tasks only wait for probation, the rate limit or the reserve for short tasks.
     fn place_tasks(
         &mut self,
         step: StepId,
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -62,7 +62,7 @@
     pub(crate) arrivals: u64,
     /// Jobs that may have tasks to place.
     pub(crate) waiting: BTreeSet<JobId>,
-    /// Final states of jobs whose end is stored, until their retention time is over.
+    /// Final states of jobs whose end is stored, until their retention time has passed.
     pub(crate) ended: HashMap<JobId, State>,
     /// The ended jobs by the time at which they are removed.
     pub(crate) ended_expiry: VecDeque<(Time, JobId)>,
@@ -98,7 +98,7 @@
     pub(crate) interference: Model,
     /// Periodicity of the loads.
     pub(crate) rhythm: Periodicity,
-    /// Work of best-effort tasks that found no room in the last placement pass, in seconds of the
+    /// Work of best-effort tasks that found no worker in the last placement pass, in seconds of the
     /// whole cell.
     pub(crate) best_effort_backlog: f64,
     /// Rate limiter of starts.
--- a/crates/planner/src/probation.rs
+++ b/crates/planner/src/probation.rs
@@ -3,7 +3,8 @@
 //! A task that may crash its worker is started where nothing else has begun recently, so that its
 //! crash can be told from others. In a busy cell something begins on every worker all the time, and
 //! a gang needs several such workers at once, so it would wait forever. So workers are *isolated*
-//! for a step that has found none: nothing else begins there until it has, or for a limited time.
+//! for a step that has found none: nothing else begins there until the step's task has begun, or
+//! for a limited time.
 
 use std::time::Duration;
 
@@ -70,8 +71,8 @@
         scored.max_by(|(a, _), (b, _)| a.total_cmp(b)).map(|(_, id)| id)
     }
 
-    /// Returns the workers on which a task that has waited for its probation since `since` can be
-    /// told from other causes of a crash.
+    /// Returns the workers on which a crash can be attributed to a task that has waited for its
+    /// probation since `since`.
     pub(crate) fn probation_workers(&self, since: Time, open: &[WorkerId]) -> Vec<WorkerId> {
         let now = self.now;
         let since = self.stable_wait_since(since, open);
@@ -153,8 +154,8 @@
         open: &[WorkerId],
     ) -> Vec<WorkerId> {
         let request = Request::new(&self.interference, step.task(0), spec);
-        // Until then a machine that has crashed recently is of no use to this step, but may be to
-        // others.
+        // The chosen workers are suitable from this time on. A machine that isn't stable enough for
+        // this step by then is left to others.
         let by = self.now + START_CRASH_WINDOW;
         let since = self.stable_wait_since(since, open);
         let usable = |worker: &Worker| {
--- a/crates/planner/src/progress.rs
+++ b/crates/planner/src/progress.rs
@@ -1,9 +1,9 @@
 //! Stalled and slow runs.
 //!
 //! On some workers all runs hang while the worker answers as usual, and some become several times
-//! slower. Both hold tasks that would be done elsewhere by now, and a slow worker attracts new
-//! ones, since it is never full. Measurements decide, not estimates: a run's speed is compared with
-//! that of the cell, whose estimates are off in the same way.
+//! slower. Both delay tasks that would have finished elsewhere by now, and a slow worker attracts
+//! new ones, since it is never full. Measurements decide, not estimates: a run's speed is compared
+//! with that of the cell, whose estimates are off in the same way.
 
 use std::time::Duration;
 
@@ -32,7 +32,8 @@
 const SLOW_FRACTION: f64 = 0.33;
 /// The same for a worker with a single run to judge by.
 const SLOW_FRACTION_SINGLE: f64 = 0.2;
-/// Time for which nothing is placed on a slow worker; it is checked again by what still runs there.
+/// Time for which nothing is placed on a slow worker; it is checked again by the runs that are
+/// still there.
 const SLOW_WORKER_PAUSE: Duration = Duration::from_secs(4);
 /// A run on a slow worker is moved if the rest of it would take this many times as long as the
 /// whole run takes elsewhere.
--- a/crates/planner/src/quota.rs
+++ b/crates/planner/src/quota.rs
@@ -1,6 +1,6 @@
 //! Fraction of a cell's CPU that service tasks hold.
 //!
-//! A service task that fails, or whose worker is gone, wants its capacity back. One that failed
+//! A service task that fails, or whose worker is gone, needs its capacity back. One that failed
 //! alone left a gap that it may take again. But when some of the workers are gone, their capacity
 //! is gone too, and giving back everything that ran there would take it from short tasks alone. So
 //! returning service tasks get capacity up to the fraction of the cell that service tasks held a
--- a/crates/planner/src/rank.rs
+++ b/crates/planner/src/rank.rs
@@ -21,12 +21,12 @@
 /// finished work would be lost. A job of many tasks gets its capacity piece by piece and is often
 /// late before it has all.
 const STARTED_LATE_VALUE: f64 = 1.5;
-/// Value of a later job. It isn't 0, so that such jobs run in idle time.
+/// Value of a job that counts as lost. It isn't 0, so that such jobs run in idle time.
 const LOST_VALUE: f64 = 0.02;
 /// Minimum work of a job in core-seconds; smaller jobs count as this.
 const MIN_WORK: f64 = 0.5;
 
-/// Earliest possible finish of a job, against its objective.
+/// Earliest possible finish of a job, compared with its objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Prospect {
     /// In time.
--- a/crates/planner/src/reclaim.rs
+++ b/crates/planner/src/reclaim.rs
@@ -4,7 +4,7 @@
 //! capacity in turn, and a service task, which takes only what stays free ([`crate::idle`]), would
 //! wait until the backlog is done, long after the load has ended. So a returning service task
 //! bypasses lost short jobs after a moment, and late ones later. Nothing is bypassed while most of
-//! the cell is free, nor for ever, and jobs that can be in time never yield.
+//! the cell is free, nor indefinitely, and jobs that can be in time never yield.
 
 use std::time::Duration;
 
--- a/crates/planner/src/reservation.rs
+++ b/crates/planner/src/reservation.rs
@@ -28,7 +28,7 @@
 /// anyway.
 const RESERVATION_DELAY: Duration = Duration::from_millis(150);
 /// Fraction of the CPU not held by service tasks that may be reserved at a time: enough for large
-/// tasks to get their share, little enough to be idle.
+/// tasks to be placed, and little enough to leave idle until then.
 const RESERVED_FRACTION: f64 = 0.08;
 /// Fraction of that CPU that one step may reserve where even a single step exceeds the limit above,
 /// such as a large task in a small cell, or a gang, which needs all its workers at once. The other
@@ -144,14 +144,15 @@
         tasks.filter(|task| self.may_reserve(spec, task))
     }
 
-    /// Returns `true` if a step waits and can still be served.
+    /// Returns `true` if a worker may be reserved for a waiting task of a step whose job, unless it
+    /// is a service step, can still finish before it counts as lost.
     fn needs_reservation(&self, step: StepId) -> bool {
         let Some(job) = self.jobs.get(&step.job).filter(|job| job.end.is_none()) else {
             return false;
         };
         let spec = job.spec(step.step);
-        let hopeless = !spec.long_running && self.is_lost(job);
-        !hopeless && self.reservable_tasks(step, spec).next().is_some()
+        let is_lost = !spec.long_running && self.is_lost(job);
+        !is_lost && self.reservable_tasks(step, spec).next().is_some()
     }
 
     /// Reserves workers for steps that found none: first for those that can be in time, then for
--- a/crates/planner/src/reserve.rs
+++ b/crates/planner/src/reserve.rs
@@ -1,10 +1,10 @@
 //! Reserve of CPU that service tasks leave to short tasks.
 //!
-//! Service tasks rank first and stay, until the cell is full of them and the short tasks of equal
-//! priority, worth several times as much per core-second, find no capacity for the rest of the day.
-//! So the CPU that short tasks have needed recently, and some more for their bursts, stays free of
-//! service tasks for a moment. The reserve decays where no short task comes, and a service task
-//! never waits for long beside capacity that stays free.
+//! Service tasks rank first and keep their capacity. Without a limit they would fill the cell, and
+//! short tasks of equal priority, which are worth several times as much per core-second, would find
+//! no capacity for the rest of the day. So the CPU that short tasks have needed recently, and some
+//! more for their bursts, stays free of service tasks for a while. The reserve decays where no
+//! short task comes, and a service task never waits for long beside capacity that stays free.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 const BURST_FACTOR: f64 = 1.7;
 /// Fraction of the cell reserved before anything is known about short tasks.
 const INITIAL_FRACTION: f64 = 0.12;
-/// Time constant of its decay.
+/// Time constant of the decay of [`INITIAL_FRACTION`].
 const INITIAL_DECAY_TIME: Duration = Duration::from_secs(20);
 /// Maximum fraction of the cell to reserve, since service tasks have to be served too.
 const MAX_FRACTION: f64 = 0.2;
--- a/crates/planner/src/risk.rs
+++ b/crates/planner/src/risk.rs
@@ -2,10 +2,10 @@
 //! best-effort work.
 //!
 //! The unit of both is the CPU of a whole worker. Throttling for a task with a noisy tail latency
-//! costs work for certain and saves a fraction of a risk, so the headroom that a task keeps can't
-//! be a fixed figure. Where a best-effort task hardly interferes, keeping headroom costs more than
-//! the seconds of violation that it saves; where one interferes strongly, much headroom costs
-//! almost nothing.
+//! is certain to cost work and only lowers a risk, so the headroom that a task keeps can't be a
+//! fixed value. Where a best-effort task hardly interferes, keeping headroom costs more than the
+//! seconds of violation that it saves; where one interferes strongly, much headroom costs almost
+//! nothing.
 
 /// Cost of a second of violation, as a fraction of the best-effort work that the worker's CPU does
 /// in a second.
@@ -35,8 +35,8 @@
 /// The risk is taken as 0 beyond this many standard deviations.
 const MAX_DEVIATIONS: f64 = 3.5;
 
-/// Returns the cost of a latency-critical task's headroom that is expected to exceed its target by
-/// a margin, with this standard deviation.
+/// Returns the cost of a latency-critical task whose headroom is expected to be `margin` above its
+/// target, with the standard deviation `deviation`.
 pub(crate) fn cost(margin: f64, deviation: f64) -> f64 {
     VIOLATION_COST * violation_probability(margin, deviation) + EXCESS_COST * (-margin).max(0.0)
 }
--- a/crates/planner/src/rollout.rs
+++ b/crates/planner/src/rollout.rs
@@ -4,14 +4,14 @@
 //! An operator wants many machines to shut down in a bounded time, in a cell that is nearly full,
 //! and maintenance ends all runs on a machine. Draining a machine completely would need capacity
 //! that isn't free. So a machine shuts down together with its service tasks as soon as each of
-//! their steps can spare them, and they are restarted elsewhere or there. Only for a moment before
-//! that does it take nothing new, while checkpointing tasks are stopped and short ones end. As many
+//! their steps can spare them, and they are restarted elsewhere or there. It takes nothing new only
+//! for a moment before that, while checkpointing tasks are stopped and short ones end. As many
 //! machines are away at once as the remaining time requires, which keeps the rest of the cell
-//! whole, and never more than the operator allows. No more tasks of a service step are unavailable
-//! at once than its client allows, however late the rollout is.
+//! available, and never more than the operator allows. No more tasks of a service step are
+//! unavailable at once than its client allows, however late the rollout is.
 //!
-//! Repeating a maintenance request is harmless, so only the machines whose maintenance has begun are
-//! stored for a later owner.
+//! Repeating a maintenance request is harmless, so only the machines whose maintenance has begun
+//! are stored for a later owner.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -61,7 +61,8 @@
     Draining(Time),
     /// Maintenance requested at this time.
     Requested(Time),
-    /// Maintenance not begun, or perhaps if `may_have_begun`; it is requested again at this time.
+    /// The request wasn't confirmed and is repeated at this time. Maintenance has not begun, except
+    /// perhaps if `may_have_begun`.
     Retry { at: Time, may_have_begun: bool },
     /// Maintenance begun, under this owner or a previous one: the response arrived at this time,
     /// and no list since.
@@ -75,9 +76,9 @@
 pub(crate) struct Rollout {
     wave: Wave,
     started_at: Time,
-    /// Whether it has been reported as completed: maintenance of every machine has begun. The
-    /// rollout is kept until a list shows that maintenance has ended everywhere, since it determines
-    /// which workers take nothing new.
+    /// Whether it was reported as completed, since maintenance of every machine has begun. The
+    /// rollout is kept until a list shows that maintenance has ended everywhere, since it
+    /// determines which workers take nothing new.
     completed: bool,
     begun: BTreeSet<Name>,
     phases: BTreeMap<Name, Phase>,
@@ -335,7 +336,7 @@
         }
         let Some(rollout) = self.rollouts.by_number.get(&number) else { return };
         let remaining = rollout.remaining(&self.rollouts.machines).count();
-        // Machines that a previous owner shut down, or that went down by themselves, count too.
+        // Machines that a previous owner shut down, or that crashed, count too.
         let down = rollout.wave.machines.iter().filter(|name| {
             let machine = self.rollouts.machines.get(*name);
             !rollout.phases.contains_key(*name) && machine.is_some_and(|machine| !machine.up)
--- a/crates/planner/src/settings.rs
+++ b/crates/planner/src/settings.rs
@@ -26,7 +26,7 @@
     pub remote_slowdown: f64,
     /// Bandwidth of this instance's link in bytes per second, if it is known.
     pub link_bytes_per_second: Option<f64>,
-    /// Time that a stop may take until the worker's next report should show it.
+    /// Longest time that a stop may take before the worker's report shows its outcome.
     pub max_stop_time: Duration,
 }
 
--- a/crates/planner/src/takeover.rs
+++ b/crates/planner/src/takeover.rs
@@ -273,8 +273,9 @@
         worker.is_some_and(|worker| worker.address.is_none())
     }
 
-    /// Defers an entry with a service that isn't configured, which may be a foreign writer's, until
-    /// the configuration names it. A worker that is already known gets nothing new meanwhile.
+    /// Defers an entry with a service that isn't configured, which an unrelated writer may have
+    /// added, until the configuration names it. A worker that is already known gets nothing new
+    /// meanwhile.
     fn defer_entry(&mut self, registration: &Registration) {
         let name = &registration.name;
         if self.workers_by_name.contains_key(name) {
--- a/crates/planner/src/throttle.rs
+++ b/crates/planner/src/throttle.rs
@@ -141,8 +141,8 @@
     /// Moves tasks that have been throttled for long if another worker may take them.
     pub(crate) fn move_throttled(&mut self, worker: WorkerId) {
         let now = self.now;
-        let fraction = self.settings.checkpoint_interval.mul_f64(MOVE_DELAY_FRACTION);
-        let move_delay = fraction.max(MIN_MOVE_DELAY);
+        let lost_work_delay = self.settings.checkpoint_interval.mul_f64(MOVE_DELAY_FRACTION);
+        let move_delay = lost_work_delay.max(MIN_MOVE_DELAY);
         let is_throttled = |hosted: &Hosted| {
             hosted.checkpointing
                 && matches!(hosted.stage, Stage::Running { .. })
@@ -205,7 +205,7 @@
 }
 
 /// Starts with all runs at the speed limit `first`, and sets one after the other to the limit with
-/// the highest net value. Returns the total net value.
+/// the highest net value.   Returns the total net value.
 fn improve_speed_limits(
     runs: &mut [BestEffort],
     order: &[usize],
--- a/crates/planner/src/worker.rs
+++ b/crates/planner/src/worker.rs
@@ -89,7 +89,7 @@
 pub(crate) struct Colocation {
     /// Margins of the latency-critical tasks.
     pub(crate) margins: SmallVec<[Margin; 8]>,
-    /// Capacity that best-effort tasks can still use, in thousandths of a processor.
+    /// CPU that best-effort tasks can still use, in millicores.
     pub(crate) best_effort_room: i64,
     /// Start of the longest current violation of a latency target.
     pub(crate) over_target_since: Option<Time>,
@@ -157,7 +157,7 @@
     pub(crate) last_start_sent: Time,
     /// `None` if something has changed since it was computed.
     pub(crate) colocation: Option<Colocation>,
-    /// Processor use of best-effort images at the last measurement.
+    /// CPU use of best-effort images at the last measurement.
     pub(crate) shares: Shares,
     /// Time of the last measurement.
     pub(crate) measured_at: Time,
