--- a/crates/planner/src/throttle.rs
+++ b/crates/planner/src/throttle.rs
@@ -205,7 +205,7 @@
 }
 
 /// Starts with all runs at the speed limit `first`, and sets one after the other to the limit with
-/// the highest net value.   Returns the total net value.
+/// the highest net value. Returns the total net value.
 fn improve_speed_limits(
     runs: &mut [BestEffort],
     order: &[usize],
