--- a/crates/planner/src/throttle.rs
+++ b/crates/planner/src/throttle.rs
@@ -141,8 +141,8 @@
     /// Moves tasks that have been throttled for long if another worker may take them.
     pub(crate) fn move_throttled(&mut self, worker: WorkerId) {
         let now = self.now;
-        let fraction = self.settings.checkpoint_interval.mul_f64(MOVE_DELAY_FRACTION);
-        let move_delay = fraction.max(MIN_MOVE_DELAY);
+        let lost_work_delay = self.settings.checkpoint_interval.mul_f64(MOVE_DELAY_FRACTION);
+        let move_delay = lost_work_delay.max(MIN_MOVE_DELAY);
         let is_throttled = |hosted: &Hosted| {
             hosted.checkpointing
                 && matches!(hosted.stage, Stage::Running { .. })
