--- a/bin/ctl/src/keys.rs
+++ b/bin/ctl/src/keys.rs
@@ -39,7 +39,7 @@
 pub fn issue(directory: &Path, name: &str) -> Result<Vec<PathBuf>, Failure> {
     check::name("--issue", name)
         .map_err(|error| Failure::new(Code::BadSetting, error.to_string()))?;
-    let files = Files::under(directory);
+    let files = Files::in_directory(directory);
     let authority = Authority::from_pem(&read(&files.authority)?, &read(&files.authority_key)?)
         .map_err(|error| bad_file(error.to_string()))?;
     let leaf = authority.issue().map_err(|error| bad_file(error.to_string()))?;
--- a/bin/ctl/src/sizes.rs
+++ b/bin/ctl/src/sizes.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 use cowslipchute_base::event::Event;
-use cowslipchute_base::size::LATE_LIMIT;
+use cowslipchute_base::size::MAX_LATE_FACTOR;
 use cowslipchute_base::size::Size;
 use serde_json::Value;
 use serde_json::json;
@@ -30,10 +30,10 @@
 type Dimension = (&'static str, fn(&Size) -> f64);
 
 const DIMENSIONS: [Dimension; 4] = [
-    ("work", |size| size.work),
-    ("widest", |size| f64::from(size.widest_milli)),
+    ("work", |size| size.core_seconds),
+    ("widest", |size| f64::from(size.max_task_cpu_milli)),
     ("tasks", |size| f64::from(size.tasks)),
-    ("chain", |size| size.chain.as_secs_f64()),
+    ("chain", |size| size.critical_path.as_secs_f64()),
 ];
 
 /// A job as recorded in the logs.
@@ -66,7 +66,7 @@
         let objective = self.size.objective.as_secs_f64();
         if took <= objective {
             Outcome::InTime
-        } else if took <= objective * LATE_LIMIT {
+        } else if took <= objective * MAX_LATE_FACTOR {
             Outcome::Late
         } else {
             Outcome::Missed
--- a/bin/ctl/tests/commands.rs
+++ b/bin/ctl/tests/commands.rs
@@ -13,7 +13,7 @@
 use cowslipchute_daemon::log;
 use cowslipchute_daemon::stop;
 use cowslipchute_daemon::stop::Stage;
-use cowslipchute_daemon::stop::Switch;
+use cowslipchute_daemon::stop::Trigger;
 use cowslipchute_follow as follow;
 use cowslipchute_gateway::kv;
 use cowslipchute_operator::metrics::Metrics;
@@ -40,7 +40,7 @@
 struct Harness {
     standin: Standin,
     operator: Option<Operator>,
-    switch: Switch,
+    switch: Trigger,
     members: watch::Sender<Vec<Member>>,
     directory: PathBuf,
 }
--- a/bin/entry/src/accept.rs
+++ b/bin/entry/src/accept.rs
@@ -10,8 +10,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use cowslipchute_daemon::duty;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::ring;
 use cowslipchute_daemon::stop::Stage;
 use cowslipchute_daemon::stop::Stop;
@@ -78,8 +78,8 @@
     targets: Vec<Target>,
     close: oneshot::Receiver<()>,
     stop: Stop,
-) -> io::Result<Duty> {
-    duty::spawn("accept", move || run(listener, targets, close, stop))
+) -> io::Result<EventLoop> {
+    event_loop::spawn("accept", move || run(listener, targets, close, stop))
 }
 
 async fn run(
@@ -96,7 +96,7 @@
                 Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
             _ = &mut close => break,
-            () = stop.reached(Stage::Forced) => return,
+            () = stop.wait_for_stage(Stage::Forced) => return,
         }
     }
     // Connections that wait in the system's accept queue are served, too, rather than reset.
--- a/bin/entry/src/decide/mod.rs
+++ b/bin/entry/src/decide/mod.rs
@@ -13,12 +13,12 @@
 use cowslipchute_base::id::Time;
 use cowslipchute_daemon::admin::Readiness;
 use cowslipchute_daemon::clock::Clock;
-use cowslipchute_daemon::duty;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::log;
 use cowslipchute_daemon::ring;
-use cowslipchute_daemon::ring::Bell;
-use cowslipchute_daemon::ring::Look;
+use cowslipchute_daemon::ring::Notifier;
+use cowslipchute_daemon::ring::TryRecv;
 use cowslipchute_daemon::stop::Stage;
 use cowslipchute_daemon::stop::Stop;
 use cowslipchute_follow::Change;
@@ -69,7 +69,7 @@
     /// From the peer thread.
     pub peer_events: ring::Receiver<PeerEvent>,
     /// Wakes this thread; every ring that ends here notifies it.
-    pub bell: Bell,
+    pub bell: Notifier,
     /// Set when configuration and list are loaded, cleared when a stop begins.
     pub readiness: Readiness,
     /// The stage of the stop.
@@ -87,8 +87,8 @@
 /// # Errors
 ///
 /// Returns an error if the thread can't be started.
-pub fn spawn(decide: Decide) -> io::Result<Duty> {
-    duty::spawn("decide", move || async move { Decider::open(decide).run().await })
+pub fn spawn(decide: Decide) -> io::Result<EventLoop> {
+    event_loop::spawn("decide", move || async move { Decider::open(decide).run().await })
 }
 
 struct Decider {
@@ -98,7 +98,7 @@
     updates: ring::Receiver<Update>,
     peer_commands: ring::Sender<PeerCommand>,
     peer_events: ring::Receiver<PeerEvent>,
-    bell: Bell,
+    bell: Notifier,
     readiness: Readiness,
     stop: Stop,
     logger: Logger,
@@ -184,10 +184,10 @@
     }
 
     fn read_updates(&mut self) {
-        while let Look::Value(change) = self.changes.look() {
+        while let TryRecv::Value(change) = self.changes.try_recv() {
             self.apply_change(change);
         }
-        while let Look::Value(Update::Listed { view }) = self.updates.look() {
+        while let TryRecv::Value(Update::Listed { view }) = self.updates.try_recv() {
             self.listed = true;
             self.services_changed = true;
             let mut view = Arc::unwrap_or_clone(view);
@@ -223,7 +223,7 @@
             let verdict = peer::Claimed::NotOwner;
             self.step(Event::Claimed { request, verdict });
         }
-        while let Look::Value(event) = self.peer_events.look() {
+        while let TryRecv::Value(event) = self.peer_events.try_recv() {
             match event {
                 PeerEvent::Claimed { request, verdict } => {
                     self.step(Event::Claimed { request, verdict });
@@ -246,10 +246,10 @@
 
     fn read_batch(&mut self, number: usize) -> bool {
         for _ in 0..BATCH {
-            match self.fronts[number].reports.look() {
-                Look::Value(report) => self.handle_report(report),
-                Look::Empty => return false,
-                Look::Closed => {
+            match self.fronts[number].reports.try_recv() {
+                TryRecv::Value(report) => self.handle_report(report),
+                TryRecv::Empty => return false,
+                TryRecv::Closed => {
                     self.fronts[number].ended = true;
                     return false;
                 }
--- a/bin/entry/src/decide/stop.rs
+++ b/bin/entry/src/decide/stop.rs
@@ -81,7 +81,7 @@
         tokio::select! {
             () = self.bell.wait() => {}
             () = sleep => {}
-            () = self.stop.reached(next_stage) => {}
+            () = self.stop.wait_for_stage(next_stage) => {}
         }
     }
 }
--- a/bin/entry/src/entry.rs
+++ b/bin/entry/src/entry.rs
@@ -9,10 +9,10 @@
 use cowslipchute_base::event::Event;
 use cowslipchute_daemon::admin;
 use cowslipchute_daemon::admin::Readiness;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::log;
 use cowslipchute_daemon::ring;
-use cowslipchute_daemon::ring::Bell;
+use cowslipchute_daemon::ring::Notifier;
 use cowslipchute_daemon::stop::Stop;
 use cowslipchute_follow::Follower;
 use cowslipchute_follow::Handle;
@@ -62,7 +62,7 @@
     peer_address: Option<SocketAddr>,
     readiness: Readiness,
     registry: Registry,
-    duties: Vec<Duty>,
+    duties: Vec<EventLoop>,
     follower: Follower,
 }
 
@@ -74,9 +74,9 @@
     stop: Stop,
     logger: Logger,
     /// Wakes the decision thread.
-    bell: Bell,
+    bell: Notifier,
     /// Wakes the peer thread.
-    peer_bell: Bell,
+    peer_bell: Notifier,
 }
 
 /// Starts the threads of an entry process. It runs until `stop` is triggered.
@@ -100,8 +100,8 @@
         readiness: Readiness::default(),
         stop,
         logger,
-        bell: Bell::default(),
-        peer_bell: Bell::default(),
+        bell: Notifier::default(),
+        peer_bell: Notifier::default(),
         settings,
     };
     // The admin thread serves until the process ends, so that a stop can be observed to its end.
@@ -110,11 +110,14 @@
         .with_context(|| format!("can't bind {admin}"))?;
     let Fronts { mut duties, channels, targets, mut peer_command_rings } =
         open_fronts(&shared, address)?;
-    let (peer_commands, ring) = ring::open_with(PEER_COMMAND_CAPACITY, shared.peer_bell.clone());
+    let (peer_commands, ring) =
+        ring::open_with_notifier(PEER_COMMAND_CAPACITY, shared.peer_bell.clone());
     peer_command_rings.push(ring);
-    let (list_commands, ring) = ring::open_with(PEER_COMMAND_CAPACITY, shared.peer_bell.clone());
+    let (list_commands, ring) =
+        ring::open_with_notifier(PEER_COMMAND_CAPACITY, shared.peer_bell.clone());
     peer_command_rings.push(ring);
-    let (peer_events, peer_events_in) = ring::open_with(PEER_COMMAND_CAPACITY, shared.bell.clone());
+    let (peer_events, peer_events_in) =
+        ring::open_with_notifier(PEER_COMMAND_CAPACITY, shared.bell.clone());
     let (follow_sender, follow) = oneshot::channel();
     let parts =
         PeerParts { identity, store: store.clone(), follow, peer_command_rings, peer_events };
@@ -122,11 +125,11 @@
     duties.push(duty);
     let peer_address = node.as_ref().map(Node::address);
     let (members, listed) = watch_channel(Vec::new());
-    let (change, changes) = ring::open_with(UPDATE_CAPACITY, shared.bell.clone());
+    let (change, changes) = ring::open_with_notifier(UPDATE_CAPACITY, shared.bell.clone());
     let following = shared.settings.follow(&shared.logger);
     let follower = cowslipchute_follow::spawn(following, store, node, listed, change)?;
     let _ = follow_sender.send(follower.handle());
-    let (updates, updates_in) = ring::open_with(UPDATE_CAPACITY, shared.bell.clone());
+    let (updates, updates_in) = ring::open_with_notifier(UPDATE_CAPACITY, shared.bell.clone());
     let (done, ended) = oneshot::channel();
     let (accepting, closed) = oneshot::channel();
     duties.push(accept::spawn(listener, targets, closed, shared.stop.clone())?);
@@ -162,7 +165,7 @@
 /// The fronts, with the opposite ends of their rings.
 #[derive(Default)]
 struct Fronts {
-    duties: Vec<Duty>,
+    duties: Vec<EventLoop>,
     channels: Vec<Channels>,
     targets: Vec<Target>,
     peer_command_rings: Vec<ring::Receiver<PeerCommand>>,
@@ -171,10 +174,10 @@
 fn open_fronts(shared: &Shared, local: SocketAddr) -> io::Result<Fronts> {
     let mut fronts = Fronts::default();
     for number in 0..shared.settings.fronts {
-        let (reports, reports_in) = ring::open_with(RING_CAPACITY, shared.bell.clone());
+        let (reports, reports_in) = ring::open_with_notifier(RING_CAPACITY, shared.bell.clone());
         let (commands, commands_in) = ring::open(RING_CAPACITY);
         let (peer_commands, ring) =
-            ring::open_with(PEER_COMMAND_CAPACITY, shared.peer_bell.clone());
+            ring::open_with_notifier(PEER_COMMAND_CAPACITY, shared.peer_bell.clone());
         let (target, accepted) = ring::open(CONNECTION_CAPACITY);
         fronts.targets.push(Target::open(target));
         fronts.channels.push(Channels { reports: reports_in, commands });
@@ -207,7 +210,7 @@
 fn open_peers<S: Store>(
     shared: &Shared,
     parts: PeerParts<S>,
-) -> anyhow::Result<(Duty, Option<Node>)> {
+) -> anyhow::Result<(EventLoop, Option<Node>)> {
     let peers = Peers {
         me: shared.settings.member(),
         store: parts.store,
@@ -230,7 +233,7 @@
 ) -> anyhow::Result<Option<node::Settings>> {
     let Some(address) = settings.peers.listen else { return Ok(None) };
     let identity = identity.context("connections to peers need a certificate")?;
-    Ok(Some(node::Settings { address, identity, call_timeout: CALL_TIMEOUT, calls: MAX_CALLS }))
+    Ok(Some(node::Settings { address, identity, call_timeout: CALL_TIMEOUT, max_calls: MAX_CALLS }))
 }
 
 impl Entry {
--- a/bin/entry/src/front/mod.rs
+++ b/bin/entry/src/front/mod.rs
@@ -18,8 +18,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use cowslipchute_daemon::duty;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::ring;
 use cowslipchute_daemon::stop::Stage;
 use cowslipchute_daemon::stop::Stop;
@@ -70,8 +70,8 @@
 /// # Errors
 ///
 /// Returns an error if the thread can't be started.
-pub fn spawn(front: Front) -> io::Result<Duty> {
-    duty::spawn(&format!("front-{}", front.number), move || run(front))
+pub fn spawn(front: Front) -> io::Result<EventLoop> {
+    event_loop::spawn(&format!("front-{}", front.number), move || run(front))
 }
 
 async fn run(front: Front) {
@@ -94,7 +94,7 @@
     tokio::select! {
         () = serving => {}
         () = follow(commands, &pending) => {}
-        () = stop.reached(Stage::Forced) => {}
+        () = stop.wait_for_stage(Stage::Forced) => {}
     }
 }
 
--- a/bin/entry/src/keys.rs
+++ b/bin/entry/src/keys.rs
@@ -269,7 +269,7 @@
         Claimant {
             instance: self.me.instance.clone(),
             incarnation: self.me.incarnation,
-            life: self.started_at,
+            started_at: self.started_at,
             request,
         }
     }
--- a/bin/entry/src/main.rs
+++ b/bin/entry/src/main.rs
@@ -6,8 +6,8 @@
 use cowslipchute_base::code::Code;
 use cowslipchute_base::event::Event;
 use cowslipchute_daemon::log;
+use cowslipchute_daemon::settings::exit_with_error;
 use cowslipchute_daemon::settings::parse_or_exit;
-use cowslipchute_daemon::settings::refuse;
 use cowslipchute_daemon::stop;
 use cowslipchute_entry::entry;
 use cowslipchute_entry::entry::Entry;
@@ -25,16 +25,16 @@
 
 fn main() {
     let settings = parse_or_exit(settings::settings());
-    settings.check().unwrap_or_else(|problem| refuse(Code::BadSetting, &problem));
+    settings.check().unwrap_or_else(|problem| exit_with_error(Code::BadSetting, &problem));
     let identity = identity(&settings.peers).unwrap_or_else(|problem| {
-        refuse(Code::BadFile, &problem);
+        exit_with_error(Code::BadFile, &problem);
     });
     let common = &settings.common;
     let logger = log::open("entry", &common.instance, common.log_level);
     let entry = start(settings, identity, &logger).unwrap_or_else(|error| {
         let problem = format!("{error:#}");
         log::emit(&logger, Event::StartRefused, o!("problem" => problem.clone()));
-        refuse(Code::BindFailed, &problem);
+        exit_with_error(Code::BindFailed, &problem);
     });
     entry.join();
 }
--- a/bin/entry/src/peers.rs
+++ b/bin/entry/src/peers.rs
@@ -9,11 +9,11 @@
 use cowslipchute_claim::event::Event;
 use cowslipchute_claim::roster::Member;
 use cowslipchute_claim::slot::Key;
-use cowslipchute_daemon::duty;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::ring;
-use cowslipchute_daemon::ring::Bell;
-use cowslipchute_daemon::ring::Look;
+use cowslipchute_daemon::ring::Notifier;
+use cowslipchute_daemon::ring::TryRecv;
 use cowslipchute_daemon::stop::Stage;
 use cowslipchute_daemon::stop::Stop;
 use cowslipchute_follow::Handle;
@@ -59,7 +59,7 @@
     /// From every thread that sends commands.
     pub peer_commands: Vec<ring::Receiver<PeerCommand>>,
     /// Wakes this thread; every ring of commands notifies it.
-    pub bell: Bell,
+    pub bell: Notifier,
     /// To the decision thread.
     pub peer_events: ring::Sender<PeerEvent>,
     /// The metrics.
@@ -76,9 +76,9 @@
 /// # Errors
 ///
 /// Returns an error if the thread can't be started or the address can't be bound.
-pub fn spawn<S: Store>(peers: Peers<S>) -> io::Result<(Duty, Option<Node>)> {
+pub fn spawn<S: Store>(peers: Peers<S>) -> io::Result<(EventLoop, Option<Node>)> {
     let (opened, outcome) = blocking::channel();
-    let duty = duty::spawn("peer", move || run(peers, opened))?;
+    let duty = event_loop::spawn("peer", move || run(peers, opened))?;
     let node = outcome
         .recv()
         .unwrap_or_else(|_| Err(io::Error::other("the peer thread ended before it was ready")))?;
@@ -133,7 +133,7 @@
             () = tokio::time::sleep_until(state.keys.next_due()) => {
                 state.keys.step(Event::Tick, &mut state.new_events);
             }
-            () = peers.stop.reached(Stage::Forced) => break,
+            () = peers.stop.wait_for_stage(Stage::Forced) => break,
         }
     }
     watching.abort();
@@ -188,10 +188,10 @@
     /// Executes every command in a ring and returns `true` if the ring is still open.
     fn drain(&mut self, ring: &mut ring::Receiver<PeerCommand>) -> bool {
         loop {
-            match ring.look() {
-                Look::Value(command) => self.execute(command),
-                Look::Empty => return true,
-                Look::Closed => return false,
+            match ring.try_recv() {
+                TryRecv::Value(command) => self.execute(command),
+                TryRecv::Empty => return true,
+                TryRecv::Closed => return false,
             }
         }
     }
--- a/bin/entry/src/roster.rs
+++ b/bin/entry/src/roster.rs
@@ -11,7 +11,7 @@
 use cowslipchute_claim::roster::Roster;
 use cowslipchute_ports::kv;
 use cowslipchute_ports::kv::Change;
-use cowslipchute_ports::kv::Guard;
+use cowslipchute_ports::kv::Precondition;
 use cowslipchute_ports::kv::Store;
 use cowslipchute_ports::kv::Txn;
 use cowslipchute_ports::kv::Update;
@@ -44,11 +44,12 @@
 pub async fn propose<S: Store>(store: S, revision: Revision, roster: Roster) -> Event {
     let key = roster::KEY.to_owned();
     let guard = match revision {
-        0 => Guard::Missing(key.clone()),
-        revision => Guard::Unchanged(key.clone(), revision),
+        0 => Precondition::Missing(key.clone()),
+        revision => Precondition::Unchanged(key.clone(), revision),
     };
     let value = serde_json::to_vec(&roster).expect("a roster can be serialised to JSON");
-    let txn = Txn { guards: vec![guard], changes: vec![Change::Put { key, value, lease: 0 }] };
+    let txn =
+        Txn { preconditions: vec![guard], changes: vec![Change::Put { key, value, lease: 0 }] };
     match tokio::time::timeout(CALL_TIMEOUT, store.commit(txn)).await {
         Ok(Ok(_)) => Event::Proposed,
         _ => Event::StoreFailed,
--- a/bin/entry/src/watch.rs
+++ b/bin/entry/src/watch.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cowslipchute_base::event::Event;
-use cowslipchute_daemon::duty;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::log;
 use cowslipchute_daemon::ring;
 use cowslipchute_follow::list::Read;
@@ -46,8 +46,8 @@
 /// # Errors
 ///
 /// Returns an error if the thread can't be started.
-pub fn spawn<L: List>(watch: Watch<L>) -> io::Result<Duty> {
-    duty::spawn("watch", move || run(watch))
+pub fn spawn<L: List>(watch: Watch<L>) -> io::Result<EventLoop> {
+    event_loop::spawn("watch", move || run(watch))
 }
 
 /// Polls the list; after a failed read the last list stays in use.
@@ -67,10 +67,10 @@
                 peer_commands.push(PeerCommand::Listed { view: view.clone() });
                 members.send_replace(view.members.clone());
             }
-            Read::Lost(error) => {
+            Read::Failed(error) => {
                 log::emit(&logger, Event::ListStale, o!("problem" => error.to_string()));
             }
-            Read::Unchanged | Read::StillLost(_) => {}
+            Read::Unchanged | Read::StillFailing(_) => {}
         }
         updates.flush();
         peer_commands.flush();
--- a/bin/entry/tests/key_handover.rs
+++ b/bin/entry/tests/key_handover.rs
@@ -89,9 +89,9 @@
             let next = change(&serde_json::from_slice(&entry.value).expect("it can be read"));
             let value = serde_json::to_vec(&next).expect("it can be written");
             let key = roster::KEY.to_owned();
-            let guard = kv::Guard::Unchanged(key.clone(), entry.revision);
+            let guard = kv::Precondition::Unchanged(key.clone(), entry.revision);
             let put = kv::Change::Put { key, value, lease: 0 };
-            let txn = kv::Txn { guards: vec![guard], changes: vec![put] };
+            let txn = kv::Txn { preconditions: vec![guard], changes: vec![put] };
             if self.store.commit(txn).await.expect("the store is up").applied {
                 return;
             }
@@ -251,7 +251,7 @@
             address: support::ANY,
             identity: self.identity.clone(),
             call_timeout: support::HANG,
-            calls: 16,
+            max_calls: 16,
         };
         let (node, calls) = Node::open(settings).expect("loopback ports are free");
         let role = list::Role::Entry;
--- a/bin/entry/tests/support/mod.rs
+++ b/bin/entry/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use cowslipchute_daemon::log;
 use cowslipchute_daemon::stop;
 use cowslipchute_daemon::stop::Stage;
-use cowslipchute_daemon::stop::Switch;
+use cowslipchute_daemon::stop::Trigger;
 use cowslipchute_entry::entry;
 use cowslipchute_entry::entry::Entry;
 use cowslipchute_entry::settings;
@@ -34,7 +34,7 @@
 /// An entry that runs in the test process.
 pub struct Running {
     entry: Entry,
-    switch: Switch,
+    switch: Trigger,
 }
 
 /// Returns settings with additional flags.
--- a/bin/entry/tests/support/platform.rs
+++ b/bin/entry/tests/support/platform.rs
@@ -159,11 +159,11 @@
         }
     }
 
-    fn holds(&self, guard: &kv::Guard) -> bool {
+    fn holds(&self, guard: &kv::Precondition) -> bool {
         match guard {
-            kv::Guard::Missing(key) => self.find(key).is_none(),
-            kv::Guard::Present(key) => self.find(key).is_some(),
-            kv::Guard::Unchanged(key, revision) => {
+            kv::Precondition::Missing(key) => self.find(key).is_none(),
+            kv::Precondition::Present(key) => self.find(key).is_some(),
+            kv::Precondition::Unchanged(key, revision) => {
                 self.find(key).is_some_and(|entry| entry.revision == *revision)
             }
         }
@@ -182,10 +182,10 @@
         Ok(kv::Snapshot { revision: state.revision, entries: found.cloned().collect() })
     }
 
-    async fn commit(&self, txn: kv::Txn) -> Result<kv::Verdict, kv::Error> {
+    async fn commit(&self, txn: kv::Txn) -> Result<kv::TxnOutcome, kv::Error> {
         self.check()?;
         let mut state = self.state();
-        let applied = txn.guards.iter().all(|guard| state.holds(guard));
+        let applied = txn.preconditions.iter().all(|guard| state.holds(guard));
         if applied {
             for change in txn.changes {
                 match change {
@@ -194,7 +194,7 @@
                 }
             }
         }
-        Ok(kv::Verdict { applied, revision: state.revision, current: Vec::new() })
+        Ok(kv::TxnOutcome { applied, revision: state.revision, current: Vec::new() })
     }
 
     async fn grant(&self, _: Duration) -> Result<kv::LeaseId, kv::Error> {
--- a/bin/measure/src/capacity/http.rs
+++ b/bin/measure/src/capacity/http.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Context as _;
 use cowslipchute_gateway::worker::Client;
-use cowslipchute_gateway::worker::EXCHANGE;
+use cowslipchute_gateway::worker::EXCHANGE_PATH;
 use cowslipchute_ports::worker::Worker;
 use poem::EndpointExt as _;
 use poem::Server;
@@ -107,7 +107,7 @@
         let acceptor = TcpListener::bind("127.0.0.1:0").into_acceptor().await?;
         let address = acceptor.local_addr()[0].as_socket_addr().copied();
         bound.send(address.context("a TCP listener has an address")?)?;
-        let route = poem::Route::new().at(EXCHANGE, poem::post(answer));
+        let route = poem::Route::new().at(EXCHANGE_PATH, poem::post(answer));
         let app = route.data(Answer(std::sync::Arc::new(body)));
         let gone = async {
             let _ = stopped.await;
@@ -137,9 +137,9 @@
 /// Adds up the heads of one exchange as a plain client and the same server make them.
 async fn heads(address: SocketAddr) -> anyhow::Result<f64> {
     let client = reqwest::Client::builder().no_proxy().build()?;
-    let request = client.post(format!("http://{address}{EXCHANGE}")).json(&wire::exchange(0));
+    let request = client.post(format!("http://{address}{EXCHANGE_PATH}")).json(&wire::exchange(0));
     let request = request.build()?;
-    let line = format!("POST {EXCHANGE} HTTP/1.1\r\nhost: {address}\r\naccept: */*\r\n");
+    let line = format!("POST {EXCHANGE_PATH} HTTP/1.1\r\nhost: {address}\r\naccept: */*\r\n");
     let length = request.body().and_then(|body| body.as_bytes()).map_or(0, <[u8]>::len);
     let sent = line.len() + fields(request.headers()) + format!("content-length: {length}").len();
     let response = client.execute(request).await?;
--- a/bin/measure/src/capacity/listing.rs
+++ b/bin/measure/src/capacity/listing.rs
@@ -4,8 +4,8 @@
 
 use anyhow::Context as _;
 use cowslipchute_gateway::list::Client;
-use cowslipchute_gateway::list::INSTANCES;
-use cowslipchute_gateway::list::tag;
+use cowslipchute_gateway::list::INSTANCES_PATH;
+use cowslipchute_gateway::list::entity_tag;
 use cowslipchute_ports::list::List as _;
 use cowslipchute_ports::list::Version;
 use cowslipchute_standin::Plan;
@@ -68,10 +68,11 @@
 /// Adds up the heads of a read as a plain client and the stand-in make them.
 async fn heads(url: &str, known: Version) -> anyhow::Result<f64> {
     let client = reqwest::Client::builder().no_proxy().build()?;
-    let request = client.get(format!("{url}{INSTANCES}")).header(IF_NONE_MATCH, tag(known));
+    let request =
+        client.get(format!("{url}{INSTANCES_PATH}")).header(IF_NONE_MATCH, entity_tag(known));
     let request = request.build()?;
     let host = url.trim_start_matches("http://");
-    let line = format!("GET {INSTANCES} HTTP/1.1\r\nhost: {host}\r\naccept: */*\r\n\r\n");
+    let line = format!("GET {INSTANCES_PATH} HTTP/1.1\r\nhost: {host}\r\naccept: */*\r\n\r\n");
     let sent = line.len() + http::fields(request.headers());
     let response = client.execute(request).await?;
     anyhow::ensure!(response.status() == StatusCode::NOT_MODIFIED, "nothing changes this list");
--- a/bin/measure/src/capacity/wire.rs
+++ b/bin/measure/src/capacity/wire.rs
@@ -243,7 +243,7 @@
     let claimant = cowslipchute_ports::peer::Claimant {
         instance: "region-3-domain-2-entry-4".into(),
         incarnation: 1 << 40,
-        life: 1 << 50,
+        started_at: 1 << 50,
         request: 1 << 50,
     };
     let claim = Call::Claim {
--- a/bin/measure/src/loopback/declare.rs
+++ b/bin/measure/src/loopback/declare.rs
@@ -34,7 +34,7 @@
     let resource = Resource { name: name.into(), spec: Spec::Service(spec) };
     let value = Stored { operation: 1, resource }.to_bytes();
     let change = Change::Put { key: key::config(Kind::Service, name), value, lease: 0 };
-    let txn = Txn { guards: Vec::new(), changes: vec![change] };
+    let txn = Txn { preconditions: Vec::new(), changes: vec![change] };
     Client::open(store, TIMEOUT).commit(txn).await?;
     Ok(())
 }
--- a/bin/measure/src/passes/cell.rs
+++ b/bin/measure/src/passes/cell.rs
@@ -20,8 +20,8 @@
 use cowslipchute_ports::executor::Report;
 use cowslipchute_ports::executor::Run;
 use cowslipchute_ports::executor::Running;
-use cowslipchute_ports::executor::Stamp;
 use cowslipchute_ports::executor::Target;
+use cowslipchute_ports::executor::Timestamp;
 use cowslipchute_ports::job::Accepted;
 use cowslipchute_ports::job::JobId;
 use cowslipchute_ports::job::Spec;
@@ -116,21 +116,21 @@
             service: "desk".into(),
             priority,
             max_attempts: 3,
-            slack: 1.5,
+            slack_factor: 1.5,
             allowance: Duration::from_millis(250),
             advice: None,
         };
         let limits = Limits {
-            head: 1 << 14,
-            body: 1 << 18,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            max_header_bytes: 1 << 14,
+            max_body_bytes: 1 << 18,
+            header_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         };
         let queues = vec![queue("serving", 0), queue("filling", 2)];
         let config = Arc::new(Config { version: 1, queues, services: Vec::new(), limits });
         self.step(Event::Config { config });
         let (jobs, records) = (Vec::new(), Vec::new());
-        self.step(Event::OwnershipAcquired { epoch: 1, jobs, records, learnt: None });
+        self.step(Event::OwnershipAcquired { epoch: 1, jobs, records, estimates: None });
         self.step(Event::LeaseRenewed { until: self.now + Duration::from_secs(3600) });
         for index in 0..self.names.len() {
             let registration = registration(index, self.names[index].clone());
@@ -152,7 +152,7 @@
                 estimate: Duration::from_millis(500),
                 long_running: true,
                 image: Some(format!("serving-{image}").as_str().into()),
-                target: Some(TARGET),
+                latency_target: Some(TARGET),
                 ..Step::default()
             };
             self.submit(image as JobId, "serving", step);
@@ -171,7 +171,7 @@
                 count: self.names.len() as u32,
                 demand: Amount { cpu_milli: 3_500, memory_mib: 6_400, accelerators: 0 },
                 estimate: Duration::from_millis(2700),
-                fills: true,
+                best_effort: true,
                 checkpointing: true,
                 image: Some(format!("filling-{image}").as_str().into()),
                 ..Step::default()
@@ -229,8 +229,8 @@
         }
     }
 
-    fn clock(&self) -> Stamp {
-        self.now.as_millis() as Stamp
+    fn clock(&self) -> Timestamp {
+        self.now.as_millis() as Timestamp
     }
 
     /// The next worker accounts for its runs.
@@ -242,10 +242,10 @@
             run,
             checkpoint: None,
             percent: if fills { 50 } else { 100 },
-            figure: if fills { 3_500 } else { TAIL },
+            measurement: if fills { 3_500 } else { TAIL },
         });
         let running = running.collect();
-        let report = Report { born: BORN, clock: self.clock(), running, ended: Vec::new() };
+        let report = Report { started_at: BORN, clock: self.clock(), running, ended: Vec::new() };
         let Some(target) = self.targets.get(&name).cloned() else { return };
         self.step(Event::HeartbeatResult { target, outcome: Ok(report) });
     }
@@ -255,7 +255,7 @@
     let host = Ipv4Addr::from(0x0a00_0000 + index as u32);
     Registration {
         name,
-        born: BORN,
+        started_at: BORN,
         address: SocketAddr::from((host, 80)),
         service: "desk".into(),
         domain: "domain".into(),
@@ -263,6 +263,6 @@
         capacity: CAPACITY,
         labels: [Arc::from("a")].into_iter().collect(),
         rack: Some(format!("rack-{}", index / 8).as_str().into()),
-        cold: Duration::ZERO,
+        warmup_left: Duration::ZERO,
     }
 }
--- a/bin/measure/src/tasks/baseline.rs
+++ b/bin/measure/src/tasks/baseline.rs
@@ -232,7 +232,7 @@
             .workers
             .iter()
             .enumerate()
-            .filter(|(_, worker)| worker.usable && amount.fits(worker.free));
+            .filter(|(_, worker)| worker.usable && amount.fits_within(worker.free));
         let found = match self.fit {
             Fit::First => usable.next(),
             Fit::Best => usable.min_by_key(|(_, worker)| worker.free.cpu_milli),
@@ -264,7 +264,7 @@
         task.room_asked = Some(now);
         let amount = self.jobs[&key.0].amount;
         let usable = self.workers.iter_mut().filter(|worker| worker.usable);
-        let enough = usable.filter(|worker| amount.fits(could_free(worker)));
+        let enough = usable.filter(|worker| amount.fits_within(could_free(worker)));
         let Some(worker) = enough.max_by_key(|worker| worker.free.cpu_milli) else { return };
         let mut free = worker.free;
         let mut others: Vec<_> = worker
@@ -274,7 +274,7 @@
             .collect();
         others.sort_by_key(|(_, run)| std::cmp::Reverse(run.since));
         for (name, run) in others {
-            if amount.fits(free) {
+            if amount.fits_within(free) {
                 return;
             }
             free = free.plus(run.amount);
--- a/bin/measure/src/tasks/obey.rs
+++ b/bin/measure/src/tasks/obey.rs
@@ -33,7 +33,7 @@
                 if self.runs.contains_key(name) {
                     return;
                 }
-                let beyond = !self.committed().plus(*amount).fits(self.capacity);
+                let beyond = !self.committed().plus(*amount).fits_within(self.capacity);
                 obeyed.beyond += u64::from(beyond);
                 let done = checkpoint.as_ref().map_or(0.0, |at| around.checkpoints.find(at));
                 let run = Run {
--- a/bin/operator/src/lane.rs
+++ b/bin/operator/src/lane.rs
@@ -14,7 +14,7 @@
 use cowslipchute_ports::kv;
 use cowslipchute_ports::kv::Change;
 use cowslipchute_ports::kv::Entry;
-use cowslipchute_ports::kv::Guard;
+use cowslipchute_ports::kv::Precondition;
 use cowslipchute_ports::kv::Store;
 use cowslipchute_ports::kv::Txn;
 use tokio::time::Instant;
@@ -34,7 +34,7 @@
     /// Operation id of the write.
     pub operation: Operation,
     /// Conditions of the write.
-    pub guards: Vec<Guard>,
+    pub guards: Vec<Precondition>,
     /// Changes of the write.
     pub changes: Vec<Change>,
 }
@@ -133,8 +133,8 @@
         if let Some(entry) = self.read(store).await.map_err(down)? {
             return Ok(entry.revision);
         }
-        let guards = vec![Guard::Missing(self.key.clone())];
-        let txn = Txn { guards, changes: vec![self.mark(INITIAL)] };
+        let guards = vec![Precondition::Missing(self.key.clone())];
+        let txn = Txn { preconditions: guards, changes: vec![self.mark(INITIAL)] };
         let verdict = store.commit(txn).await.map_err(down)?;
         Ok(if verdict.applied { verdict.revision } else { self.found(&verdict.current) })
     }
@@ -150,10 +150,10 @@
 
     fn txn(&self, write: &Write, expected: Revision) -> Txn {
         let mut guards = write.guards.clone();
-        guards.push(Guard::Unchanged(self.key.clone(), expected));
+        guards.push(Precondition::Unchanged(self.key.clone(), expected));
         let mut changes = write.changes.clone();
         changes.push(self.mark(write.operation));
-        Txn { guards, changes }
+        Txn { preconditions: guards, changes }
     }
 
     fn mark(&self, operation: Operation) -> Change {
@@ -207,8 +207,8 @@
             // perhaps after the write took effect, so the outcome can no longer be determined.
             return None;
         }
-        let guards = vec![Guard::Unchanged(self.key.clone(), expected)];
-        let txn = Txn { guards, changes: vec![self.mark(bar)] };
+        let guards = vec![Precondition::Unchanged(self.key.clone(), expected)];
+        let txn = Txn { preconditions: guards, changes: vec![self.mark(bar)] };
         let verdict = store.commit(txn).await.ok()?;
         if !verdict.applied {
             return None;
--- a/bin/operator/src/listing.rs
+++ b/bin/operator/src/listing.rs
@@ -1,11 +1,11 @@
-//! The duty that reads the platform's list of instances.
+//! The event loop that reads the platform's list of instances.
 
 use std::io;
 use std::time::Duration;
 
 use cowslipchute_base::event::Event;
-use cowslipchute_daemon::duty;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::log;
 use cowslipchute_follow::list::Read;
 use cowslipchute_follow::list::Reader;
@@ -18,14 +18,17 @@
 /// Interval between reads of the list.
 const READ_EVERY: Duration = Duration::from_secs(1);
 
-/// Starts reading the list. The duty ends when the last receiver is dropped.
+/// Starts reading the list. The event loop ends when the last receiver is dropped.
 ///
 /// # Errors
 ///
 /// When the system refuses the thread.
-pub fn spawn<L: List>(list: L, logger: Logger) -> io::Result<(watch::Receiver<Vec<Member>>, Duty)> {
+pub fn spawn<L: List>(
+    list: L,
+    logger: Logger,
+) -> io::Result<(watch::Receiver<Vec<Member>>, EventLoop)> {
     let (sender, receiver) = watch::channel(Vec::new());
-    let duty = duty::spawn("list", move || read(list, sender, logger))?;
+    let duty = event_loop::spawn("list", move || read(list, sender, logger))?;
     Ok((receiver, duty))
 }
 
@@ -40,10 +43,10 @@
             Read::Changed(view) => {
                 sender.send_replace(view.members);
             }
-            Read::Lost(error) => {
+            Read::Failed(error) => {
                 log::emit(&logger, Event::ListStale, o!("problem" => error.to_string()));
             }
-            Read::Unchanged | Read::StillLost(_) => {}
+            Read::Unchanged | Read::StillFailing(_) => {}
         }
     }
 }
--- a/bin/operator/src/main.rs
+++ b/bin/operator/src/main.rs
@@ -1,4 +1,4 @@
-//! `cowslipchute-operator`: reads the settings, starts the duties and waits for the shutdown.
+//! `cowslipchute-operator`: reads the settings, starts the event loops and waits for the shutdown.
 
 use std::hash::BuildHasher as _;
 use std::net::TcpListener;
@@ -10,8 +10,8 @@
 use cowslipchute_daemon::admin;
 use cowslipchute_daemon::admin::Readiness;
 use cowslipchute_daemon::log;
+use cowslipchute_daemon::settings::exit_with_error;
 use cowslipchute_daemon::settings::parse_or_exit;
-use cowslipchute_daemon::settings::refuse;
 use cowslipchute_daemon::stop;
 use cowslipchute_daemon::stop::Stage;
 use cowslipchute_daemon::stop::Stop;
@@ -96,16 +96,16 @@
 
 fn bind(links: &Links, stop: &Stop) -> Remote {
     let identity = Identity::load(&links.cert, &links.key, &links.ca)
-        .unwrap_or_else(|error| refuse(Code::BadFile, &error.to_string()));
+        .unwrap_or_else(|error| exit_with_error(Code::BadFile, &error.to_string()));
     let settings = node::Settings {
         address: links.listen,
         identity,
         call_timeout: PEER_TIMEOUT,
-        calls: PEER_CALLS_MAX,
+        max_calls: PEER_CALLS_MAX,
     };
     remote::bind(settings, stop.clone()).unwrap_or_else(|error| unbound("--peer-listen", &error))
 }
 
 fn unbound(setting: &str, error: &std::io::Error) -> ! {
-    refuse(Code::BindFailed, &format!("{setting}: {error}"))
+    exit_with_error(Code::BindFailed, &format!("{setting}: {error}"))
 }
--- a/bin/operator/src/process.rs
+++ b/bin/operator/src/process.rs
@@ -1,4 +1,4 @@
-//! The operator process: its duties and their connections.
+//! The operator process: its event loops and their connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,8 +8,8 @@
 
 use cowslipchute_base::event::Event;
 use cowslipchute_daemon::admin::Readiness;
-use cowslipchute_daemon::duty;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::log;
 use cowslipchute_daemon::ring;
 use cowslipchute_daemon::stop::Stage;
@@ -35,7 +35,7 @@
 use crate::tidy;
 use crate::writer::Writer;
 
-/// Maximum number of changes queued for the duty that counts them.
+/// Maximum number of changes queued for the event loop that counts them.
 const CHANGES_MAX: usize = 256;
 
 /// Parts that the process is built from.
@@ -45,7 +45,7 @@
     /// Client of the platform's key-value service for the resource interface.
     pub store: S,
     /// Client of the same service for following it. It is separate because a client's connections
-    /// live on the duty that opened them, and the watch must not end with the interface's duty.
+    /// live on the event loop that opened them, and the watch must not end with the interface's event loop.
     pub follow_store: S,
     /// Client for calls to the other processes, if there is one.
     pub peers: Option<P>,
@@ -68,8 +68,8 @@
 pub struct Operator {
     address: SocketAddr,
     follower: Follower,
-    http: Duty,
-    count: Duty,
+    http: EventLoop,
+    count: EventLoop,
 }
 
 impl Operator {
@@ -92,7 +92,7 @@
     }
 }
 
-/// Starts the duties on a bound listener.
+/// Starts the event loops on a bound listener.
 ///
 /// # Errors
 ///
@@ -145,14 +145,14 @@
     Writer::open(store.clone(), &settings.instance, settings.incarnation, logger)
 }
 
-/// Runs the duty that counts changes. This process needs nothing else of them: it reads the
+/// Runs the event loop that counts changes. This process needs nothing else of them: it reads the
 /// configuration in force through the follower's handle.
 fn count(
     mut changes: ring::Receiver<Change>,
     metrics: Metrics,
     readiness: Readiness,
-) -> io::Result<Duty> {
-    duty::spawn("count", move || async move {
+) -> io::Result<EventLoop> {
+    event_loop::spawn("count", move || async move {
         while let Some(change) = changes.recv().await {
             if let Change::InForce { revision } = change {
                 metrics.in_force(revision);
@@ -168,9 +168,9 @@
     tidying: impl Future<Output = ()> + Send + 'static,
     within: Duration,
     readiness: Readiness,
-) -> io::Result<Duty> {
+) -> io::Result<EventLoop> {
     let (mut stop, mut forced) = (api.stop.clone(), api.stop.clone());
-    duty::spawn("http", move || async move {
+    event_loop::spawn("http", move || async move {
         let logger = api.resources.logger().clone();
         let api = Arc::new(api);
         tokio::spawn(tidying);
@@ -180,7 +180,7 @@
         });
         let acceptor = TcpAcceptor::from_std(listener).expect("the listener is bound");
         let draining = async move {
-            stop.reached(Stage::Draining).await;
+            stop.wait_for_stage(Stage::Draining).await;
             readiness.set(false);
             log::emit(&logger, Event::Stopping, o!());
         };
@@ -189,7 +189,7 @@
         tokio::select! {
             // The errors are those of accepted connections, which their clients see.
             _ = serving => {}
-            () = forced.reached(Stage::Forced) => {}
+            () = forced.wait_for_stage(Stage::Forced) => {}
         }
     })
 }
--- a/bin/operator/src/remote.rs
+++ b/bin/operator/src/remote.rs
@@ -1,9 +1,9 @@
-//! The duty that runs the connections to peers and answers their calls.
+//! The event loop that runs the connections to peers and answers their calls.
 
 use std::io;
 
-use cowslipchute_daemon::duty;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::stop::Stage;
 use cowslipchute_daemon::stop::Stop;
 use cowslipchute_follow::Handle;
@@ -14,13 +14,13 @@
 use cowslipchute_ports::peer::Reply;
 use tokio::sync::oneshot;
 
-/// A bound node whose duty waits for the follower that answers peers.
+/// A bound node whose event loop waits for the follower that answers peers.
 #[derive(Debug)]
 pub struct Remote {
     /// Client for calls to peers.
     pub node: Node,
     follow: oneshot::Sender<Handle>,
-    duty: Duty,
+    duty: EventLoop,
 }
 
 /// Binds the node's address. Peers are answered once [`Remote::answer`] has been called.
@@ -31,7 +31,7 @@
 pub fn bind(settings: node::Settings, mut stop: Stop) -> io::Result<Remote> {
     let (bound, binding) = std::sync::mpsc::channel();
     let (follow, following) = oneshot::channel::<Handle>();
-    let duty = duty::spawn("peer", move || async move {
+    let duty = event_loop::spawn("peer", move || async move {
         let (node, mut calls) = match Node::open(settings) {
             Ok(opened) => opened,
             Err(error) => return bound.send(Err(error)).expect("the opener waits"),
@@ -41,7 +41,7 @@
         loop {
             let call = tokio::select! {
                 call = calls.recv() => call,
-                () = stop.reached(Stage::Draining) => None,
+                () = stop.wait_for_stage(Stage::Draining) => None,
             };
             let Some(call) = call else { return };
             match call.call {
@@ -67,9 +67,9 @@
 }
 
 impl Remote {
-    /// Lets the follower answer peers. The duty ends when the process shuts down.
-    pub fn answer(self, handle: Handle) -> Duty {
-        // If the duty has already ended, joining it reports that.
+    /// Lets the follower answer peers. The event loop ends when the process shuts down.
+    pub fn answer(self, handle: Handle) -> EventLoop {
+        // If the event loop has already ended, joining it reports that.
         let _ = self.follow.send(handle);
         self.duty
     }
--- a/bin/operator/src/resources.rs
+++ b/bin/operator/src/resources.rs
@@ -13,7 +13,7 @@
 use cowslipchute_ports::kv;
 use cowslipchute_ports::kv::Change;
 use cowslipchute_ports::kv::Entry;
-use cowslipchute_ports::kv::Guard;
+use cowslipchute_ports::kv::Precondition;
 use cowslipchute_ports::kv::Store;
 use cowslipchute_resource::Kind;
 use cowslipchute_resource::Resource;
@@ -65,7 +65,7 @@
     pub async fn create(&self, resource: Resource) -> Result<Revision, Problem> {
         check::resource(&resource)?;
         let key = key::config(resource.spec.kind(), &resource.name);
-        let guard = Guard::Missing(key.clone());
+        let guard = Precondition::Missing(key.clone());
         let refused = |current: &[Entry]| {
             let found = current.iter().find(|entry| entry.key == key)?;
             Some(Problem::new(Code::Exists).revision(found.revision))
@@ -86,7 +86,7 @@
     ) -> Result<Revision, Problem> {
         check::resource(&resource)?;
         let key = key::config(resource.spec.kind(), &resource.name);
-        let guard = Guard::Unchanged(key.clone(), revision);
+        let guard = Precondition::Unchanged(key.clone(), revision);
         let refused = |current: &[Entry]| conflict(current, &key, revision);
         self.put(&key, resource, guard, refused).await
     }
@@ -95,14 +95,14 @@
         &self,
         key: &str,
         resource: Resource,
-        guard: Guard,
+        guard: Precondition,
         refused: impl Fn(&[Entry]) -> Option<Problem>,
     ) -> Result<Revision, Problem> {
         let operation: Operation = rand::random();
         let references = reference::of(&resource);
         let target = |reference: &Reference| key::config(reference.kind, &reference.name);
         let mut guards = vec![guard];
-        guards.extend(references.iter().map(|reference| Guard::Present(target(reference))));
+        guards.extend(references.iter().map(|reference| Precondition::Present(target(reference))));
         let value = Stored { operation, resource }.to_bytes();
         let mut changes = vec![Change::Put { key: key.to_owned(), value, lease: 0 }];
         if !references.is_empty() {
@@ -137,7 +137,7 @@
     ) -> Result<Revision, Problem> {
         let key = key::config(kind, name);
         for _ in 0..REMOVE_ATTEMPTS_MAX {
-            let mut guards = vec![Guard::Unchanged(key.clone(), revision)];
+            let mut guards = vec![Precondition::Unchanged(key.clone(), revision)];
             guards.extend(self.check_unreferenced(kind, name).await?);
             let changes = vec![Change::Delete { key: key.clone() }];
             let write = Write { operation: rand::random(), guards, changes };
@@ -155,7 +155,11 @@
     }
 
     /// Checks that nothing refers to a resource, and returns the guard that keeps it so.
-    async fn check_unreferenced(&self, kind: Kind, name: &str) -> Result<Option<Guard>, Problem> {
+    async fn check_unreferenced(
+        &self,
+        kind: Kind,
+        name: &str,
+    ) -> Result<Option<Precondition>, Problem> {
         let Some(referrers) = reference::referrers(kind) else { return Ok(None) };
         // Read the mark first: a reference created after this read changes it, and the guard fails.
         let marks = self.store.read(key::REFERENCES).await.map_err(down)?.entries;
@@ -169,8 +173,8 @@
                 .remedy("change or delete that resource first"));
         }
         let key = String::from(key::REFERENCES);
-        let missing = Guard::Missing(key.clone());
-        Ok(Some(mark.map_or(missing, |mark| Guard::Unchanged(key, mark.revision))))
+        let missing = Precondition::Missing(key.clone());
+        Ok(Some(mark.map_or(missing, |mark| Precondition::Unchanged(key, mark.revision))))
     }
 
     /// Performs a write; the inner error holds the current entries of the guarded keys.
--- a/bin/operator/src/tidy.rs
+++ b/bin/operator/src/tidy.rs
@@ -12,7 +12,7 @@
 use cowslipchute_base::id::Instance;
 use cowslipchute_ports::kv::Change;
 use cowslipchute_ports::kv::Entry;
-use cowslipchute_ports::kv::Guard;
+use cowslipchute_ports::kv::Precondition;
 use cowslipchute_ports::kv::Store;
 use cowslipchute_ports::kv::Txn;
 use cowslipchute_ports::list::Member;
@@ -45,10 +45,10 @@
     tokio::time::sleep(CHECK_DELAY).await;
     let second = orphans(&store, &own, &members).await;
     for entry in second.into_iter().filter(|entry| first.contains(entry)) {
-        let guards = vec![Guard::Unchanged(entry.key.clone(), entry.revision)];
+        let guards = vec![Precondition::Unchanged(entry.key.clone(), entry.revision)];
         let changes = vec![Change::Delete { key: entry.key }];
         // Nothing depends on whether the removal succeeded.
-        let _ = store.commit(Txn { guards, changes }).await;
+        let _ = store.commit(Txn { preconditions: guards, changes }).await;
     }
 }
 
--- a/bin/operator/src/watch.rs
+++ b/bin/operator/src/watch.rs
@@ -79,7 +79,7 @@
     async fn next(&mut self) -> Option<Vec<Line>> {
         if !self.first {
             tokio::select! {
-                () = self.stop.reached(Stage::Draining) => return None,
+                () = self.stop.wait_for_stage(Stage::Draining) => return None,
                 changed = self.marks.changed() => changed.ok()?,
                 () = tokio::time::sleep(PROGRESS_EVERY) => {}
             }
--- a/bin/operator/tests/fake/mod.rs
+++ b/bin/operator/tests/fake/mod.rs
@@ -12,13 +12,13 @@
 use cowslipchute_ports::kv::Change;
 use cowslipchute_ports::kv::Entry;
 use cowslipchute_ports::kv::Error;
-use cowslipchute_ports::kv::Guard;
 use cowslipchute_ports::kv::LeaseId;
+use cowslipchute_ports::kv::Precondition;
 use cowslipchute_ports::kv::Snapshot;
 use cowslipchute_ports::kv::Store;
 use cowslipchute_ports::kv::Txn;
+use cowslipchute_ports::kv::TxnOutcome;
 use cowslipchute_ports::kv::Update;
-use cowslipchute_ports::kv::Verdict;
 use tokio::sync::mpsc;
 
 /// Outcome of one commit.
@@ -83,23 +83,25 @@
 }
 
 impl State {
-    fn holds(&self, guard: &Guard) -> bool {
+    fn holds(&self, guard: &Precondition) -> bool {
         match guard {
-            Guard::Missing(key) => !self.entries.contains_key(key),
-            Guard::Present(key) => self.entries.contains_key(key),
-            Guard::Unchanged(key, revision) => {
+            Precondition::Missing(key) => !self.entries.contains_key(key),
+            Precondition::Present(key) => self.entries.contains_key(key),
+            Precondition::Unchanged(key, revision) => {
                 self.entries.get(key).is_some_and(|entry| entry.revision == *revision)
             }
         }
     }
 
-    fn decide(&mut self, txn: &Txn) -> Verdict {
-        if !txn.guards.iter().all(|guard| self.holds(guard)) {
-            let keys = txn.guards.iter().map(|guard| match guard {
-                Guard::Missing(key) | Guard::Present(key) | Guard::Unchanged(key, _) => key,
+    fn decide(&mut self, txn: &Txn) -> TxnOutcome {
+        if !txn.preconditions.iter().all(|guard| self.holds(guard)) {
+            let keys = txn.preconditions.iter().map(|guard| match guard {
+                Precondition::Missing(key)
+                | Precondition::Present(key)
+                | Precondition::Unchanged(key, _) => key,
             });
             let current = keys.filter_map(|key| self.entries.get(key).cloned()).collect();
-            return Verdict { applied: false, revision: self.revision, current };
+            return TxnOutcome { applied: false, revision: self.revision, current };
         }
         self.revision += 1;
         let revision = self.revision;
@@ -114,7 +116,7 @@
                 }
             }
         }
-        Verdict { applied: true, revision, current: Vec::new() }
+        TxnOutcome { applied: true, revision, current: Vec::new() }
     }
 }
 
@@ -129,7 +131,7 @@
         Ok(Snapshot { revision: state.revision, entries: found.cloned().collect() })
     }
 
-    async fn commit(&self, txn: Txn) -> Result<Verdict, Error> {
+    async fn commit(&self, txn: Txn) -> Result<TxnOutcome, Error> {
         let mut state = self.state.lock().expect("not poisoned");
         state.commits += 1;
         let lost = || Error::Unknown(String::from("no answer"));
--- a/bin/operator/tests/harness/mod.rs
+++ b/bin/operator/tests/harness/mod.rs
@@ -9,12 +9,12 @@
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_daemon::admin::Readiness;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::log;
 use cowslipchute_daemon::stop;
 use cowslipchute_daemon::stop::Stage;
 use cowslipchute_daemon::stop::Stop;
-use cowslipchute_daemon::stop::Switch;
+use cowslipchute_daemon::stop::Trigger;
 use cowslipchute_follow as follow;
 use cowslipchute_gateway::kv;
 use cowslipchute_operator::metrics::Metrics;
@@ -40,11 +40,11 @@
 /// An operator process with a stand-in of the platform, and a client of the process.
 pub struct Harness {
     pub operator: Option<Operator>,
-    pub switch: Switch,
+    pub switch: Trigger,
     pub http: reqwest::Client,
     pub members: watch::Sender<Vec<Member>>,
     pub listed: Member,
-    peers: Option<Duty>,
+    peers: Option<EventLoop>,
 }
 
 /// A parsed response.
@@ -186,7 +186,7 @@
 fn link(identity: Identity, stop: &Stop) -> Remote {
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let call_timeout = Duration::from_secs(1);
-    let settings = node::Settings { address, identity, call_timeout, calls: 64 };
+    let settings = node::Settings { address, identity, call_timeout, max_calls: 64 };
     remote::bind(settings, stop.clone()).expect("a free port")
 }
 
--- a/bin/operator/tests/lane.rs
+++ b/bin/operator/tests/lane.rs
@@ -9,7 +9,7 @@
 use cowslipchute_operator::lane::Lane;
 use cowslipchute_operator::lane::Write;
 use cowslipchute_ports::kv::Change;
-use cowslipchute_ports::kv::Guard;
+use cowslipchute_ports::kv::Precondition;
 use cowslipchute_ports::kv::Store;
 use cowslipchute_ports::kv::Txn;
 use fake::Fake;
@@ -38,14 +38,14 @@
     runtime.block_on(body)
 }
 
-fn put(operation: u128, guard: Guard) -> Write {
+fn put(operation: u128, guard: Precondition) -> Write {
     let value = operation.to_string().into_bytes();
     let change = Change::Put { key: String::from(KEY), value, lease: 0 };
     Write { operation, guards: vec![guard], changes: vec![change] }
 }
 
-fn missing() -> Guard {
-    Guard::Missing(String::from(KEY))
+fn missing() -> Precondition {
+    Precondition::Missing(String::from(KEY))
 }
 
 async fn told(lane: &mut Lane, store: &Fake, write: &Write) -> Told {
@@ -99,7 +99,7 @@
         let store = Fake::default();
         let mut lane = Lane::open(String::from(LANE));
         let revision = lane.commit(&store, &put(1, missing()), WITHIN).await.expect("made");
-        let guards = vec![Guard::Unchanged(String::from(KEY), revision)];
+        let guards = vec![Precondition::Unchanged(String::from(KEY), revision)];
         let changes = vec![Change::Delete { key: String::from(KEY) }];
         store.next(&[Fate::AnswerLost]);
         let write = Write { operation: 2, guards, changes };
@@ -122,7 +122,7 @@
         let settled = tokio::join!(told(&mut lane, &store, &write), async move {
             let key = String::from(KEY);
             let change = Change::Put { key, value: b"other".to_vec(), lease: 0 };
-            let txn = Txn { guards: Vec::new(), changes: vec![change] };
+            let txn = Txn { preconditions: Vec::new(), changes: vec![change] };
             other.commit(txn).await.expect("the other process writes");
         });
         assert_eq!(settled.0, Told::Made);
@@ -173,7 +173,7 @@
         let write = put(2, missing());
         let ended = tokio::join!(told(&mut lane, &store, &write), async move {
             let change = Change::Delete { key: String::from(LANE) };
-            let txn = Txn { guards: Vec::new(), changes: vec![change] };
+            let txn = Txn { preconditions: Vec::new(), changes: vec![change] };
             later_life.commit(txn).await.expect("a later life tidies");
         });
         assert_eq!(ended.0, Told::Unknown);
--- a/bin/placer/src/api.rs
+++ b/bin/placer/src/api.rs
@@ -4,7 +4,7 @@
 
 use cowslipchute_base::code::Code;
 use cowslipchute_base::code::HEADER;
-use cowslipchute_daemon::ring::Bell;
+use cowslipchute_daemon::ring::Notifier;
 use poem::EndpointExt;
 use poem::IntoResponse;
 use poem::Response;
@@ -34,10 +34,10 @@
     pub status: watch::Receiver<Arc<Status>>,
     /// Most recent notes.
     pub journal: Journal,
-    /// Sends queries to the deciding duty.
+    /// Sends queries to the deciding event loop.
     pub queries: mpsc::Sender<Query>,
-    /// Wakes the deciding duty.
-    pub bell: Bell,
+    /// Wakes the deciding event loop.
+    pub bell: Notifier,
 }
 
 /// A query about jobs.
@@ -88,14 +88,14 @@
     if context.queries.try_send(question).is_err() {
         return busy();
     }
-    context.bell.ring();
+    context.bell.notify();
     match answer.await {
         Ok(jobs) => json(&jobs),
         Err(_) => busy(),
     }
 }
 
-/// Response when the deciding duty has too many queries or is ending.
+/// Response when the deciding event loop has too many queries or is ending.
 fn busy() -> Response {
     let code = Code::Busy;
     Response::builder()
--- a/bin/placer/src/decide.rs
+++ b/bin/placer/src/decide.rs
@@ -1,5 +1,5 @@
-//! The duty that makes the decisions. It holds the ownership manager, the directory of job homes
-//! and one cell decider for each owned cell, and passes their actions on to the other duties.
+//! The event loop that makes the decisions. It holds the ownership manager, the directory of job homes
+//! and one cell decider for each owned cell, and passes their actions on to the other event loops.
 
 mod cells;
 mod homes;
@@ -17,8 +17,8 @@
 use cowslipchute_daemon::admin::Readiness;
 use cowslipchute_daemon::clock::Clock;
 use cowslipchute_daemon::ring;
-use cowslipchute_daemon::ring::Bell;
-use cowslipchute_daemon::ring::Look;
+use cowslipchute_daemon::ring::Notifier;
+use cowslipchute_daemon::ring::TryRecv;
 use cowslipchute_daemon::stop::Stage;
 use cowslipchute_daemon::stop::Stop;
 use cowslipchute_follow::Change;
@@ -55,37 +55,37 @@
 /// Retry delay after a failed read of the cells or of records.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Receiving ends of the duty's rings.
+/// Receiving ends of the event loop's rings.
 #[derive(Debug)]
 pub struct Inputs {
-    /// Wakes the duty when a value arrives on any ring.
-    pub bell: Bell,
-    /// From the store duty.
+    /// Wakes the event loop when a value arrives on any ring.
+    pub bell: Notifier,
+    /// From the store event loop.
     pub store: ring::Receiver<Answer>,
-    /// From the workers duty.
+    /// From the workers event loop.
     pub workers: ring::Receiver<Completion>,
-    /// From the watch duty.
+    /// From the watch event loop.
     pub watch: ring::Receiver<Observation>,
-    /// From the link duty.
+    /// From the link event loop.
     pub link: ring::Receiver<Inbound>,
     /// From the follower of the configuration.
     pub config: ring::Receiver<Change>,
-    /// From the admin duty.
+    /// From the admin event loop.
     pub queries: mpsc::Receiver<Query>,
 }
 
-/// Sending ends of the duty's rings.
+/// Sending ends of the event loop's rings.
 #[derive(Debug)]
 pub struct Outputs {
-    /// To the store duty.
+    /// To the store event loop.
     pub store: ring::Sender<Request>,
-    /// To the workers duty.
+    /// To the workers event loop.
     pub workers: ring::Sender<Exchange>,
-    /// To the link duty.
+    /// To the link event loop.
     pub link: ring::Sender<Outbound>,
 }
 
-/// Settings and handles that the duty is opened with.
+/// Settings and handles that the event loop is opened with.
 #[derive(Debug)]
 pub struct Context {
     /// Settings of the ownership manager.
@@ -102,11 +102,11 @@
     pub status: watch::Sender<Arc<Status>>,
     /// Publishes the listed instances for the follower of the configuration.
     pub members: watch::Sender<Vec<list::Member>>,
-    /// Dropped when the duty ends, which ends the watch duty.
+    /// Dropped when the event loop ends, which ends the watch event loop.
     pub ended: oneshot::Sender<()>,
 }
 
-/// State of the duty.
+/// State of the event loop.
 #[derive(Debug)]
 pub struct Decide {
     context: Context,
@@ -124,7 +124,7 @@
 }
 
 impl Decide {
-    /// Returns the initial state of the duty.
+    /// Returns the initial state of the event loop.
     pub fn open(context: Context, outputs: Outputs) -> Decide {
         Decide {
             manager: Manager::open(context.ownership.clone()),
@@ -162,7 +162,7 @@
             tokio::select! {
                 () = inputs.bell.wait() => {}
                 () = tokio::time::sleep_until(due) => {}
-                () = stop.reached(next) => {}
+                () = stop.wait_for_stage(next) => {}
             }
         }
         self.publish_now();
@@ -269,9 +269,9 @@
 /// Handles up to `TURN` values from a ring; returns `true` if more may be waiting.
 fn drain<T>(receiver: &mut ring::Receiver<T>, mut handle: impl FnMut(T)) -> bool {
     for _ in 0..TURN_MAX {
-        match receiver.look() {
-            Look::Value(value) => handle(value),
-            Look::Empty | Look::Closed => return false,
+        match receiver.try_recv() {
+            TryRecv::Value(value) => handle(value),
+            TryRecv::Empty | TryRecv::Closed => return false,
         }
     }
     true
--- a/bin/placer/src/decide/homes.rs
+++ b/bin/placer/src/decide/homes.rs
@@ -205,7 +205,7 @@
         }
     }
 
-    pub(super) fn on_claimed(&mut self, txn: &kv::Txn, outcome: Result<kv::Verdict, kv::Error>) {
+    pub(super) fn on_claimed(&mut self, txn: &kv::Txn, outcome: Result<kv::TxnOutcome, kv::Error>) {
         let mut actions = Vec::new();
         self.directory.claim_ended(self.now(), outcome, txn, RETRY_DELAY, &mut actions);
         self.carry_out_homes(actions);
--- a/bin/placer/src/decide/tenure.rs
+++ b/bin/placer/src/decide/tenure.rs
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Sends to the link duty. A message that a full ring rejects is sent again later, by this
+    /// Sends to the link event loop. A message that a full ring rejects is sent again later, by this
     /// placer or by the peer.
     fn send_to_link(&mut self, outbound: Outbound) {
         let _ = self.outputs.link.send(outbound);
--- a/bin/placer/src/journal.rs
+++ b/bin/placer/src/journal.rs
@@ -62,7 +62,7 @@
     notes: VecDeque<Note>,
 }
 
-/// Records notes and returns them on request; shared with the admin duty.
+/// Records notes and returns them on request; shared with the admin event loop.
 #[derive(Clone, Debug)]
 pub struct Journal {
     logger: Logger,
--- a/bin/placer/src/link.rs
+++ b/bin/placer/src/link.rs
@@ -1,4 +1,4 @@
-//! The duty that talks to other placers.
+//! The event loop that talks to other placers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -29,7 +29,7 @@
     pub reply: oneshot::Sender<Reply>,
 }
 
-/// Parameters of the duty.
+/// Parameters of the event loop.
 #[derive(Clone, Debug)]
 pub struct Context {
     /// This instance.
--- a/bin/placer/src/main.rs
+++ b/bin/placer/src/main.rs
@@ -38,7 +38,7 @@
     let settings = settings::parse_or_exit(parser());
     let common = &settings.common;
     let identity = Identity::load(&settings.peer_cert, &settings.peer_key, &settings.peer_ca)
-        .unwrap_or_else(|error| settings::refuse(Code::BadFile, &error.to_string()));
+        .unwrap_or_else(|error| settings::exit_with_error(Code::BadFile, &error.to_string()));
     let logger = log::open("placer", &common.instance, common.log_level);
     match run(&settings, identity, &logger) {
         Ok(()) => ExitCode::SUCCESS,
@@ -46,7 +46,7 @@
             let reason = format!("{error:#}");
             log::emit(&logger, Event::StartRefused, o!("reason" => reason.clone()));
             drop(logger);
-            settings::refuse(Code::BindFailed, &reason)
+            settings::exit_with_error(Code::BindFailed, &reason)
         }
     }
 }
@@ -62,7 +62,7 @@
         .with_context(|| format!("can't bind {admin}"))?;
     log::emit(logger, Event::Started, o!("peer" => settings.peer_listen.to_string()));
     let waiting = tokio::runtime::Builder::new_current_thread().build()?;
-    waiting.block_on(stop.reached(Stage::Draining));
+    waiting.block_on(stop.wait_for_stage(Stage::Draining));
     log::emit(logger, Event::Stopping, o!());
     placer.join();
     let forced = stop.stage() == Stage::Forced;
@@ -84,7 +84,7 @@
         address: settings.peer_listen,
         identity,
         call_timeout: settings.store_timeout(),
-        calls: PEER_CALLS_MAX,
+        max_calls: PEER_CALLS_MAX,
     };
     let peers = peers::open(node, stop.clone())
         .with_context(|| format!("can't bind {}", settings.peer_listen))?;
--- a/bin/placer/src/message.rs
+++ b/bin/placer/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the duties.
+//! Messages between the event loops.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
     pub epoch: id::Epoch,
 }
 
-/// Permission to send on behalf of a term; shared between the duties that decide and send.
+/// Permission to send on behalf of a term; shared between the event loops that decide and send.
 #[derive(Clone, Debug)]
 pub struct Permit {
     valid: Arc<AtomicBool>,
@@ -167,7 +167,7 @@
         /// Transaction that was requested.
         txn: kv::Txn,
         /// Result of the transaction.
-        outcome: Result<kv::Verdict, kv::Error>,
+        outcome: Result<kv::TxnOutcome, kv::Error>,
     },
     /// The cells of the whole deployment.
     Cells {
--- a/bin/placer/src/peers.rs
+++ b/bin/placer/src/peers.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::sync::mpsc as channel;
 
-use cowslipchute_daemon::duty;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::stop::Stage;
 use cowslipchute_daemon::stop::Stop;
 use cowslipchute_follow::peers::Error;
@@ -19,7 +19,7 @@
 
 use crate::link::Incoming;
 
-/// Maximum number of calls from peers that wait for the link duty.
+/// Maximum number of calls from peers that wait for the link event loop.
 const QUEUE_MAX: usize = 256;
 
 /// Calls other processes through the node.
@@ -41,18 +41,18 @@
     pub caller: Caller,
     /// Calls from peers.
     pub incoming: mpsc::Receiver<Incoming>,
-    /// Duty that runs the node until the process ends.
-    pub duty: Duty,
+    /// Event loop that runs the node until the process ends.
+    pub duty: EventLoop,
 }
 
-/// Opens a node on its own duty, which runs its connections.
+/// Opens a node on its own event loop, which runs its connections.
 ///
 /// # Errors
 ///
 /// When the address can't be bound or the identity can't be used.
 pub fn open(settings: node::Settings, mut stop: Stop) -> io::Result<Open> {
     let (opened, outcome) = channel::channel();
-    let duty = duty::spawn("peers", move || async move {
+    let duty = event_loop::spawn("peers", move || async move {
         let (sender, incoming) = mpsc::channel(QUEUE_MAX);
         match Node::open(settings) {
             Ok((node, calls)) => {
@@ -60,7 +60,7 @@
                 let _ = opened.send(Ok((caller, incoming)));
                 tokio::select! {
                     () = pass_on(calls, sender) => {}
-                    () = stop.reached(Stage::Forced) => {}
+                    () = stop.wait_for_stage(Stage::Forced) => {}
                 }
             }
             Err(error) => {
--- a/bin/placer/src/process.rs
+++ b/bin/placer/src/process.rs
@@ -1,4 +1,4 @@
-//! Connects the duties of a placer over any adapters.
+//! Connects the event loops of a placer over any adapters.
 
 use std::io;
 use std::sync::Arc;
@@ -6,10 +6,10 @@
 
 use cowslipchute_daemon::admin::Readiness;
 use cowslipchute_daemon::clock::Clock;
-use cowslipchute_daemon::duty;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::ring;
-use cowslipchute_daemon::ring::Bell;
+use cowslipchute_daemon::ring::Notifier;
 use cowslipchute_daemon::stop::Stop;
 use cowslipchute_follow as follow;
 use cowslipchute_follow::peers::Peers;
@@ -77,14 +77,14 @@
 /// A running placer. It ends when its shutdown completes.
 #[derive(Debug)]
 pub struct Placer {
-    duties: Vec<Duty>,
+    duties: Vec<EventLoop>,
     follower: follow::Follower,
     /// Most recently published status.
     pub status: watch::Receiver<Arc<Status>>,
     /// Most recent notes.
     pub journal: Journal,
     queries: mpsc::Sender<api::Query>,
-    bell: Bell,
+    bell: Notifier,
 }
 
 impl Placer {
@@ -98,11 +98,11 @@
         }
     }
 
-    /// Waits until every duty has ended.
+    /// Waits until every event loop has ended.
     ///
     /// # Panics
     ///
-    /// Panics when a duty panicked.
+    /// Panics when an event loop panicked.
     pub fn join(self) {
         for duty in self.duties {
             duty.join();
@@ -111,7 +111,7 @@
     }
 }
 
-/// Starts the duties of a placer.
+/// Starts the event loops of a placer.
 ///
 /// # Errors
 ///
@@ -123,15 +123,15 @@
     W: Worker,
     P: Peers,
 {
-    let bell = Bell::default();
+    let bell = Notifier::default();
     let (to_store, store_inbox) = ring::open(RING_CAPACITY);
     let (to_workers, workers_inbox) = ring::open(RING_CAPACITY);
     let (to_link, link_inbox) = ring::open(RING_CAPACITY);
-    let (store_outbox, from_store) = ring::open_with(RING_CAPACITY, bell.clone());
-    let (workers_outbox, from_workers) = ring::open_with(RING_CAPACITY, bell.clone());
-    let (watch_outbox, from_watch) = ring::open_with(RING_CAPACITY, bell.clone());
-    let (link_outbox, from_link) = ring::open_with(RING_CAPACITY, bell.clone());
-    let (changes, from_follower) = ring::open_with(RING_CAPACITY, bell.clone());
+    let (store_outbox, from_store) = ring::open_with_notifier(RING_CAPACITY, bell.clone());
+    let (workers_outbox, from_workers) = ring::open_with_notifier(RING_CAPACITY, bell.clone());
+    let (watch_outbox, from_watch) = ring::open_with_notifier(RING_CAPACITY, bell.clone());
+    let (link_outbox, from_link) = ring::open_with_notifier(RING_CAPACITY, bell.clone());
+    let (changes, from_follower) = ring::open_with_notifier(RING_CAPACITY, bell.clone());
     let (members_sender, members) = watch::channel(Vec::new());
     let (status_sender, status) = watch::channel(Arc::default());
     let (queries, asked) = mpsc::channel(QUERIES_MAX);
@@ -155,10 +155,10 @@
     };
     let client = parts.store.clone();
     let store_duty =
-        duty::spawn("store", move || store::run(client, context, store_inbox, store_outbox))?;
+        event_loop::spawn("store", move || store::run(client, context, store_inbox, store_outbox))?;
 
     let (worker, limit, timeout) = (parts.worker, parts.exchanges, parts.worker_timeout);
-    let workers_duty = duty::spawn("workers", move || {
+    let workers_duty = event_loop::spawn("workers", move || {
         workers::run(worker, limit, timeout, workers_inbox, workers_outbox)
     })?;
 
@@ -180,8 +180,9 @@
         follower: follower.handle(),
     };
     let (peers, incoming) = (parts.peers, parts.incoming);
-    let link_duty =
-        duty::spawn("link", move || link::run(peers, context, incoming, link_inbox, link_outbox))?;
+    let link_duty = event_loop::spawn("link", move || {
+        link::run(peers, context, incoming, link_inbox, link_outbox)
+    })?;
 
     let context = sightings::Context {
         domain: settings.domain.clone(),
@@ -190,8 +191,9 @@
     };
     let (ended_sender, ended) = oneshot::channel();
     let (client, list) = (parts.store, parts.list);
-    let watch_duty =
-        duty::spawn("watch", move || sightings::run(client, list, context, ended, watch_outbox))?;
+    let watch_duty = event_loop::spawn("watch", move || {
+        sightings::run(client, list, context, ended, watch_outbox)
+    })?;
 
     let context = decide::Context {
         ownership: settings,
@@ -205,7 +207,7 @@
     };
     let stop = parts.stop;
     let decide_duty =
-        duty::spawn("decide", move || Decide::open(context, outputs).run(inputs, stop))?;
+        event_loop::spawn("decide", move || Decide::open(context, outputs).run(inputs, stop))?;
     let duties = vec![decide_duty, store_duty, workers_duty, link_duty, watch_duty];
     Ok(Placer { duties, follower, status, journal, queries, bell })
 }
--- a/bin/placer/src/pump.rs
+++ b/bin/placer/src/pump.rs
@@ -1,4 +1,4 @@
-//! Moves values between a duty and its rings without losing or reordering any.
+//! Moves values between an event loop and its rings without losing or reordering any.
 
 use std::future::Future;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 /// Retry delay before a value is offered to a full ring again.
 const RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// Error returned when the other end of the ring is gone and the duty must end.
+/// Error returned when the other end of the ring is gone and the event loop must end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Closed;
 
--- a/bin/placer/src/records.rs
+++ b/bin/placer/src/records.rs
@@ -141,13 +141,13 @@
 }
 
 fn txn(batch: &Batch, part: &[Edit]) -> kv::Txn {
-    let owned = kv::Guard::Unchanged(batch.owner_key.clone(), batch.owner_revision);
-    let mut txn = kv::Txn { guards: vec![owned], changes: Vec::new() };
+    let owned = kv::Precondition::Unchanged(batch.owner_key.clone(), batch.owner_revision);
+    let mut txn = kv::Txn { preconditions: vec![owned], changes: Vec::new() };
     for edit in part {
         let key = key::record(&batch.cell, &edit.job);
-        txn.guards.push(match edit.revision {
-            Some(revision) => kv::Guard::Unchanged(key.clone(), revision),
-            None => kv::Guard::Missing(key.clone()),
+        txn.preconditions.push(match edit.revision {
+            Some(revision) => kv::Precondition::Unchanged(key.clone(), revision),
+            None => kv::Precondition::Missing(key.clone()),
         });
         match &edit.value {
             Some(value) => {
@@ -155,7 +155,7 @@
             }
             None => txn.changes.push(kv::Change::Delete { key }),
         }
-        txn.guards.extend(edit.along.guards.iter().cloned());
+        txn.preconditions.extend(edit.along.preconditions.iter().cloned());
         txn.changes.extend(edit.along.changes.iter().cloned());
     }
     txn
@@ -168,7 +168,7 @@
     }
 }
 
-fn note_refused(batch: &Batch, part: &[Edit], verdict: &kv::Verdict, written: &mut Written) {
+fn note_refused(batch: &Batch, part: &[Edit], verdict: &kv::TxnOutcome, written: &mut Written) {
     written.complete = false;
     let at = |key: &str| verdict.current.iter().find(|entry| entry.key == key);
     let owner = at(&batch.owner_key);
--- a/bin/placer/src/store.rs
+++ b/bin/placer/src/store.rs
@@ -1,4 +1,4 @@
-//! The duty that calls the key-value service.
+//! The event loop that calls the key-value service.
 
 use std::future::Future;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 /// Maximum number of calls in flight. The ownership manager makes few, each cell one write.
 const CALLS_MAX: usize = 64;
 
-/// Parameters of the duty.
+/// Parameters of the event loop.
 #[derive(Clone, Debug)]
 pub struct Context {
     /// Failure domain whose ownership keys are read.
--- a/bin/placer/src/watch.rs
+++ b/bin/placer/src/watch.rs
@@ -1,4 +1,4 @@
-//! The duty that follows the platform's list, the domain's cells and the homes of jobs.
+//! The event loop that follows the platform's list, the domain's cells and the homes of jobs.
 
 use std::time::Duration;
 
@@ -20,12 +20,12 @@
 use crate::metrics::Metrics;
 use crate::pump;
 
-/// Maximum number of updates queued within the duty.
+/// Maximum number of updates queued within the event loop.
 const QUEUE_MAX: usize = 256;
 /// Retry delay before a failed watch is opened again.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Parameters of the duty.
+/// Parameters of the event loop.
 #[derive(Clone, Debug)]
 pub struct Context {
     /// The failure domain.
@@ -82,7 +82,7 @@
     loop {
         let observation = match reader.read().await {
             Read::Changed(view) => Observation::Listed(view),
-            Read::Lost(error) | Read::StillLost(error) => {
+            Read::Failed(error) | Read::StillFailing(error) => {
                 Observation::ListFailed(error.to_string())
             }
             Read::Unchanged => continue,
--- a/bin/placer/src/workers.rs
+++ b/bin/placer/src/workers.rs
@@ -1,4 +1,4 @@
-//! The duty that performs request/response exchanges with workers.
+//! The event loop that performs request/response exchanges with workers.
 
 use std::time::Duration;
 use std::time::Instant;
--- a/bin/placer/tests/bench/gate.rs
+++ b/bin/placer/tests/bench/gate.rs
@@ -50,7 +50,7 @@
         self.store.read(prefix).await
     }
 
-    async fn commit(&self, txn: kv::Txn) -> Result<kv::Verdict, kv::Error> {
+    async fn commit(&self, txn: kv::Txn) -> Result<kv::TxnOutcome, kv::Error> {
         self.gate.pass()?;
         self.store.commit(txn).await
     }
--- a/bin/placer/tests/bench/mod.rs
+++ b/bin/placer/tests/bench/mod.rs
@@ -16,7 +16,7 @@
 use cowslipchute_daemon::log;
 use cowslipchute_daemon::stop;
 use cowslipchute_daemon::stop::Stage;
-use cowslipchute_daemon::stop::Switch;
+use cowslipchute_daemon::stop::Trigger;
 use cowslipchute_gateway::http::Origin;
 use cowslipchute_gateway::kv;
 use cowslipchute_gateway::list;
@@ -70,12 +70,12 @@
 /// A placer in this process.
 pub struct Running {
     pub placer: Placer,
-    pub switch: Switch,
+    pub switch: Trigger,
     pub name: String,
     pub registry: Registry,
     /// Disconnects the placer from the store.
     pub gate: Gate,
-    peers: cowslipchute_daemon::duty::Duty,
+    peers: cowslipchute_daemon::event_loop::EventLoop,
 }
 
 impl Bench {
@@ -127,7 +127,7 @@
 
     /// Applies a change. A repeated change is idempotent, so a lost response does no harm.
     fn commit(&self, change: Change) {
-        let txn = Txn { guards: Vec::new(), changes: vec![change] };
+        let txn = Txn { preconditions: Vec::new(), changes: vec![change] };
         let commit = || self.runtime.block_on(self.store.commit(txn.clone())).ok();
         assert!(wait("the store answers", commit).applied);
     }
@@ -154,7 +154,7 @@
         let leaf = self.authority.issue().expect("a certificate");
         let identity = Identity::from_pem(&leaf.pem, &leaf.key_pem, &leaf.authority_pem);
         let identity = identity.expect("an identity");
-        let settings = node::Settings { address, identity, call_timeout: CALL, calls: 64 };
+        let settings = node::Settings { address, identity, call_timeout: CALL, max_calls: 64 };
         let peers = peers::open(settings, stop.clone()).expect("the node opens");
         let registry = Registry::new();
         let gate = Gate::default();
@@ -213,7 +213,7 @@
 
     /// Removes an instance from the platform's list.
     pub fn unlist(&self, name: &str) {
-        let url = format!("{}{}/{name}", self.standin.list_url(), list::INSTANCES);
+        let url = format!("{}{}/{name}", self.standin.list_url(), list::INSTANCES_PATH);
         let call = async { reqwest::Client::new().delete(url).send().await };
         let response = self.runtime.block_on(call).expect("the list answers");
         assert!(response.status().is_success());
--- a/bin/placer/tests/records.rs
+++ b/bin/placer/tests/records.rs
@@ -69,17 +69,17 @@
         revision
     }
 
-    fn decide(&mut self, txn: &kv::Txn) -> kv::Verdict {
+    fn decide(&mut self, txn: &kv::Txn) -> kv::TxnOutcome {
         let entry = |key: &str| self.entries.get(key);
-        let holds = txn.guards.iter().all(|guard| match guard {
-            kv::Guard::Missing(key) => entry(key).is_none(),
-            kv::Guard::Present(key) => entry(key).is_some(),
-            kv::Guard::Unchanged(key, at) => entry(key).is_some_and(|e| e.revision == *at),
+        let holds = txn.preconditions.iter().all(|guard| match guard {
+            kv::Precondition::Missing(key) => entry(key).is_none(),
+            kv::Precondition::Present(key) => entry(key).is_some(),
+            kv::Precondition::Unchanged(key, at) => entry(key).is_some_and(|e| e.revision == *at),
         });
-        let current = txn.guards.iter().filter_map(|guard| match guard {
-            kv::Guard::Missing(key) | kv::Guard::Present(key) | kv::Guard::Unchanged(key, _) => {
-                entry(key).cloned()
-            }
+        let current = txn.preconditions.iter().filter_map(|guard| match guard {
+            kv::Precondition::Missing(key)
+            | kv::Precondition::Present(key)
+            | kv::Precondition::Unchanged(key, _) => entry(key).cloned(),
         });
         let current = current.collect();
         if holds {
@@ -98,7 +98,7 @@
                 }
             }
         }
-        kv::Verdict { applied: holds, revision: self.revision, current }
+        kv::TxnOutcome { applied: holds, revision: self.revision, current }
     }
 }
 
@@ -109,7 +109,7 @@
         Ok(kv::Snapshot { revision: state.revision, entries: entries.cloned().collect() })
     }
 
-    async fn commit(&self, txn: kv::Txn) -> Result<kv::Verdict, kv::Error> {
+    async fn commit(&self, txn: kv::Txn) -> Result<kv::TxnOutcome, kv::Error> {
         let mut state = self.state.lock().expect("no panic");
         let loss = state.loss.take();
         if loss == Some(Loss::Dropped) {
@@ -214,7 +214,7 @@
     memory.put(&home, b"home");
     memory.lose(Loss::Dropped);
     let delete = kv::Change::Delete { key: home.clone() };
-    let along = kv::Txn { guards: Vec::new(), changes: vec![delete] };
+    let along = kv::Txn { preconditions: Vec::new(), changes: vec![delete] };
     let written = write(&memory, 1, vec![Edit { along, ..edit("report", None, None) }]);
     assert!(!written.complete);
     assert!(memory.value(&home).is_some());
--- a/bin/scheduler/src/api.rs
+++ b/bin/scheduler/src/api.rs
@@ -13,8 +13,8 @@
 use cowslipchute_ports::deployment::Queue;
 use cowslipchute_ports::job;
 use cowslipchute_ports::job::Accepted;
-use cowslipchute_ports::job::Asked;
 use cowslipchute_ports::job::JobId;
+use cowslipchute_ports::job::Operation;
 use cowslipchute_ports::job::Rejection;
 use cowslipchute_ports::job::Spec;
 use cowslipchute_ports::job::State;
@@ -171,7 +171,7 @@
         }
         accepted.cancelled = true;
         let txn = kv::Txn {
-            guards: vec![kv::Guard::Unchanged(entry.key.clone(), entry.revision)],
+            preconditions: vec![kv::Precondition::Unchanged(entry.key.clone(), entry.revision)],
             changes: vec![kv::Change::Put {
                 key: entry.key,
                 value: record::encode(&accepted),
@@ -190,9 +190,9 @@
         let final_state_key = keys::for_job(keys::FINAL_STATES, job);
         let value = record::encode(&State::Cancelled);
         let txn = kv::Txn {
-            guards: vec![
-                kv::Guard::Missing(keys::for_job(keys::JOBS, job)),
-                kv::Guard::Missing(final_state_key.clone()),
+            preconditions: vec![
+                kv::Precondition::Missing(keys::for_job(keys::JOBS, job)),
+                kv::Precondition::Missing(final_state_key.clone()),
             ],
             changes: vec![kv::Change::Put { key: final_state_key, value, lease: 0 }],
         };
@@ -230,7 +230,7 @@
         .map_err(|error| Rejection::new(Code::StoreDown, format!("{}: {error}", entry.key)))
 }
 
-impl<S: Store> job::Desk for Api<S> {
+impl<S: Store> job::ClientApi for Api<S> {
     fn config(&self) -> Option<Arc<Config>> {
         self.config.borrow().clone()
     }
@@ -285,17 +285,22 @@
         })
     }
 
-    fn answered(&self, request: job::Request, outcome: Result<(), &Rejection>, took: Duration) {
+    fn record_response(
+        &self,
+        request: job::Request,
+        outcome: Result<(), &Rejection>,
+        took: Duration,
+    ) {
         let result = outcome.map_or_else(|rejection| rejection.code.name(), |()| SERVED);
-        self.log.metrics().request(request.asked.name(), result, took);
+        self.log.metrics().request(request.operation.name(), result, took);
         let Err(rejection) = outcome else { return };
-        let event = match (request.asked, rejection.code) {
-            (Asked::Submit, Code::StoreUnknown) => Event::JobUnsettled,
-            (Asked::Submit, _) => Event::JobRefused,
+        let event = match (request.operation, rejection.code) {
+            (Operation::Submit, Code::StoreUnknown) => Event::JobUnsettled,
+            (Operation::Submit, _) => Event::JobRefused,
             _ => Event::RequestRefused,
         };
         let job = request.job.map(|job| format!("{job:016x}"));
-        event!(self.log, event, "job" => job, "asked" => request.asked.name(),
+        event!(self.log, event, "job" => job, "asked" => request.operation.name(),
             "code" => rejection.code.number(), "reason" => rejection.reason.clone());
     }
 }
--- a/bin/scheduler/src/election.rs
+++ b/bin/scheduler/src/election.rs
@@ -9,10 +9,10 @@
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::kv;
 use cowslipchute_ports::kv::Store;
-use cowslipchute_tenure::seat;
-use cowslipchute_tenure::seat::Action;
-use cowslipchute_tenure::seat::Event;
-use cowslipchute_tenure::seat::Seat;
+use cowslipchute_tenure::election;
+use cowslipchute_tenure::election::Action;
+use cowslipchute_tenure::election::Election;
+use cowslipchute_tenure::election::Event;
 use serde::Deserialize;
 use serde::Serialize;
 use tokio::sync::mpsc;
@@ -95,7 +95,8 @@
 pub fn spawn<S: Store>(store: S, holder: Holder, health: Health, log: Log) -> Handle {
     let precedence = Precedence::open(holder.cpu_share);
     let mark = cowslipchute_planner::record::encode(&holder);
-    let settings = seat::Settings { ttl: LEASE_TTL, delay: claim_delay(precedence), mark };
+    let settings =
+        election::Settings { ttl: LEASE_TTL, claim_delay: claim_delay(precedence), holder: mark };
     let (transition_sender, transitions) = mpsc::unbounded_channel();
     let (notices, notice_receiver) = mpsc::unbounded_channel();
     let (holder_sender, holder) = watch::channel(None);
@@ -103,9 +104,9 @@
     let changes = watcher::spawn(store.clone(), keys::OWNER, None, Some(health), log.clone());
     let runner = Runner {
         store,
-        owner_value: settings.mark.clone(),
+        owner_value: settings.holder.clone(),
         precedence,
-        election: Seat::open(settings),
+        election: Election::open(settings),
         transitions: transition_sender,
         holder: holder_sender,
         results: result_sender,
@@ -119,7 +120,7 @@
     store: S,
     owner_value: Vec<u8>,
     precedence: Precedence,
-    election: Seat,
+    election: Election,
     transitions: mpsc::UnboundedSender<Transition>,
     holder: watch::Sender<Option<Holder>>,
     results: mpsc::UnboundedSender<Event>,
@@ -178,7 +179,7 @@
             .and_then(|entry| cowslipchute_planner::record::decode::<Holder>(&entry.value).ok());
         if let Some(holder) = &holder {
             self.precedence.observe_owner(holder.cpu_share);
-            self.election.set_delay(claim_delay(self.precedence));
+            self.election.set_claim_delay(claim_delay(self.precedence));
         }
         self.holder.send_replace(holder);
         Some(Event::Seen { at, entry })
@@ -189,7 +190,7 @@
         let transition = match action {
             Action::Own { epoch, until } => Transition::Own { epoch, until },
             Action::Extend { until } => Transition::Extend { until },
-            Action::Disown => Transition::Disown,
+            Action::Stop => Transition::Disown,
             call => {
                 self.call(call);
                 return true;
@@ -211,7 +212,7 @@
                     let outcome = store.commit(claim(owner_value, lease)).await;
                     Event::Claimed { ticket, outcome }
                 }
-                Action::Look => match store.read(keys::OWNER).await {
+                Action::ReadKey => match store.read(keys::OWNER).await {
                     Ok(snapshot) => Event::Seen {
                         at: snapshot.revision,
                         entry: snapshot.entries.into_iter().find(|entry| entry.key == keys::OWNER),
@@ -227,7 +228,7 @@
                     let _ = store.revoke(lease).await;
                     return;
                 }
-                Action::Own { .. } | Action::Extend { .. } | Action::Disown => return,
+                Action::Own { .. } | Action::Extend { .. } | Action::Stop => return,
             };
             // The receiver is dropped only when the process exits.
             let _ = results.send(event);
@@ -242,7 +243,7 @@
 
 fn claim(owner_value: Vec<u8>, lease: kv::LeaseId) -> kv::Txn {
     kv::Txn {
-        guards: vec![kv::Guard::Missing(keys::OWNER.to_owned())],
+        preconditions: vec![kv::Precondition::Missing(keys::OWNER.to_owned())],
         changes: vec![kv::Change::Put { key: keys::OWNER.to_owned(), value: owner_value, lease }],
     }
 }
--- a/bin/scheduler/src/evacuations.rs
+++ b/bin/scheduler/src/evacuations.rs
@@ -82,7 +82,7 @@
             Change::Snapshot(snapshot) => self.replace(&snapshot),
             Change::Put(entry) => self.insert(&entry),
             Change::Deleted { key, .. } => {
-                if let Some(domain) = operator::evacuated(&key) {
+                if let Some(domain) = operator::evacuated_domain(&key) {
                     self.domains.remove(&domain);
                 }
             }
@@ -97,7 +97,7 @@
 
     /// Adds an evacuation. The key alone puts it in force: an invalid value is only logged.
     fn insert(&mut self, entry: &kv::Entry) {
-        let Some(domain) = operator::evacuated(&entry.key) else { return };
+        let Some(domain) = operator::evacuated_domain(&entry.key) else { return };
         if let Err(error) = operator::check_evacuation(&entry.value) {
             event!(self.log, LogEvent::EvacuationInvalid, "key" => entry.key.clone(),
                 "reason" => error.to_string());
--- a/bin/scheduler/src/instrumented.rs
+++ b/bin/scheduler/src/instrumented.rs
@@ -8,8 +8,8 @@
 use cowslipchute_ports::kv::LeaseId;
 use cowslipchute_ports::kv::Snapshot;
 use cowslipchute_ports::kv::Txn;
+use cowslipchute_ports::kv::TxnOutcome;
 use cowslipchute_ports::kv::Update;
-use cowslipchute_ports::kv::Verdict;
 use tokio::sync::mpsc;
 
 use crate::clock;
@@ -55,7 +55,7 @@
         Err(kv::Error::Unavailable(_)) => "unavailable",
         Err(kv::Error::Unknown(_)) => "unknown",
         Err(kv::Error::Compacted(_)) => "compacted",
-        Err(kv::Error::LeaseGone) => "lease gone",
+        Err(kv::Error::LeaseExpired) => "lease gone",
         Err(kv::Error::Protocol(_)) => "not understood",
     }
 }
@@ -65,7 +65,7 @@
         self.call("read", self.inner.read(prefix)).await
     }
 
-    async fn commit(&self, txn: Txn) -> Result<Verdict, kv::Error> {
+    async fn commit(&self, txn: Txn) -> Result<TxnOutcome, kv::Error> {
         self.call("commit", self.inner.commit(txn)).await
     }
 
--- a/bin/scheduler/src/owner.rs
+++ b/bin/scheduler/src/owner.rs
@@ -117,7 +117,7 @@
     event!(context.log, LogEvent::CellLoaded, "epoch" => epoch, "jobs" => cell.jobs.len(),
         "records" => cell.records.len(), "revision" => cell.revision);
     let writer = Writer::open(context.store.clone(), epoch, cell.revisions, context.log.clone());
-    let learnt = recovery::read_estimates(&context.store, &context.log).await;
+    let estimates = recovery::read_estimates(&context.store, &context.log).await;
     let evacuations = Evacuations::read(&context.store, &context.log).await;
     let mut initial_events = vec![evacuations.event()];
     let (sender, receiver) = inbox;
@@ -146,7 +146,7 @@
         epoch,
         jobs: cell.jobs,
         records: cell.records,
-        learnt,
+        estimates,
     });
     owner.serve(initial_events, receiver, jobs).await;
 }
@@ -174,7 +174,7 @@
     let mut stored = None;
     loop {
         tokio::time::sleep(ESTIMATES_INTERVAL).await;
-        let estimates = lock(&planner).learnt();
+        let estimates = lock(&planner).estimates();
         if stored.as_ref() == Some(&estimates) {
             continue;
         }
@@ -325,13 +325,13 @@
             }
             Action::Throttle { target, run, percent } => {
                 self.tasks.spawn(async move {
-                    let outcome = fleet.pace(&target, run, percent).await;
+                    let outcome = fleet.set_speed_limit(&target, run, percent).await;
                     let _ = events.send(Event::ThrottleResult { target, run, percent, outcome });
                 });
             }
             Action::Heartbeat { target, heartbeat } => {
                 self.tasks.spawn(async move {
-                    let outcome = fleet.hold(&target, heartbeat).await;
+                    let outcome = fleet.heartbeat(&target, heartbeat).await;
                     let _ = events.send(Event::HeartbeatResult { target, outcome });
                 });
             }
@@ -346,7 +346,7 @@
                 let machines = self.context.machines.clone();
                 let epoch = self.epoch;
                 self.tasks.spawn(async move {
-                    let outcome = machines.upkeep(&machine, rollout, epoch).await;
+                    let outcome = machines.start_maintenance(&machine, rollout, epoch).await;
                     let _ = events.send(Event::MaintenanceResult { rollout, machine, outcome });
                 });
             }
--- a/bin/scheduler/src/process.rs
+++ b/bin/scheduler/src/process.rs
@@ -10,13 +10,13 @@
 use cowslipchute_planner::event::Event as PlannerEvent;
 use cowslipchute_planner::planner::Planner;
 use cowslipchute_planner::settings::Settings as PlannerSettings;
-use cowslipchute_platform::advisor::Advice;
+use cowslipchute_platform::advisor::HttpAdvisor;
 use cowslipchute_platform::client::Client;
-use cowslipchute_platform::executor::Executors;
-use cowslipchute_platform::front;
-use cowslipchute_platform::machine::Cloud;
+use cowslipchute_platform::executor::HttpFleet;
+use cowslipchute_platform::machine::HttpMachines;
+use cowslipchute_platform::server;
 use cowslipchute_platform::settings::Settings;
-use cowslipchute_platform::store::Keys;
+use cowslipchute_platform::store::HttpStore;
 use tokio::signal::unix::SignalKind;
 use tokio::signal::unix::signal;
 use tokio::sync::mpsc;
@@ -64,7 +64,7 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut reload = signal(SignalKind::hangup())?;
     let client = Client::open(settings.limits.idle_connections());
-    let keys = Keys::open(client.clone(), settings.platform.address);
+    let keys = HttpStore::open(client.clone(), settings.platform.address);
     let health = Health::default();
     let store = Instrumented::open(keys, log.metrics().clone(), health.clone());
     let current_config = config::spawn(store.clone(), health.clone(), log.clone());
@@ -93,7 +93,7 @@
     let (stop, stopping) = watch::channel(false);
     let (accepting_sender, accepting) = watch::channel(true);
     let clients = settings.listen.clients;
-    front::serve(clients, api.clone(), stopping.clone())
+    server::serve(clients, api.clone(), stopping.clone())
         .await
         .with_context(|| format!("can't bind {clients}"))?;
     let readiness = settings.listen.readiness;
@@ -101,13 +101,13 @@
         let (accepting, api) = (accepting.clone(), api.clone());
         async move { *accepting.borrow() && api.is_ready().await }
     };
-    front::serve_readiness(readiness, is_ready, stopping.clone())
+    server::serve_readiness(readiness, is_ready, stopping.clone())
         .await
         .with_context(|| format!("can't bind {readiness}"))?;
     if let Some(port) = metrics_port {
         let address = SocketAddr::new(settings.ip, port);
         let text = render_metrics(planner.clone(), log.clone());
-        front::serve_text(address, METRICS_PATH, text, stopping)
+        server::serve_text(address, METRICS_PATH, text, stopping)
             .await
             .with_context(|| format!("can't bind {address}"))?;
     }
@@ -115,15 +115,15 @@
     let cloud = settings.cloud.as_ref().and_then(|cloud| cloud.address);
     let context = Context {
         directory: Instrumented::open(
-            Keys::open(Client::open(DIRECTORY_CONNECTIONS), settings.platform.address)
-                .with_watch_gap(DIRECTORY_INTERVAL),
+            HttpStore::open(Client::open(DIRECTORY_CONNECTIONS), settings.platform.address)
+                .with_watch_delay(DIRECTORY_INTERVAL),
             log.metrics().clone(),
             health.clone(),
         ),
         store,
-        fleet: Executors::open(client.clone()),
-        advisor: Advice::open(client.clone(), settings.advisor),
-        machines: Cloud::open(client, cloud, settings.node_name.clone()),
+        fleet: HttpFleet::open(client.clone()),
+        advisor: HttpAdvisor::open(client.clone(), settings.advisor),
+        machines: HttpMachines::open(client, cloud, settings.node_name.clone()),
         config: current_config,
         final_state_retention: final_state_retention(&settings),
         planner,
@@ -183,13 +183,13 @@
     let bounds = &settings.bounds;
     let defaults = PlannerSettings::default();
     PlannerSettings {
-        max_lease: bounds.max_hold_ms,
+        max_lease: bounds.max_lease,
         ended_job_retention: final_state_retention(settings),
         checkpoint_interval: bounds.checkpoint_interval,
         remote_slowdown: bounds.remote_factor,
-        max_interference_time: bounds.impact_ms,
-        link_bytes_per_second: settings.limits.link(),
-        max_stop_time: bounds.stop_timeout_ms,
+        max_interference_time: bounds.max_violation,
+        link_bytes_per_second: settings.limits.link_bytes_per_second(),
+        max_stop_time: bounds.stop_timeout,
         ..defaults
     }
 }
@@ -202,7 +202,7 @@
 
 /// Runs the cell while this process owns it.
 async fn run_ownerships(
-    context: Context<Instrumented<Keys>, Executors, Advice, Cloud>,
+    context: Context<Instrumented<HttpStore>, HttpFleet, HttpAdvisor, HttpMachines>,
     mut transitions: mpsc::UnboundedReceiver<Transition>,
 ) {
     let mut ownership: Option<Ownership> = None;
@@ -239,7 +239,7 @@
 }
 
 fn start_ownership(
-    context: &Context<Instrumented<Keys>, Executors, Advice, Cloud>,
+    context: &Context<Instrumented<HttpStore>, HttpFleet, HttpAdvisor, HttpMachines>,
     epoch: cowslipchute_base::id::Revision,
     until: cowslipchute_base::id::Time,
 ) -> Ownership {
--- a/bin/scheduler/src/retention.rs
+++ b/bin/scheduler/src/retention.rs
@@ -10,10 +10,10 @@
 
 use cowslipchute_base::event::Event;
 use cowslipchute_base::id::Revision;
-use cowslipchute_platform::store::TXN_ENTRIES;
+use cowslipchute_platform::store::MAX_TXN_ENTRIES;
 use cowslipchute_ports::kv;
 use cowslipchute_ports::kv::Entry;
-use cowslipchute_ports::kv::Guard;
+use cowslipchute_ports::kv::Precondition;
 use cowslipchute_ports::kv::Store;
 
 use crate::event;
@@ -56,7 +56,7 @@
         };
         let old = scanner.scan(snapshot.entries);
         let mut removed = 0;
-        for part in old.chunks((TXN_ENTRIES - 1) / ENTRIES_PER_STATE) {
+        for part in old.chunks((MAX_TXN_ENTRIES - 1) / ENTRIES_PER_STATE) {
             match store.commit(removal(epoch, part)).await {
                 Ok(verdict) if verdict.applied => removed += part.len(),
                 // An entry has changed or is gone, or the cell has another owner, which runs scans
@@ -73,9 +73,9 @@
 
 fn removal(epoch: Revision, entries: &[Entry]) -> kv::Txn {
     let mut txn = kv::Txn::default();
-    txn.guards.push(Guard::Unchanged(keys::OWNER.to_owned(), epoch));
+    txn.preconditions.push(Precondition::Unchanged(keys::OWNER.to_owned(), epoch));
     for entry in entries {
-        txn.guards.push(Guard::Unchanged(entry.key.clone(), entry.revision));
+        txn.preconditions.push(Precondition::Unchanged(entry.key.clone(), entry.revision));
         txn.changes.push(kv::Change::Delete { key: entry.key.clone() });
     }
     txn
--- a/bin/scheduler/src/rollouts.rs
+++ b/bin/scheduler/src/rollouts.rs
@@ -9,12 +9,12 @@
 use cowslipchute_planner::record;
 use cowslipchute_platform::operator;
 use cowslipchute_ports::kv;
-use cowslipchute_ports::kv::Guard;
+use cowslipchute_ports::kv::Precondition;
 use cowslipchute_ports::kv::Store;
 use cowslipchute_ports::machine::Machines;
 use cowslipchute_ports::machine::Name;
 use cowslipchute_ports::machine::Progress;
-use cowslipchute_ports::machine::WaveNumber;
+use cowslipchute_ports::machine::RolloutNumber;
 use serde::Deserialize;
 use serde::Serialize;
 use tokio::sync::mpsc;
@@ -49,15 +49,15 @@
 }
 
 /// The number of a rollout with its new status.
-pub type Update = (WaveNumber, Status);
+pub type Update = (RolloutNumber, Status);
 
-fn key(rollout: WaveNumber) -> String {
+fn key(rollout: RolloutNumber) -> String {
     format!("{}{rollout}", keys::ROLLOUTS)
 }
 
 /// Reports every rollout that isn't completed to the planner.
 pub async fn follow<S: Store>(store: S, events: mpsc::UnboundedSender<Event>, log: Log) {
-    let mut changes = watcher::spawn(store.clone(), operator::WAVES, None, None, log.clone());
+    let mut changes = watcher::spawn(store.clone(), operator::ROLLOUTS, None, None, log.clone());
     while let Some(change) = changes.recv().await {
         let entries = match change {
             Change::Snapshot(snapshot) => snapshot.entries,
@@ -66,7 +66,7 @@
             Change::Deleted { .. } => Vec::new(),
         };
         for entry in entries {
-            let rollout = match operator::wave(&entry.value) {
+            let rollout = match operator::rollout(&entry.value) {
                 Ok(rollout) => rollout,
                 Err(error) => {
                     event!(log, LogEvent::ConfigInvalid, "key" => entry.key, "reason" => error.to_string());
@@ -83,7 +83,7 @@
 }
 
 /// Reads the status that previous owners stored, retrying until the store answers.
-async fn read_status<S: Store>(store: &S, rollout: WaveNumber, log: &Log) -> Status {
+async fn read_status<S: Store>(store: &S, rollout: RolloutNumber, log: &Log) -> Status {
     let key = key(rollout);
     loop {
         match store.read(&key).await {
@@ -154,7 +154,7 @@
     log: Log,
 ) {
     while let Some((rollout, status)) = updates.recv().await {
-        let (status_key, status_value) = match operator::wave_status(rollout, status.progress) {
+        let (status_key, status_value) = match operator::rollout_status(rollout, status.progress) {
             Ok(status) => status,
             Err(error) => {
                 event!(log, LogEvent::ConfigInvalid, "reason" => error.to_string());
@@ -163,7 +163,7 @@
         };
         let put = |key: String, value: Vec<u8>| kv::Change::Put { key, value, lease: 0 };
         let txn = kv::Txn {
-            guards: vec![Guard::Unchanged(keys::OWNER.to_owned(), epoch)],
+            preconditions: vec![Precondition::Unchanged(keys::OWNER.to_owned(), epoch)],
             changes: vec![
                 put(key(rollout), record::encode(&status)),
                 put(status_key, status_value),
--- a/bin/scheduler/src/settings.rs
+++ b/bin/scheduler/src/settings.rs
@@ -23,7 +23,7 @@
         argument::<String>("LEVEL"),
         fallback(String::from("info")),
         display_fallback,
-        parse(cowslipchute_daemon::settings::level)
+        parse(cowslipchute_daemon::settings::parse_level)
     )]
     pub log_level: slog::Level,
 }
--- a/bin/scheduler/src/submission.rs
+++ b/bin/scheduler/src/submission.rs
@@ -9,7 +9,7 @@
 use cowslipchute_base::code::Code;
 use cowslipchute_base::event::Event;
 use cowslipchute_planner::record;
-use cowslipchute_platform::store::TXN_ENTRIES;
+use cowslipchute_platform::store::MAX_TXN_ENTRIES;
 use cowslipchute_ports::job::Accepted;
 use cowslipchute_ports::job::JobId;
 use cowslipchute_ports::job::Rejection;
@@ -66,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// As [`cowslipchute_ports::job::Desk::submit`].
+    /// As [`cowslipchute_ports::job::ClientApi::submit`].
     pub async fn submit(
         &self,
         job: JobId,
@@ -93,7 +93,7 @@
     log: Log,
 ) {
     let mut batch = Vec::new();
-    while submissions.recv_many(&mut batch, TXN_ENTRIES / ENTRIES_PER_JOB).await > 0 {
+    while submissions.recv_many(&mut batch, MAX_TXN_ENTRIES / ENTRIES_PER_JOB).await > 0 {
         let part = std::mem::take(&mut batch);
         tokio::spawn(write_batch(store.clone(), part, log.clone()));
     }
@@ -154,8 +154,9 @@
     let mut txn = kv::Txn::default();
     for submission in batch {
         let key = keys::for_job(keys::JOBS, submission.job);
-        txn.guards.push(kv::Guard::Missing(key.clone()));
-        txn.guards.push(kv::Guard::Missing(keys::for_job(keys::FINAL_STATES, submission.job)));
+        txn.preconditions.push(kv::Precondition::Missing(key.clone()));
+        txn.preconditions
+            .push(kv::Precondition::Missing(keys::for_job(keys::FINAL_STATES, submission.job)));
         txn.changes.push(kv::Change::Put { key, value: submission.value.clone(), lease: 0 });
     }
     txn
--- a/bin/scheduler/src/writer.rs
+++ b/bin/scheduler/src/writer.rs
@@ -14,10 +14,10 @@
 use cowslipchute_planner::action::Change;
 use cowslipchute_planner::estimates::Estimates;
 use cowslipchute_planner::record;
-use cowslipchute_platform::store::TXN_ENTRIES;
+use cowslipchute_platform::store::MAX_TXN_ENTRIES;
 use cowslipchute_ports::job::JobId;
 use cowslipchute_ports::kv;
-use cowslipchute_ports::kv::Guard;
+use cowslipchute_ports::kv::Precondition;
 use cowslipchute_ports::kv::Store;
 
 use crate::event;
@@ -77,7 +77,7 @@
     pub async fn write_estimates(&self, estimates: &Estimates) -> Result<(), Fenced> {
         let value = record::encode(estimates);
         let txn = kv::Txn {
-            guards: vec![Guard::Unchanged(keys::OWNER.to_owned(), self.epoch)],
+            preconditions: vec![Precondition::Unchanged(keys::OWNER.to_owned(), self.epoch)],
             changes: vec![kv::Change::Put { key: keys::ESTIMATES.to_owned(), value, lease: 0 }],
         };
         match self.store.commit(txn).await {
@@ -134,14 +134,14 @@
 
     fn txn(&self, changes: &[Change]) -> kv::Txn {
         let mut txn = kv::Txn::default();
-        txn.guards.push(Guard::Unchanged(keys::OWNER.to_owned(), self.epoch));
+        txn.preconditions.push(Precondition::Unchanged(keys::OWNER.to_owned(), self.epoch));
         for change in changes {
             let (Change::Progress { job, .. } | Change::End { job, .. }) = change;
             let key = keys::for_job(keys::RECORDS, *job);
             let known = self.lock().get(job).copied();
-            txn.guards.push(match known {
-                Some(revision) => Guard::Unchanged(key.clone(), revision),
-                None => Guard::Missing(key.clone()),
+            txn.preconditions.push(match known {
+                Some(revision) => Precondition::Unchanged(key.clone(), revision),
+                None => Precondition::Missing(key.clone()),
             });
             match change {
                 Change::Progress { record, .. } => {
@@ -225,7 +225,7 @@
             // A guard, the final state, and the removals of the job and its record.
             Change::End { .. } => 4,
         };
-        entries <= TXN_ENTRIES
+        entries <= MAX_TXN_ENTRIES
     });
     fitting.count()
 }
--- a/bin/scheduler/tests/directory.rs
+++ b/bin/scheduler/tests/directory.rs
@@ -14,7 +14,7 @@
 fn registration() -> Registration {
     Registration {
         name: "w1".into(),
-        born: Some(1),
+        started_at: Some(1),
         address: "10.0.0.1:80".parse().unwrap(),
         service: "desk".into(),
         domain: "d1".into(),
@@ -22,7 +22,7 @@
         capacity: Amount { cpu_milli: 4000, memory_mib: 8000, accelerators: 0 },
         labels: Default::default(),
         rack: None,
-        cold: Duration::ZERO,
+        warmup_left: Duration::ZERO,
     }
 }
 
@@ -46,9 +46,9 @@
 #[parameterized(
     leaving = { Registration { draining: true, ..registration() } },
     shrunk = { Registration { capacity: Amount::ZERO, ..registration() } },
-    started_again = { Registration { born: Some(2), ..registration() } },
+    started_again = { Registration { started_at: Some(2), ..registration() } },
     moved = { Registration { address: "10.0.0.2:80".parse().unwrap(), ..registration() } },
-    warmed_up = { Registration { cold: Duration::from_secs(1), ..registration() } },
+    warmed_up = { Registration { warmup_left: Duration::from_secs(1), ..registration() } },
 )]
 fn whatever_changes_is_told_at_once(changed: Registration) {
     let mut known = Filter::default();
--- a/bin/scheduler/tests/support/mod.rs
+++ b/bin/scheduler/tests/support/mod.rs
@@ -50,25 +50,25 @@
 }
 
 impl Inner {
-    fn decide(&mut self, txn: &kv::Txn) -> kv::Verdict {
-        self.entries = self.entries.max(txn.guards.len() + txn.changes.len());
-        let holds = txn.guards.iter().all(|guard| match guard {
-            kv::Guard::Missing(key) => !self.keys.contains_key(key),
-            kv::Guard::Unchanged(key, revision) => {
+    fn decide(&mut self, txn: &kv::Txn) -> kv::TxnOutcome {
+        self.entries = self.entries.max(txn.preconditions.len() + txn.changes.len());
+        let holds = txn.preconditions.iter().all(|guard| match guard {
+            kv::Precondition::Missing(key) => !self.keys.contains_key(key),
+            kv::Precondition::Unchanged(key, revision) => {
                 self.keys.get(key).is_some_and(|(_, current)| current == revision)
             }
-            kv::Guard::Present(key) => self.keys.contains_key(key),
+            kv::Precondition::Present(key) => self.keys.contains_key(key),
         });
         if !holds {
-            let current = txn.guards.iter().filter_map(|guard| {
-                let (kv::Guard::Missing(key)
-                | kv::Guard::Unchanged(key, _)
-                | kv::Guard::Present(key)) = guard;
+            let current = txn.preconditions.iter().filter_map(|guard| {
+                let (kv::Precondition::Missing(key)
+                | kv::Precondition::Unchanged(key, _)
+                | kv::Precondition::Present(key)) = guard;
                 let (value, revision) = self.keys.get(key)?;
                 let (key, value, revision) = (key.clone(), value.clone(), *revision);
                 Some(kv::Entry { key, value, revision, lease: 0 })
             });
-            return kv::Verdict { applied: false, revision: 0, current: current.collect() };
+            return kv::TxnOutcome { applied: false, revision: 0, current: current.collect() };
         }
         self.revision += 1;
         for change in &txn.changes {
@@ -81,7 +81,7 @@
                 }
             }
         }
-        kv::Verdict { applied: true, revision: self.revision, current: Vec::new() }
+        kv::TxnOutcome { applied: true, revision: self.revision, current: Vec::new() }
     }
 }
 
@@ -96,7 +96,7 @@
         Ok(kv::Snapshot { revision: inner.revision, entries: entries.collect() })
     }
 
-    async fn commit(&self, txn: kv::Txn) -> Result<kv::Verdict, kv::Error> {
+    async fn commit(&self, txn: kv::Txn) -> Result<kv::TxnOutcome, kv::Error> {
         let mut inner = self.0.lock().unwrap();
         inner.commits += 1;
         let lost = || Err(kv::Error::Unknown(String::from("no answer")));
--- a/bin/standin/src/main.rs
+++ b/bin/standin/src/main.rs
@@ -22,12 +22,12 @@
     let settings = common::parse_or_exit(settings::settings());
     let plan = settings
         .plan()
-        .unwrap_or_else(|problem| common::refuse(Code::BadSetting, &problem.to_string()));
+        .unwrap_or_else(|problem| common::exit_with_error(Code::BadSetting, &problem.to_string()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     // Registered before the addresses are announced, because a reader may send a signal at once.
     let signals = signals(&runtime)?;
     let standin = cowslipchute_standin::open(&plan)
-        .unwrap_or_else(|problem| common::refuse(Code::BindFailed, &problem.to_string()));
+        .unwrap_or_else(|problem| common::exit_with_error(Code::BindFailed, &problem.to_string()));
     announce(&settings, standin.addresses())?;
     runtime.block_on(signals.wait());
     Ok(())
--- a/crates/base/src/amount.rs
+++ b/crates/base/src/amount.rs
@@ -24,7 +24,7 @@
     pub const ZERO: Amount = Amount { cpu_milli: 0, memory_mib: 0, accelerators: 0 };
 
     /// Returns `true` if `self` is within `limit` in every dimension.
-    pub fn fits(self, limit: Amount) -> bool {
+    pub fn fits_within(self, limit: Amount) -> bool {
         self.cpu_milli <= limit.cpu_milli
             && self.memory_mib <= limit.memory_mib
             && self.accelerators <= limit.accelerators
--- a/crates/base/src/size.rs
+++ b/crates/base/src/size.rs
@@ -9,7 +9,7 @@
 
 /// Multiple of its objective up to which a finished job counts as late; after that it counts as lost (the users'
 /// page on payoff).
-pub const LATE_LIMIT: f64 = 3.0;
+pub const MAX_LATE_FACTOR: f64 = 3.0;
 
 /// Size of a job.
 #[derive(Clone, Debug, PartialEq)]
@@ -19,38 +19,39 @@
     /// Number of tasks in all steps.
     pub tasks: u32,
     /// Total work in core-seconds, as estimated by the client.
-    pub work: f64,
+    pub core_seconds: f64,
     /// Demand of the most demanding task in thousandths of a core.
-    pub widest_milli: u32,
+    pub max_task_cpu_milli: u32,
     /// Length of the critical path, as estimated by the client.
-    pub chain: Duration,
+    pub critical_path: Duration,
     /// Target time to completion.
     pub objective: Duration,
 }
 
 impl fmt::Display for Size {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Size { queue, tasks, work, widest_milli, chain, objective } = self;
-        let (chain, objective) = (chain.as_millis(), objective.as_millis());
+        let Size { queue, tasks, core_seconds, max_task_cpu_milli, critical_path, objective } =
+            self;
+        let (critical_path, objective) = (critical_path.as_millis(), objective.as_millis());
         write!(
             out,
-            "{queue} tasks={tasks} work={work:.1} widest={widest_milli} chain={chain} objective={objective}"
+            "{queue} tasks={tasks} work={core_seconds:.1} widest={max_task_cpu_milli} chain={critical_path} objective={objective}"
         )
     }
 }
 
 impl FromStr for Size {
-    type Err = Malformed;
+    type Err = ParseError;
 
-    fn from_str(text: &str) -> Result<Size, Malformed> {
+    fn from_str(text: &str) -> Result<Size, ParseError> {
         let mut words = text.split_whitespace();
-        let queue = words.next().ok_or(Malformed)?.to_owned();
+        let queue = words.next().ok_or(ParseError)?.to_owned();
         let tasks = parse_field(words.next(), "tasks")?;
-        let work = parse_field(words.next(), "work")?;
-        let widest_milli = parse_field(words.next(), "widest")?;
-        let chain = Duration::from_millis(parse_field(words.next(), "chain")?);
+        let core_seconds = parse_field(words.next(), "work")?;
+        let max_task_cpu_milli = parse_field(words.next(), "widest")?;
+        let critical_path = Duration::from_millis(parse_field(words.next(), "chain")?);
         let objective = Duration::from_millis(parse_field(words.next(), "objective")?);
-        Ok(Size { queue, tasks, work, widest_milli, chain, objective })
+        Ok(Size { queue, tasks, core_seconds, max_task_cpu_milli, critical_path, objective })
     }
 }
 
@@ -58,12 +59,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(thiserror::Error)]
 #[error("invalid job size")]
-pub struct Malformed;
+pub struct ParseError;
 
-fn parse_field<T: FromStr>(word: Option<&str>, name: &str) -> Result<T, Malformed> {
-    let (key, value) = word.and_then(|word| word.split_once('=')).ok_or(Malformed)?;
+fn parse_field<T: FromStr>(word: Option<&str>, name: &str) -> Result<T, ParseError> {
+    let (key, value) = word.and_then(|word| word.split_once('=')).ok_or(ParseError)?;
     if key != name {
-        return Err(Malformed);
+        return Err(ParseError);
     }
-    value.parse().map_err(|_| Malformed)
+    value.parse().map_err(|_| ParseError)
 }
--- a/crates/cell/src/choose.rs
+++ b/crates/cell/src/choose.rs
@@ -73,7 +73,8 @@
         let start = self.rng.random_range(0..count);
         for step in 0..count {
             let id = self.worker_ids[(start + step) % count];
-            if amount.fits(self.free_capacity[id.index()]) && self.has_room(id, job, amount) {
+            if amount.fits_within(self.free_capacity[id.index()]) && self.has_room(id, job, amount)
+            {
                 found.push(id);
                 if found.len() >= SCAN_CANDIDATES_MAX {
                     break;
@@ -85,12 +86,12 @@
 
     /// Returns `true` if a worker can take a task of a job.
     pub(crate) fn has_room(&self, id: WorkerId, job: JobId, amount: Amount) -> bool {
-        if !amount.fits(self.free_capacity[id.index()]) {
+        if !amount.fits_within(self.free_capacity[id.index()]) {
             return false;
         }
         let worker = &self.workers[id];
         let reserved = worker.reserved_for_others(job, self.now);
-        self.is_eligible(worker) && amount.fits(worker.free().minus(reserved))
+        self.is_eligible(worker) && amount.fits_within(worker.free().minus(reserved))
     }
 
     /// Returns the score of a worker for a task, where lower is better, or `None` if a paying task
--- a/crates/cell/src/fit.rs
+++ b/crates/cell/src/fit.rs
@@ -29,7 +29,7 @@
             return false;
         }
         let amount = job.declared();
-        let fits = self.workers.iter().any(|(_, worker)| amount.fits(worker.capacity));
+        let fits = self.workers.iter().any(|(_, worker)| amount.fits_within(worker.capacity));
         if fits == job.parked.is_none() {
             return false;
         }
--- a/crates/cell/src/place.rs
+++ b/crates/cell/src/place.rs
@@ -132,7 +132,10 @@
 
     fn start(&mut self, id: WorkerId, job: JobId, task: TaskIndex, amount: Amount) {
         let worker = &self.workers[id];
-        assert!(worker.committed.plus(amount).fits(worker.capacity), "no worker is overcommitted");
+        assert!(
+            worker.committed.plus(amount).fits_within(worker.capacity),
+            "no worker is overcommitted"
+        );
         let epoch = self.ownership.epoch().expect("only an owner starts tasks");
         let entry = self.jobs[job].entry(task);
         let is_resumed = entry.checkpoint.is_some();
--- a/crates/cell/src/preempt.rs
+++ b/crates/cell/src/preempt.rs
@@ -124,7 +124,7 @@
             let worker = &self.workers[id];
             let is_reserved =
                 worker.reservation.is_some_and(|reservation| reservation.until > self.now);
-            if is_reserved || !self.is_eligible(worker) || !amount.fits(worker.capacity) {
+            if is_reserved || !self.is_eligible(worker) || !amount.fits_within(worker.capacity) {
                 continue;
             }
             if let Some(plan) = self.plan(id, job, amount)
@@ -158,19 +158,19 @@
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut picked: SmallVec<[(f64, usize); 4]> = SmallVec::new();
         for &(cost, index) in &order {
-            if amount.fits(room) {
+            if amount.fits_within(room) {
                 break;
             }
             room = room.plus(worker.allocations[index].amount);
             picked.push((cost, index));
         }
-        if !amount.fits(room) {
+        if !amount.fits_within(room) {
             return None;
         }
         let mut surplus = room.minus(amount);
         for i in (0..picked.len()).rev() {
             let spare = worker.allocations[picked[i].1].amount;
-            if spare.fits(surplus) {
+            if spare.fits_within(surplus) {
                 surplus = surplus.minus(spare);
                 picked.remove(i);
             }
--- a/crates/cell/src/quota.rs
+++ b/crates/cell/src/quota.rs
@@ -61,7 +61,7 @@
     /// Returns `true` if one more task of a job stays within its team's share.
     pub(crate) fn is_within_share(&self, id: JobId, amount: Amount) -> bool {
         let team = &self.teams[self.jobs[id].team];
-        team.share.is_none_or(|share| team.used.plus(amount).fits(share))
+        team.share.is_none_or(|share| team.used.plus(amount).fits_within(share))
     }
 
     /// Reopens the queue entries of jobs whose team may use more than before.
--- a/crates/cell/src/size.rs
+++ b/crates/cell/src/size.rs
@@ -114,7 +114,7 @@
             Class::Paying => component_max(learnt, declared),
             Class::Trial | Class::Batch => learnt,
         };
-        if job.learnt_amount != before && job.learnt_amount.fits(before) {
+        if job.learnt_amount != before && job.learnt_amount.fits_within(before) {
             self.enqueue(id);
         }
     }
--- a/crates/cell/tests/world/check.rs
+++ b/crates/cell/tests/world/check.rs
@@ -24,7 +24,11 @@
         }
         for fake in self.fakes.values() {
             let taken = fake.active().fold(Amount::ZERO, |sum, held| sum.plus(held.amount));
-            assert!(taken.fits(fake.capacity), "{} runs tasks beyond its capacity", fake.name);
+            assert!(
+                taken.fits_within(fake.capacity),
+                "{} runs tasks beyond its capacity",
+                fake.name
+            );
             for held in fake.active() {
                 let key = (held.run.job.clone(), held.run.task);
                 let other = places.insert(key, &fake.name);
@@ -36,7 +40,7 @@
         }
         for owner in self.owners.iter().filter(|owner| owner.alive) {
             for worker in owner.cell.workers() {
-                let fits = worker.committed.fits(worker.capacity);
+                let fits = worker.committed.fits_within(worker.capacity);
                 let held: Vec<_> = self.fakes[&*worker.name].held().collect();
                 assert!(
                     fits,
--- a/crates/claim/examples/cost.rs
+++ b/crates/claim/examples/cost.rs
@@ -85,7 +85,7 @@
 }
 
 fn claimant(request: u64) -> Claimant {
-    Claimant { instance: "entry-a-1".into(), incarnation: 1, life: 1, request }
+    Claimant { instance: "entry-a-1".into(), incarnation: 1, started_at: 1, request }
 }
 
 fn time(keys: &[Key], mut each: impl FnMut(u64, &Key)) -> u128 {
--- a/crates/claim/tests/format.rs
+++ b/crates/claim/tests/format.rs
@@ -52,7 +52,7 @@
     let answer = Answer { status: 201, content_type: None, body: b"cradle-7".to_vec() };
     let kept = Grant {
         key: Key { service: "berths".into(), key: "k1".into() },
-        claimant: Claimant { instance: "e1".into(), incarnation: 3, life: 5, request: 8 },
+        claimant: Claimant { instance: "e1".into(), incarnation: 3, started_at: 5, request: 8 },
         state: State::Ran(Some(answer)),
         expires_in: Duration::from_secs(60),
     };
--- a/crates/claim/tests/handover_size.rs
+++ b/crates/claim/tests/handover_size.rs
@@ -47,7 +47,7 @@
 
 fn run(owner: &mut Owner, request: u64) {
     let key = Key { service: "berths".into(), key: request.to_string().into() };
-    let claimant = Claimant { instance: "e1".into(), incarnation: 1, life: 1, request };
+    let claimant = Claimant { instance: "e1".into(), incarnation: 1, started_at: 1, request };
     let claim = Event::Claim { ask: 1, claimant: claimant.clone(), key: key.clone(), roster: 1 };
     owner.step(SECOND, claim, &mut Vec::new());
     let answer = Answer { status: 201, content_type: None, body: vec![1; ANSWER] };
--- a/crates/claim/tests/smoke.rs
+++ b/crates/claim/tests/smoke.rs
@@ -59,7 +59,7 @@
     };
     owner.step(second, Event::RosterReceived { revision: 1, roster: roster.into() }, &mut actions);
     let key = Key { service: "berths".into(), key: "k".into() };
-    let claimant = Claimant { instance: "e1".into(), incarnation: 1, life: 1, request: 1 };
+    let claimant = Claimant { instance: "e1".into(), incarnation: 1, started_at: 1, request: 1 };
     let mut claim = |owner: &mut Owner| {
         actions.clear();
         let claimant = Claimant { request: 2, ..claimant.clone() };
--- a/crates/claim/tests/world/mod.rs
+++ b/crates/claim/tests/world/mod.rs
@@ -182,7 +182,7 @@
         let claimant = Claimant {
             instance: via.into(),
             incarnation: node.member.incarnation,
-            life: node.member.started_at,
+            started_at: node.member.started_at,
             request: self.requests,
         };
         let Some(roster) = node.owner.roster() else {
--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -18,8 +18,8 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-use crate::duty;
-use crate::duty::Duty;
+use crate::event_loop;
+use crate::event_loop::EventLoop;
 
 /// Readiness of the process for work, shared between its event loops.
 #[derive(Clone, Debug, Default)]
@@ -49,10 +49,10 @@
     registry: Registry,
     readiness: Readiness,
     extra: Option<Route>,
-) -> io::Result<Duty> {
+) -> io::Result<EventLoop> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
-    duty::spawn("admin", move || async move {
+    event_loop::spawn("admin", move || async move {
         let route = extra
             .unwrap_or_default()
             .at("/metrics", get(metrics))
--- a/crates/daemon/src/duty.rs
+++ b/crates/daemon/src/event_loop.rs
@@ -8,11 +8,11 @@
 /// Handle of a running event loop. Dropping the handle leaves the event loop running;
 /// [`Self::join`] waits for its end.
 #[derive(Debug)]
-pub struct Duty {
+pub struct EventLoop {
     thread: JoinHandle<()>,
 }
 
-impl Duty {
+impl EventLoop {
     /// Waits for the event loop to end, which happens when the rings that it reads are closed.
     ///
     /// # Panics
@@ -35,7 +35,7 @@
 /// # Errors
 ///
 /// Fails if the operating system refuses a thread or the runtime can't be built.
-pub fn spawn<F, Fut>(name: &str, main: F) -> io::Result<Duty>
+pub fn spawn<F, Fut>(name: &str, main: F) -> io::Result<EventLoop>
 where
     F: FnOnce() -> Fut + Send + 'static,
     Fut: Future<Output = ()>,
@@ -46,5 +46,5 @@
         local.block_on(&runtime, async move { main().await });
     };
     let thread = thread::Builder::new().name(name.to_owned()).spawn(body)?;
-    Ok(Duty { thread })
+    Ok(EventLoop { thread })
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -7,7 +7,7 @@
 
 pub mod admin;
 pub mod clock;
-pub mod duty;
+pub mod event_loop;
 pub mod log;
 pub mod ring;
 pub mod settings;
--- a/crates/daemon/src/ring.rs
+++ b/crates/daemon/src/ring.rs
@@ -13,13 +13,13 @@
 
 /// Wakes the event loop that reads one or more rings.
 #[derive(Clone, Debug, Default)]
-pub struct Bell {
+pub struct Notifier {
     notify: Arc<Notify>,
 }
 
-impl Bell {
+impl Notifier {
     /// Wakes the event loop, now or at its next wait.
-    pub fn ring(&self) {
+    pub fn notify(&self) {
         self.notify.notify_one();
     }
 
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub struct Sender<T> {
     ring: rtrb::Producer<T>,
-    bell: Bell,
+    bell: Notifier,
     closed: Arc<AtomicBool>,
 }
 
@@ -53,17 +53,17 @@
 #[derive(Debug)]
 pub struct Receiver<T> {
     ring: rtrb::Consumer<T>,
-    bell: Bell,
+    bell: Notifier,
     closed: Arc<AtomicBool>,
 }
 
 /// Opens a ring that holds `capacity` values and has its own notifier.
 pub fn open<T>(capacity: usize) -> (Sender<T>, Receiver<T>) {
-    open_with(capacity, Bell::default())
+    open_with_notifier(capacity, Notifier::default())
 }
 
 /// Opens a ring whose receiver is woken by a shared notifier.
-pub fn open_with<T>(capacity: usize, bell: Bell) -> (Sender<T>, Receiver<T>) {
+pub fn open_with_notifier<T>(capacity: usize, bell: Notifier) -> (Sender<T>, Receiver<T>) {
     let (producer, consumer) = rtrb::RingBuffer::new(capacity);
     let closed = Arc::new(AtomicBool::new(false));
     let sender = Sender { ring: producer, bell: bell.clone(), closed: closed.clone() };
@@ -83,7 +83,7 @@
         }
         match self.ring.push(value) {
             Ok(()) => {
-                self.bell.ring();
+                self.bell.notify();
                 Ok(())
             }
             Err(rtrb::PushError::Full(value)) => Err(SendError::Full(value)),
@@ -94,13 +94,13 @@
 impl<T> Drop for Sender<T> {
     fn drop(&mut self) {
         self.closed.store(true, Ordering::Release);
-        self.bell.ring();
+        self.bell.notify();
     }
 }
 
 /// Result of receiving without waiting.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Look<T> {
+pub enum TryRecv<T> {
     /// Oldest value.
     Value(T),
     /// No value at present.
@@ -111,13 +111,13 @@
 
 impl<T> Receiver<T> {
     /// Removes and returns the oldest value, if there is one, without waiting.
-    pub fn look(&mut self) -> Look<T> {
+    pub fn try_recv(&mut self) -> TryRecv<T> {
         // Reads the flag before the ring, so that a value sent just before closing is not missed.
         let closed = self.closed.load(Ordering::Acquire);
         match self.ring.pop() {
-            Ok(value) => Look::Value(value),
-            Err(_) if closed => Look::Closed,
-            Err(_) => Look::Empty,
+            Ok(value) => TryRecv::Value(value),
+            Err(_) if closed => TryRecv::Closed,
+            Err(_) => TryRecv::Empty,
         }
     }
 
@@ -126,10 +126,10 @@
     /// Only for a ring with its own notifier: an event loop waits for a shared notifier itself.
     pub async fn recv(&mut self) -> Option<T> {
         loop {
-            match self.look() {
-                Look::Value(value) => return Some(value),
-                Look::Closed => return None,
-                Look::Empty => self.bell.wait().await,
+            match self.try_recv() {
+                TryRecv::Value(value) => return Some(value),
+                TryRecv::Closed => return None,
+                TryRecv::Empty => self.bell.wait().await,
             }
         }
     }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -63,7 +63,7 @@
         argument::<String>("LEVEL"),
         fallback(String::from("info")),
         display_fallback,
-        parse(level)
+        parse(parse_level)
     )]
     pub log_level: slog::Level,
 }
@@ -103,7 +103,7 @@
 /// # Errors
 ///
 /// Fails if the word is not the name of a level.
-pub fn level(word: String) -> Result<slog::Level, String> {
+pub fn parse_level(word: String) -> Result<slog::Level, String> {
     match word.as_str() {
         "debug" => Ok(slog::Level::Debug),
         "info" => Ok(slog::Level::Info),
@@ -125,12 +125,14 @@
             print!("{text}");
             process::exit(0);
         }
-        Err(ParseFailure::Stderr(text)) => refuse(Code::BadSetting, &text.monochrome(false)),
+        Err(ParseFailure::Stderr(text)) => {
+            exit_with_error(Code::BadSetting, &text.monochrome(false))
+        }
     }
 }
 
 /// Prints a numbered error and ends the process, before it has started anything.
-pub fn refuse(code: Code, problem: &str) -> ! {
+pub fn exit_with_error(code: Code, problem: &str) -> ! {
     eprintln!("error {} {}: {problem}", code.number(), code.name());
     process::exit(EXIT_BAD_SETTING);
 }
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -9,8 +9,8 @@
 use tokio::signal::unix::signal;
 use tokio::sync::watch;
 
-use crate::duty;
-use crate::duty::Duty;
+use crate::event_loop;
+use crate::event_loop::EventLoop;
 
 /// Stage of a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,7 +36,7 @@
     }
 
     /// Waits until the stop has reached `stage` or a later one.
-    pub async fn reached(&mut self, stage: Stage) {
+    pub async fn wait_for_stage(&mut self, stage: Stage) {
         // A closed channel means that the process is exiting, which is the last stage.
         let _ = self.stage.wait_for(|now| *now >= stage).await;
     }
@@ -44,11 +44,11 @@
 
 /// Advances the stage of a [`Stop`], for the signal event loop and for tests.
 #[derive(Debug)]
-pub struct Switch {
+pub struct Trigger {
     stage: watch::Sender<Stage>,
 }
 
-impl Switch {
+impl Trigger {
     /// Advances to a stage; the stage never goes back.
     pub fn advance(&self, stage: Stage) {
         self.stage.send_if_modified(|now| {
@@ -62,9 +62,9 @@
 }
 
 /// Opens a stop that only the returned trigger advances.
-pub fn open() -> (Switch, Stop) {
+pub fn open() -> (Trigger, Stop) {
     let (sender, receiver) = watch::channel(Stage::Running);
-    (Switch { stage: sender }, Stop { stage: receiver })
+    (Trigger { stage: sender }, Stop { stage: receiver })
 }
 
 /// Starts the event loop that advances a stop on SIGTERM and SIGINT. The stop is forced by a second
@@ -76,10 +76,10 @@
 /// # Errors
 ///
 /// Fails if the operating system refuses the thread or the handlers.
-pub fn on_signals(within: Duration) -> io::Result<(Stop, Duty)> {
+pub fn on_signals(within: Duration) -> io::Result<(Stop, EventLoop)> {
     let (switch, stop) = open();
     let (sender, receiver) = mpsc::sync_channel(1);
-    let duty = duty::spawn("signals", move || async move {
+    let duty = event_loop::spawn("signals", move || async move {
         let handlers = install_handlers();
         let error = handlers.as_ref().err().map(|error| error.kind());
         // Can't fail: the receiver below waits for this message.
--- a/crates/daemon/tests/signals.rs
+++ b/crates/daemon/tests/signals.rs
@@ -16,6 +16,6 @@
     let (mut stop, _duty) = stop::on_signals(within).expect("the thread starts");
     signal::kill(Pid::this(), Signal::SIGTERM).expect("a process can signal itself");
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
-    runtime.block_on(stop.reached(Stage::Draining));
+    runtime.block_on(stop.wait_for_stage(Stage::Draining));
     assert_eq!(stop.stage(), Stage::Draining);
 }
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -9,6 +9,6 @@
     assert_eq!(stop.stage(), Stage::Running);
     switch.advance(Stage::Forced);
     switch.advance(Stage::Draining);
-    stop.reached(Stage::Draining).await;
+    stop.wait_for_stage(Stage::Draining).await;
     assert_eq!(stop.stage(), Stage::Forced);
 }
--- a/crates/e2e/src/bin/demo.rs
+++ b/crates/e2e/src/bin/demo.rs
@@ -140,7 +140,7 @@
     deployment.await_state(&other, JOB, "completed").await;
     let (finished, broken) = {
         let state = deployment.site.lock();
-        (state.finished.len(), state.broken.len())
+        (state.finished.len(), state.violations.len())
     };
     table.row("completed", format!("{finished} tasks done, {broken} of them twice"));
     Ok(())
--- a/crates/e2e/src/cluster.rs
+++ b/crates/e2e/src/cluster.rs
@@ -20,9 +20,9 @@
 use cowslipchute_ports::list::State;
 use cowslipchute_standin::Addresses;
 use cowslipchute_standin::control;
-use cowslipchute_standin::control::Order;
-use cowslipchute_standin::fault::Cut;
+use cowslipchute_standin::control::Injection;
 use cowslipchute_standin::fault::Fault;
+use cowslipchute_standin::fault::Partition;
 use cowslipchute_standin::fault::Target;
 use cowslipchute_standin::report::Report;
 use reqwest::Client;
@@ -280,7 +280,7 @@
     ///
     /// When there is no such stand-in.
     pub async fn fault(&self, target: Target, fault: Fault) -> Result<()> {
-        http::post(&self.client, &self.control(control::FAULT), &Order { target, fault }).await
+        http::post(&self.client, &self.control(control::FAULT), &Injection { target, fault }).await
     }
 
     /// Cuts two sides off from each other.
@@ -289,7 +289,7 @@
     ///
     /// When the switchboard can't be reached.
     pub async fn cut(&self, a: &str, b: &str) -> Result<()> {
-        let cut = Cut { a: a.into(), b: b.into() };
+        let cut = Partition { a: a.into(), b: b.into() };
         http::post(&self.client, &self.control(control::CUT), &cut).await
     }
 
@@ -299,7 +299,7 @@
     ///
     /// When the switchboard can't be reached.
     pub async fn heal(&self, a: &str, b: &str) -> Result<()> {
-        let cut = Cut { a: a.into(), b: b.into() };
+        let cut = Partition { a: a.into(), b: b.into() };
         http::post(&self.client, &self.control(control::HEAL), &cut).await
     }
 
--- a/crates/e2e/src/load.rs
+++ b/crates/e2e/src/load.rs
@@ -11,7 +11,7 @@
 use crate::cluster::Cluster;
 use cowslipchute_base::code;
 use cowslipchute_base::code::Code;
-use cowslipchute_standin::backend::order::ID_HEADER;
+use cowslipchute_standin::backend::directive::ID_HEADER;
 use hdrhistogram::Histogram;
 use reqwest::Client;
 use reqwest::Method;
--- a/crates/e2e/src/site.rs
+++ b/crates/e2e/src/site.rs
@@ -124,7 +124,7 @@
         self.site.add_worker(machine, capacity, "r1").await?;
         let address = self.site.address(machine).context("the worker was added")?;
         let proxy = proxy::open(address).await?;
-        self.site.name_address(machine, proxy.address);
+        self.site.set_address(machine, proxy.address);
         self.workers.insert(machine.to_owned(), proxy);
         Ok(())
     }
--- a/crates/e2e/src/soak.rs
+++ b/crates/e2e/src/soak.rs
@@ -201,7 +201,7 @@
             let index = self.drawn.random_range(0..count);
             let task = TaskId { job: id, occurrence: 0, step: 0, index };
             let after = Duration::from_millis(self.drawn.random_range(0..CRASH_MILLIS));
-            self.deployment.site.lock().crashes.culprits.insert(task, after);
+            self.deployment.site.lock().crashes.crashing_tasks.insert(task, after);
         }
         // A client asks again under the same number, at any member, while nothing is clear.
         for _ in 0..3 {
@@ -253,7 +253,7 @@
             let text = format!("{id:016x} was {} and is {state}", known.shown);
             self.report.broken.push(text);
         }
-        let unlucky = self.deployment.site.lock().unlucky.contains(&id);
+        let unlucky = self.deployment.site.lock().crash_suspects.contains(&id);
         let wrong_end = (state == "failed" && !known.crashes && !unlucky)
             || (state == "cancelled" && !known.cancelled);
         if wrong_end {
@@ -308,7 +308,7 @@
 
     fn close(mut self) -> Report {
         let state = self.deployment.site.lock();
-        self.report.broken.extend(state.broken.iter().cloned());
+        self.report.broken.extend(state.violations.iter().cloned());
         let refused: BTreeSet<JobId> = self
             .jobs
             .iter()
--- a/crates/e2e/src/soak/fault.rs
+++ b/crates/e2e/src/soak/fault.rs
@@ -22,7 +22,7 @@
     Killed(String),
     Frozen(String),
     Stopped(String),
-    Store(store::Mood),
+    Store(store::Mode),
     StoreSlow,
     Line(String, Mood),
     Worker(String, Mood),
@@ -70,8 +70,8 @@
             0 | 1 => Fault::Killed(self.target()),
             2 => Fault::Frozen(self.target()),
             3 => Fault::Stopped(self.target()),
-            4 => Fault::Store(store::Mood::Busy),
-            5 => Fault::Store(store::Mood::Silent),
+            4 => Fault::Store(store::Mode::Busy),
+            5 => Fault::Store(store::Mode::Silent),
             6 => Fault::StoreSlow,
             7 | 8 => Fault::Line(self.target(), self.mood()),
             9 => Fault::Worker(self.worker(), self.mood()),
@@ -108,11 +108,11 @@
         let worker = self.worker();
         let name = match self.random.random_range(0..3) {
             0 => {
-                self.deployment.site.rebirth(&worker);
+                self.deployment.site.replace_worker(&worker);
                 "rebirth"
             }
             1 => {
-                self.deployment.site.lock().store.lapse();
+                self.deployment.site.lock().store.expire_all_leases();
                 "leases lapse"
             }
             _ => {
@@ -133,7 +133,7 @@
             Fault::Frozen(name) => self.signal(name, |process| process.freeze()),
             Fault::Stopped(name) => self.signal(name, |process| process.terminate()),
             Fault::Store(mood) => {
-                self.deployment.site.lock().store.mood = *mood;
+                self.deployment.site.lock().store.mode = *mood;
                 true
             }
             Fault::StoreSlow => {
@@ -148,8 +148,8 @@
                 self.deployment.workers[name].set(*mood);
                 true
             }
-            Fault::Hangs(name) => self.change_worker(name, |worker| worker.hangs = true),
-            Fault::Fails(name) => self.change_worker(name, |worker| worker.fails = true),
+            Fault::Hangs(name) => self.change_worker(name, |worker| worker.stalls_runs = true),
+            Fault::Fails(name) => self.change_worker(name, |worker| worker.fails_runs = true),
             Fault::Shrunk(name) => {
                 self.change_worker(name, |worker| worker.capacity.cpu_milli = SHRUNK_MILLI)
             }
@@ -158,7 +158,7 @@
                 true
             }
             Fault::Late(name, orders, by) => {
-                self.change_worker(name, |worker| worker.late = (*orders, *by))
+                self.change_worker(name, |worker| worker.delayed_commands = (*orders, *by))
             }
         }
     }
@@ -207,15 +207,15 @@
             }
             // It ends by itself; another life follows, as the platform would have it.
             Fault::Stopped(name) => self.restart(name)?,
-            Fault::Store(_) => self.deployment.site.lock().store.mood = store::Mood::Well,
+            Fault::Store(_) => self.deployment.site.lock().store.mode = store::Mode::Well,
             Fault::StoreSlow => self.deployment.site.lock().store.delay = Duration::ZERO,
             Fault::Line(name, _) => self.deployment.members[name].store.set(Mood::Pass),
             Fault::Worker(name, _) => self.deployment.workers[name].set(Mood::Pass),
             Fault::Hangs(name) => {
-                self.change_worker(name, |worker| worker.hangs = false);
+                self.change_worker(name, |worker| worker.stalls_runs = false);
             }
             Fault::Fails(name) => {
-                self.change_worker(name, |worker| worker.fails = false);
+                self.change_worker(name, |worker| worker.fails_runs = false);
             }
             Fault::Shrunk(name) => {
                 self.change_worker(name, |worker| worker.capacity = site::CAPACITY);
--- a/crates/e2e/tests/site.rs
+++ b/crates/e2e/tests/site.rs
@@ -24,7 +24,7 @@
 }
 
 fn assert_kept(deployment: &Deployment) {
-    assert_eq!(deployment.site.lock().broken, Vec::<String>::new());
+    assert_eq!(deployment.site.lock().violations, Vec::<String>::new());
 }
 
 #[test]
@@ -124,15 +124,15 @@
         assert_eq!(deployment.submit("m0", 0xa1, &job).await, Some(StatusCode::OK));
         deployment.await_state("m0", 0xa1, "active").await;
         let entry = entry.replace("AT", &deployment.workers["w0"].address.to_string());
-        deployment.site.lock().strays.insert(String::from("servers/stray 1&x"), entry);
+        deployment.site.lock().foreign_entries.insert(String::from("servers/stray 1&x"), entry);
         deployment.await_state("m1", 0xa1, "completed").await;
         let later = chain(2, 4, WORK);
         assert_eq!(deployment.submit("m1", 0xa2, &later).await, Some(StatusCode::OK));
         deployment.await_state("m0", 0xa2, "completed").await;
         let state = deployment.site.lock();
-        assert_eq!(state.broken, Vec::<String>::new());
+        assert_eq!(state.violations, Vec::<String>::new());
         // None of them was begun again, as after the end of a worker's life.
-        assert!(state.workers["w0"].highest.values().all(|attempt| *attempt == 1));
+        assert!(state.workers["w0"].highest_attempts.values().all(|attempt| *attempt == 1));
     });
 }
 
@@ -143,10 +143,10 @@
         owner(&deployment).await;
         let job = chain(2, 4, WORK);
         assert_eq!(deployment.submit("m0", 0xa1, &job).await, Some(StatusCode::OK));
-        deployment.site.lock().store.mood = store::Mood::Busy;
+        deployment.site.lock().store.mode = store::Mode::Busy;
         let refused = deployment.submit("m0", 0xa2, &job).await;
         assert_eq!(refused, Some(StatusCode::SERVICE_UNAVAILABLE));
-        deployment.site.lock().store.mood = store::Mood::Well;
+        deployment.site.lock().store.mode = store::Mode::Well;
         deployment.await_state("m1", 0xa1, "completed").await;
         // What was refused is not there.
         let (status, _) = deployment.state("m1", 0xa2).await.unwrap();
--- a/crates/follow/src/duty.rs
+++ b/crates/follow/src/duty.rs
@@ -59,8 +59,8 @@
     clock: Clock,
     in_force: InForce,
     gossip: Gossip,
-    pulls: Pull,
-    pushes: Children,
+    pull: Pull,
+    children: Children,
     source: Option<(Mode, Source)>,
     store_lost: bool,
 }
@@ -97,8 +97,8 @@
             store,
             members,
             clock: Clock::start(),
-            pulls: Pull::default(),
-            pushes: Children::default(),
+            pull: Pull::default(),
+            children: Children::default(),
             source: None,
             store_lost: false,
         }
@@ -151,7 +151,7 @@
             let Some(calls) = &mut self.calls else { continue };
             match action {
                 Action::Pull(peer) => {
-                    if let Some(after) = self.pulls.begin(&peer, in_force) {
+                    if let Some(after) = self.pull.begin(&peer, in_force) {
                         calls.pull(peer, after);
                     }
                 }
@@ -219,12 +219,12 @@
         }
         match (completion.purpose, reply) {
             (Purpose::Pull, Reply::Items { items, revision, whole }) => {
-                let step = self.pulls.receive(items, revision, whole);
+                let step = self.pull.receive(items, revision, whole);
                 self.apply_pull_step(completion.peer, step);
             }
-            (Purpose::Pull, _) => self.pulls.failed(&completion.peer),
+            (Purpose::Pull, _) => self.pull.failed(&completion.peer),
             (Purpose::Push, _) => {
-                let push = self.pushes.accepted(self.in_force.replica(), &completion.peer);
+                let push = self.children.accepted(self.in_force.replica(), &completion.peer);
                 self.push(push);
             }
             (Purpose::Probe, _) => {}
@@ -232,8 +232,8 @@
     }
 
     fn call_failed(&mut self, peer: &Peer) {
-        self.pushes.failed(peer);
-        self.pulls.failed(peer);
+        self.children.failed(peer);
+        self.pull.failed(peer);
         if self.gossip.failed(peer, self.clock.now()) {
             log_peer(&self.settings.logger, Event::PeerLost, peer);
         }
@@ -261,7 +261,7 @@
             self.gossip.request_pull(self.clock.now());
         }
         let replica = self.in_force.replica();
-        let pushes = self.pushes.changed(replica, last_change, self.gossip.children());
+        let pushes = self.children.changed(replica, last_change, self.gossip.children());
         self.push(pushes);
     }
 
--- a/crates/follow/src/follower.rs
+++ b/crates/follow/src/follower.rs
@@ -3,8 +3,8 @@
 use std::io;
 
 use cowslipchute_base::id::Revision;
-use cowslipchute_daemon::duty;
-use cowslipchute_daemon::duty::Duty;
+use cowslipchute_daemon::event_loop;
+use cowslipchute_daemon::event_loop::EventLoop;
 use cowslipchute_daemon::ring;
 use cowslipchute_ports::kv::Store;
 use cowslipchute_ports::list::Member;
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub struct Follower {
     handle: Handle,
-    duty: Duty,
+    duty: EventLoop,
 }
 
 impl Follower {
@@ -107,7 +107,7 @@
 ) -> io::Result<Follower> {
     let (queries, inbox) = mpsc::channel(QUEUE);
     let (revision_sender, in_force) = watch::channel(0);
-    let duty = duty::spawn("follow", move || {
+    let duty = event_loop::spawn("follow", move || {
         let state = State::open(settings, store, peers, members, changes, revision_sender);
         state.run(inbox)
     })?;
--- a/crates/follow/src/list.rs
+++ b/crates/follow/src/list.rs
@@ -20,9 +20,9 @@
     /// The list has not changed; the last view stays in use.
     Unchanged,
     /// The list can't be read, and the previous read succeeded; the last view stays in use.
-    Lost(Error),
+    Failed(Error),
     /// The list still can't be read.
-    StillLost(Error),
+    StillFailing(Error),
 }
 
 /// Poller of the list.
@@ -57,8 +57,8 @@
                 Read::Changed(view)
             }
             Ok(_) => Read::Unchanged,
-            Err(error) if was_lost => Read::StillLost(error),
-            Err(error) => Read::Lost(error),
+            Err(error) if was_lost => Read::StillFailing(error),
+            Err(error) => Read::Failed(error),
         }
     }
 }
--- a/crates/follow/tests/list.rs
+++ b/crates/follow/tests/list.rs
@@ -102,10 +102,10 @@
     let results = reads(&Script::of(answers), 6).await;
     let expected = [
         Read::Changed(view(1)),
-        Read::Lost(error()),
-        Read::StillLost(error()),
+        Read::Failed(error()),
+        Read::StillFailing(error()),
         Read::Unchanged,
-        Read::Lost(error()),
+        Read::Failed(error()),
         Read::Changed(view(2)),
     ];
     assert_eq!(results, expected);
--- a/crates/follow/tests/spread.rs
+++ b/crates/follow/tests/spread.rs
@@ -12,7 +12,7 @@
 use cowslipchute_base::id::Revision;
 use cowslipchute_daemon::log;
 use cowslipchute_daemon::ring;
-use cowslipchute_daemon::ring::Look;
+use cowslipchute_daemon::ring::TryRecv;
 use cowslipchute_follow as follow;
 use cowslipchute_follow::Change;
 use cowslipchute_follow::Follower;
@@ -38,9 +38,9 @@
 use cowslipchute_spread::replica::PAGE_BYTES;
 use cowslipchute_standin::Plan;
 use cowslipchute_standin::Standin;
-use cowslipchute_standin::fault::Cut;
 use cowslipchute_standin::fault::Fault;
 use cowslipchute_standin::fault::PLATFORM;
+use cowslipchute_standin::fault::Partition;
 use cowslipchute_standin::fault::State;
 use cowslipchute_standin::fault::Target;
 use tokio::sync::watch;
@@ -93,7 +93,7 @@
 impl Instance {
     /// Reads the changes that the process received and checks that revisions never decrease.
     fn receive_changes(&mut self) {
-        while let Look::Value(change) = self.changes.look() {
+        while let TryRecv::Value(change) = self.changes.try_recv() {
             match change {
                 Change::Put { name, revision, .. } | Change::Removed { name, revision, .. } => {
                     let before = self.received.insert(name.to_string(), revision);
@@ -231,7 +231,7 @@
 
 fn commit(standin: &Standin, change: Write) -> Revision {
     let store = kv::Client::open(&standin.store_url(), Duration::from_secs(5));
-    let txn = Txn { guards: Vec::new(), changes: vec![change] };
+    let txn = Txn { preconditions: Vec::new(), changes: vec![change] };
     block_on(store.commit(txn)).expect("the store answers").revision
 }
 
@@ -299,7 +299,7 @@
         "the configuration fills several pages"
     );
     for chunk in writes.chunks(100) {
-        let txn = Txn { guards: Vec::new(), changes: chunk.to_vec() };
+        let txn = Txn { preconditions: Vec::new(), changes: chunk.to_vec() };
         block_on(store.commit(txn)).expect("the store answers");
     }
     let revision = write(&standin, "web", 1);
@@ -333,7 +333,7 @@
     let revision = write(&standin, "web", 1);
     let mut fleet = Fleet::open(&standin, &["a", "b"], 2);
     fleet.wait_for_revision(revision);
-    let cut = Cut { a: PLATFORM.into(), b: "a".into() };
+    let cut = Partition { a: PLATFORM.into(), b: "a".into() };
     standin.cut(cut.clone());
     let revision = write(&standin, "web", 2);
     fleet.wait_for_revision(revision);
--- a/crates/gateway/src/counted.rs
+++ b/crates/gateway/src/counted.rs
@@ -11,8 +11,8 @@
 use cowslipchute_ports::kv::Snapshot;
 use cowslipchute_ports::kv::Store;
 use cowslipchute_ports::kv::Txn;
+use cowslipchute_ports::kv::TxnOutcome;
 use cowslipchute_ports::kv::Update;
-use cowslipchute_ports::kv::Verdict;
 use tokio::sync::mpsc;
 
 /// Number of calls of each kind that the platform's limits distinguish.
@@ -95,7 +95,7 @@
         self.store.read(prefix).await
     }
 
-    async fn commit(&self, txn: Txn) -> Result<Verdict, Error> {
+    async fn commit(&self, txn: Txn) -> Result<TxnOutcome, Error> {
         increment(&self.counter.totals.commits);
         self.store.commit(txn).await
     }
--- a/crates/gateway/src/kv.rs
+++ b/crates/gateway/src/kv.rs
@@ -14,13 +14,13 @@
 use cowslipchute_ports::kv::Change;
 use cowslipchute_ports::kv::Entry;
 use cowslipchute_ports::kv::Error;
-use cowslipchute_ports::kv::Guard;
 use cowslipchute_ports::kv::LeaseId;
+use cowslipchute_ports::kv::Precondition;
 use cowslipchute_ports::kv::Snapshot;
 use cowslipchute_ports::kv::Store;
 use cowslipchute_ports::kv::Txn;
+use cowslipchute_ports::kv::TxnOutcome;
 use cowslipchute_ports::kv::Update;
-use cowslipchute_ports::kv::Verdict;
 use tokio::sync::mpsc;
 
 use crate::http;
@@ -81,7 +81,7 @@
         Ok(Snapshot { revision: response.header.revision, entries })
     }
 
-    async fn commit(&self, txn: Txn) -> Result<Verdict, Error> {
+    async fn commit(&self, txn: Txn) -> Result<TxnOutcome, Error> {
         let request = transaction(txn)?;
         let response: wire::txn::Response = self.call(wire::TXN, &request, Effect::Change).await?;
         verdict(response).map_err(call::protocol_as_unknown)
@@ -102,7 +102,7 @@
             .ok_or_else(|| Error::Unknown(String::from("the renewal's answer holds no lease")))?;
         match u64::try_from(renewed.ttl) {
             Ok(seconds) if seconds > 0 => Ok(Duration::from_secs(seconds)),
-            _ => Err(Error::LeaseGone),
+            _ => Err(Error::LeaseExpired),
         }
     }
 
@@ -124,36 +124,36 @@
 
 fn transaction(txn: Txn) -> Result<wire::txn::Request, Error> {
     let too_large = |change: &Change| match change {
-        Change::Put { value, .. } => value.len() > wire::VALUE_LIMIT,
+        Change::Put { value, .. } => value.len() > wire::VALUE_MAX_BYTES,
         Change::Delete { .. } => false,
     };
     if txn.changes.iter().any(too_large) {
         return Err(Error::Unavailable(String::from("a value is over the store's limit")));
     }
     Ok(wire::txn::Request {
-        compare: txn.guards.iter().map(compare).collect(),
+        compare: txn.preconditions.iter().map(compare).collect(),
         success: txn.changes.into_iter().map(change).collect(),
-        failure: txn.guards.iter().map(read_back).collect(),
+        failure: txn.preconditions.iter().map(read_back).collect(),
     })
 }
 
-fn compare(guard: &Guard) -> wire::txn::Compare {
+fn compare(guard: &Precondition) -> wire::txn::Compare {
     match guard {
-        Guard::Missing(key) => wire::txn::Compare {
+        Precondition::Missing(key) => wire::txn::Compare {
             result: wire::txn::Relation::Equal,
             target: wire::txn::Target::Create,
             key: key.as_bytes().to_vec(),
             create_revision: Some(0),
             ..wire::txn::Compare::default()
         },
-        Guard::Unchanged(key, revision) => wire::txn::Compare {
+        Precondition::Unchanged(key, revision) => wire::txn::Compare {
             result: wire::txn::Relation::Equal,
             target: wire::txn::Target::Mod,
             key: key.as_bytes().to_vec(),
             mod_revision: Some(*revision),
             ..wire::txn::Compare::default()
         },
-        Guard::Present(key) => wire::txn::Compare {
+        Precondition::Present(key) => wire::txn::Compare {
             result: wire::txn::Relation::Greater,
             target: wire::txn::Target::Version,
             key: key.as_bytes().to_vec(),
@@ -181,16 +181,17 @@
 
 /// Returns a step that reads a guarded key back when the guards don't hold, so that the caller sees
 /// why.
-fn read_back(guard: &Guard) -> wire::txn::Step {
-    let (Guard::Missing(key) | Guard::Unchanged(key, _) | Guard::Present(key)) = guard;
+fn read_back(guard: &Precondition) -> wire::txn::Step {
+    let (Precondition::Missing(key) | Precondition::Unchanged(key, _) | Precondition::Present(key)) =
+        guard;
     let range = wire::RangeRequest { key: key.as_bytes().to_vec(), range_end: Vec::new() };
     wire::txn::Step { request_range: Some(range), ..wire::txn::Step::default() }
 }
 
-fn verdict(response: wire::txn::Response) -> Result<Verdict, Error> {
+fn verdict(response: wire::txn::Response) -> Result<TxnOutcome, Error> {
     let found = response.responses.into_iter().filter_map(|op| op.response_range);
     let kvs = found.flat_map(|range| range.kvs);
-    Ok(Verdict {
+    Ok(TxnOutcome {
         applied: response.succeeded,
         revision: response.header.revision,
         current: kvs.map(entry).collect::<Result<_, _>>()?,
--- a/crates/gateway/src/kv/call.rs
+++ b/crates/gateway/src/kv/call.rs
@@ -75,7 +75,7 @@
 pub fn store_error(failure: &wire::Failure, effect: Effect) -> Error {
     let text = failure.message.clone();
     match failure.code {
-        wire::CODE_NOT_FOUND if text == wire::NO_LEASE => Error::LeaseGone,
+        wire::CODE_NOT_FOUND if text == wire::NO_LEASE => Error::LeaseExpired,
         wire::CODE_INVALID => Error::Unavailable(text),
         // Of the errors with this status, the store returns only these two before it applies
         // anything; others, such as a change of leader, may follow an effect.
--- a/crates/gateway/src/kv/wire.rs
+++ b/crates/gateway/src/kv/wire.rs
@@ -32,7 +32,7 @@
 pub const WATCH: &str = "/v3/watch";
 
 /// Largest value that the store accepts, in bytes.
-pub const VALUE_LIMIT: usize = 1 << 20;
+pub const VALUE_MAX_BYTES: usize = 1 << 20;
 
 /// gRPC status of a message that the store can't accept.
 pub const CODE_INVALID: u32 = 3;
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -19,7 +19,7 @@
 use crate::http::Origin;
 
 /// Path of the list.
-pub const INSTANCES: &str = "/v1/instances";
+pub const INSTANCES_PATH: &str = "/v1/instances";
 
 /// Timeout of a read.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -37,7 +37,7 @@
 impl Client {
     /// Opens a client of the list at `base_url` without sending anything.
     pub fn open(base_url: &str) -> Client {
-        let url = format!("{}{INSTANCES}", base_url.trim_end_matches('/'));
+        let url = format!("{}{INSTANCES_PATH}", base_url.trim_end_matches('/'));
         Client { http: http::client(CALL_TIMEOUT), url, origin: None }
     }
 
@@ -57,7 +57,7 @@
         let failed = |error: reqwest::Error| Error(http::describe(&error));
         let mut request = self.http.get(query(&self.url, domains));
         if let Some(known) = known {
-            request = request.header(IF_NONE_MATCH, tag(known));
+            request = request.header(IF_NONE_MATCH, entity_tag(known));
         }
         let request = http::with_origin(request, self.origin.as_ref()).timeout(CALL_TIMEOUT);
         let response = request.send().await.map_err(failed)?;
@@ -74,7 +74,7 @@
 }
 
 /// Returns the entity tag of a version of the list.
-pub fn tag(version: Version) -> String {
+pub fn entity_tag(version: Version) -> String {
     format!("\"{version}\"")
 }
 
--- a/crates/gateway/src/worker.rs
+++ b/crates/gateway/src/worker.rs
@@ -12,7 +12,7 @@
 use crate::http::Origin;
 
 /// Path of an exchange.
-pub const EXCHANGE: &str = "/v1/exchange";
+pub const EXCHANGE_PATH: &str = "/v1/exchange";
 
 /// A client of all workers.
 ///
@@ -40,7 +40,7 @@
 
 impl Worker for Client {
     async fn exchange(&self, address: SocketAddr, exchange: &Exchange) -> Result<Report, Error> {
-        let request = self.http.post(format!("http://{address}{EXCHANGE}")).json(exchange);
+        let request = self.http.post(format!("http://{address}{EXCHANGE_PATH}")).json(exchange);
         let request = http::with_origin(request, self.origin.as_ref()).timeout(self.timeout);
         let response = request.send().await.map_err(|error| send_error(&error))?;
         if !response.status().is_success() {
--- a/crates/gateway/tests/instances.rs
+++ b/crates/gateway/tests/instances.rs
@@ -13,8 +13,8 @@
 use cowslipchute_ports::worker::Worker;
 use cowslipchute_standin::Plan;
 use cowslipchute_standin::Standin;
-use cowslipchute_standin::fault::Cut;
 use cowslipchute_standin::fault::Fault;
+use cowslipchute_standin::fault::Partition;
 use cowslipchute_standin::fault::State;
 use cowslipchute_standin::fault::Target;
 use poem::Route;
@@ -114,7 +114,7 @@
 async fn a_list_without_tags_is_read_all_the_same(known: Option<u64>, changed: bool) {
     let acceptor = TcpListener::bind("127.0.0.1:0").into_acceptor().await.expect("a free port");
     let address = *acceptor.local_addr()[0].as_socket_addr().expect("it is TCP");
-    let app = Route::new().at(list::INSTANCES, get(untagged));
+    let app = Route::new().at(list::INSTANCES_PATH, get(untagged));
     let server = tokio::spawn(Server::new_with_acceptor(acceptor).run(app));
     let list = list::Client::open(&format!("http://{address}"));
     let read = list.read(&[], known).await.expect("it is read");
@@ -155,11 +155,11 @@
         let origin = Origin { domain: domain.into(), instance: "placer".into() };
         worker::Client::open(timeout).with_origin(origin)
     };
-    standin.cut(Cut { a: "a".into(), b: "b".into() });
+    standin.cut(Partition { a: "a".into(), b: "b".into() });
     let (near, far) = (&standin.addresses().workers[0], &standin.addresses().workers[2]);
     assert!(from("a", LONG_TIMEOUT).exchange(near.address, &exchange()).await.is_ok());
     assert!(from("a", CALL_TIMEOUT).exchange(far.address, &exchange()).await.is_err());
     assert!(from("b", LONG_TIMEOUT).exchange(far.address, &exchange()).await.is_ok());
-    standin.heal(Cut { a: "b".into(), b: "a".into() });
+    standin.heal(Partition { a: "b".into(), b: "a".into() });
     assert!(from("a", LONG_TIMEOUT).exchange(far.address, &exchange()).await.is_ok());
 }
--- a/crates/gateway/tests/kv_calls.rs
+++ b/crates/gateway/tests/kv_calls.rs
@@ -6,7 +6,7 @@
 use cowslipchute_gateway::kv::Client;
 use cowslipchute_ports::kv::Change;
 use cowslipchute_ports::kv::Error;
-use cowslipchute_ports::kv::Guard;
+use cowslipchute_ports::kv::Precondition;
 use cowslipchute_ports::kv::Store;
 use cowslipchute_ports::kv::Txn;
 use cowslipchute_standin::Plan;
@@ -25,8 +25,8 @@
     Change::Put { key: key.to_owned(), value: value.to_vec(), lease }
 }
 
-fn txn(guards: Vec<Guard>, changes: Vec<Change>) -> Txn {
-    Txn { guards, changes }
+fn txn(guards: Vec<Precondition>, changes: Vec<Change>) -> Txn {
+    Txn { preconditions: guards, changes }
 }
 
 #[tokio::test]
@@ -43,20 +43,21 @@
 }
 
 #[parameterized(
-    missing_of_a_missing_key = { Guard::Missing(String::from("new")), true },
-    missing_of_a_present_key = { Guard::Missing(String::from("old")), false },
-    unchanged = { Guard::Unchanged(String::from("old"), 2), true },
-    changed = { Guard::Unchanged(String::from("old"), 1), false },
-    unchanged_of_a_missing_key = { Guard::Unchanged(String::from("new"), 2), false },
-    present = { Guard::Present(String::from("old")), true },
-    present_of_a_missing_key = { Guard::Present(String::from("new")), false },
+    missing_of_a_missing_key = { Precondition::Missing(String::from("new")), true },
+    missing_of_a_present_key = { Precondition::Missing(String::from("old")), false },
+    unchanged = { Precondition::Unchanged(String::from("old"), 2), true },
+    changed = { Precondition::Unchanged(String::from("old"), 1), false },
+    unchanged_of_a_missing_key = { Precondition::Unchanged(String::from("new"), 2), false },
+    present = { Precondition::Present(String::from("old")), true },
+    present_of_a_missing_key = { Precondition::Present(String::from("new")), false },
 )]
 #[test_macro(tokio::test)]
-async fn a_guard_decides_whether_changes_are_made(guard: Guard, applies: bool) {
+async fn a_guard_decides_whether_changes_are_made(guard: Precondition, applies: bool) {
     let (_standin, store) = open();
     let first = store.commit(txn(vec![], vec![put("old", b"1", 0)])).await.expect("applied");
     assert_eq!(first.revision, 2, "the first change of an empty store");
-    let (Guard::Missing(key) | Guard::Unchanged(key, _) | Guard::Present(key)) = guard.clone();
+    let (Precondition::Missing(key) | Precondition::Unchanged(key, _) | Precondition::Present(key)) =
+        guard.clone();
     let verdict =
         store.commit(txn(vec![guard], vec![put("out", b"2", 0)])).await.expect("it is decided");
     assert_eq!(verdict.applied, applies);
@@ -79,7 +80,7 @@
     assert_eq!(store.read("held").await.expect("it is read").entries[0].lease, lease);
     store.revoke(lease).await.expect("it is ended");
     assert_eq!(store.read("held").await.expect("it is read").entries, []);
-    assert_eq!(store.revoke(lease).await, Err(Error::LeaseGone));
+    assert_eq!(store.revoke(lease).await, Err(Error::LeaseExpired));
 }
 
 #[tokio::test]
@@ -90,9 +91,9 @@
     while !store.read("held").await.expect("it is read").entries.is_empty() {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(store.keep_alive(lease).await, Err(Error::LeaseGone));
+    assert_eq!(store.keep_alive(lease).await, Err(Error::LeaseExpired));
     let late = store.commit(txn(vec![], vec![put("held", b"2", lease)])).await;
-    assert_eq!(late, Err(Error::LeaseGone));
+    assert_eq!(late, Err(Error::LeaseExpired));
     assert_eq!(store.read("held").await.expect("it is read").entries, []);
 }
 
--- a/crates/gateway/tests/kv_errors.rs
+++ b/crates/gateway/tests/kv_errors.rs
@@ -51,7 +51,7 @@
 
 fn write() -> Txn {
     let change = Change::Put { key: String::from("k"), value: b"v".to_vec(), lease: 0 };
-    Txn { guards: vec![], changes: vec![change] }
+    Txn { preconditions: vec![], changes: vec![change] }
 }
 
 fn open() -> (Standin, Client) {
--- a/crates/gateway/tests/kv_watch.rs
+++ b/crates/gateway/tests/kv_watch.rs
@@ -11,8 +11,8 @@
 use cowslipchute_ports::kv::Update;
 use cowslipchute_standin::Plan;
 use cowslipchute_standin::Standin;
-use cowslipchute_standin::fault::Cut;
 use cowslipchute_standin::fault::Fault;
+use cowslipchute_standin::fault::Partition;
 use cowslipchute_standin::fault::State;
 use cowslipchute_standin::fault::Target;
 use tokio::sync::mpsc::Receiver;
@@ -33,13 +33,13 @@
 
 async fn put(store: &Client, key: &str) -> u64 {
     let change = Change::Put { key: key.to_owned(), value: b"v".to_vec(), lease: 0 };
-    let txn = Txn { guards: vec![], changes: vec![change] };
+    let txn = Txn { preconditions: vec![], changes: vec![change] };
     store.commit(txn).await.expect("it is applied").revision
 }
 
 async fn delete(store: &Client, key: &str) -> u64 {
     let change = Change::Delete { key: key.to_owned() };
-    let txn = Txn { guards: vec![], changes: vec![change] };
+    let txn = Txn { preconditions: vec![], changes: vec![change] };
     store.commit(txn).await.expect("it is applied").revision
 }
 
@@ -101,7 +101,7 @@
 async fn a_watch_from_a_domain_that_is_cut_off_falls_silent_and_ends() {
     let (standin, store) = open();
     let mut updates = store.watch("a/", 0).await.expect("it is opened");
-    let cut = Cut { a: "platform".into(), b: "a".into() };
+    let cut = Partition { a: "platform".into(), b: "a".into() };
     standin.cut(cut.clone());
     assert_eq!(next(&mut updates).await, "ended");
     standin.heal(cut);
--- a/crates/peer/examples/cost.rs
+++ b/crates/peer/examples/cost.rs
@@ -76,7 +76,7 @@
         address: SocketAddr::from(([127, 0, 0, 1], 0)),
         identity: identity.clone(),
         call_timeout: Duration::from_secs(10),
-        calls: 2 * CONCURRENT_CALLERS,
+        max_calls: 2 * CONCURRENT_CALLERS,
     };
     Node::open(settings).expect("loopback can be bound")
 }
--- a/crates/peer/src/identity.rs
+++ b/crates/peer/src/identity.rs
@@ -137,7 +137,7 @@
 
 impl Files {
     /// Returns the paths of a deployment's files in a directory.
-    pub fn under(directory: &Path) -> Files {
+    pub fn in_directory(directory: &Path) -> Files {
         Files {
             authority: directory.join("ca.pem"),
             authority_key: directory.join("ca-key.pem"),
@@ -156,7 +156,7 @@
 ///
 /// When a file exists or can't be written, or the certificates can't be generated.
 pub fn write_files(directory: &Path) -> Result<Files, Error> {
-    let files = Files::under(directory);
+    let files = Files::in_directory(directory);
     let authority = Authority::generate()?;
     let leaf = authority.issue()?;
     fs::create_dir_all(directory)
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -31,7 +31,7 @@
     /// Timeout of a call, connection setup included.
     pub call_timeout: Duration,
     /// Maximum number of unanswered calls of peers; further calls are refused immediately.
-    pub calls: usize,
+    pub max_calls: usize,
 }
 
 /// Failure of a call.
@@ -94,8 +94,8 @@
         let configs = tls::configs(&settings.identity, idle_timeout).map_err(io::Error::other)?;
         let endpoint = quinn::Endpoint::server(configs.server, settings.address)?;
         let address = endpoint.local_addr()?;
-        let (sender, receiver) = mpsc::channel(settings.calls.max(1));
-        let limiter = Arc::new(Limiter::open(settings.calls, settings.call_timeout, sender));
+        let (sender, receiver) = mpsc::channel(settings.max_calls.max(1));
+        let limiter = Arc::new(Limiter::open(settings.max_calls, settings.call_timeout, sender));
         tokio::spawn(serve::listen(endpoint.clone(), limiter.clone()));
         let pool = Pool::open(endpoint.clone(), configs.client, settings.call_timeout);
         Ok((Node { shared: Arc::new(Shared { endpoint, pool, limiter, address }) }, receiver))
--- a/crates/peer/tests/node.rs
+++ b/crates/peer/tests/node.rs
@@ -25,7 +25,7 @@
     call_timeout: Duration,
     calls: usize,
 ) -> (Node, Receiver<Incoming>) {
-    let settings = Settings { address, identity: identity.clone(), call_timeout, calls };
+    let settings = Settings { address, identity: identity.clone(), call_timeout, max_calls: calls };
     Node::open(settings).expect("loopback can be bound")
 }
 
@@ -174,7 +174,7 @@
 /// Opens a node once the socket of the previous one is free.
 async fn reopen(address: SocketAddr, identity: &Identity) -> (Node, Receiver<Incoming>) {
     let settings =
-        Settings { address, identity: identity.clone(), call_timeout: LONG_TIMEOUT, calls: 8 };
+        Settings { address, identity: identity.clone(), call_timeout: LONG_TIMEOUT, max_calls: 8 };
     loop {
         match Node::open(settings.clone()) {
             Ok(opened) => return opened,
--- a/crates/planner/src/action.rs
+++ b/crates/planner/src/action.rs
@@ -5,7 +5,7 @@
 
 use cowslipchute_base::event::Event;
 use cowslipchute_base::id;
-use cowslipchute_ports::executor::Hold;
+use cowslipchute_ports::executor::Heartbeat;
 use cowslipchute_ports::executor::Run;
 use cowslipchute_ports::executor::Start;
 use cowslipchute_ports::executor::Target;
@@ -14,7 +14,7 @@
 use cowslipchute_ports::job::StepId;
 use cowslipchute_ports::machine::Name;
 use cowslipchute_ports::machine::Progress;
-use cowslipchute_ports::machine::WaveNumber;
+use cowslipchute_ports::machine::RolloutNumber;
 
 use crate::event::BatchNumber;
 use crate::record::Record;
@@ -84,7 +84,7 @@
         /// The worker.
         target: Target,
         /// The heartbeat.
-        heartbeat: Hold,
+        heartbeat: Heartbeat,
     },
     /// Query which of the workers the advisory service permits for a step.
     Advise {
@@ -98,14 +98,14 @@
     /// Start maintenance of a machine.
     StartMaintenance {
         /// The rollout.
-        rollout: WaveNumber,
+        rollout: RolloutNumber,
         /// The machine.
         machine: Name,
     },
     /// Store the progress of a maintenance rollout and report it to the operator.
     SaveRollout {
         /// The rollout.
-        rollout: WaveNumber,
+        rollout: RolloutNumber,
         /// The progress that the operator sees.
         progress: Progress,
         /// The machines whose maintenance has started.
--- a/crates/planner/src/admission.rs
+++ b/crates/planner/src/admission.rs
@@ -6,7 +6,7 @@
 //! its worker was chosen: when it falls due, when it is retried, and right before it is sent.
 
 use cowslipchute_base::event::Event as LogEvent;
-use cowslipchute_ports::executor::How;
+use cowslipchute_ports::executor::EndReason;
 use cowslipchute_ports::executor::Run;
 use cowslipchute_ports::executor::Target;
 
@@ -46,7 +46,9 @@
             Some(Obstacle::Evacuated)
         } else if worker.draining {
             Some(Obstacle::Draining)
-        } else if !worker.reserved.fits(worker.capacity) && !self.refuses_excess(&worker.service) {
+        } else if !worker.reserved.fits_within(worker.capacity)
+            && !self.refuses_excess(&worker.service)
+        {
             Some(Obstacle::Overcommitted)
         } else {
             None
@@ -70,7 +72,7 @@
         if unsettled {
             self.stop_run(worker, run, Reason::Unsettled);
         } else {
-            self.end_run(worker, run, How::Stopped, None);
+            self.end_run(worker, run, EndReason::Stopped, None);
         }
         true
     }
--- a/crates/planner/src/advice.rs
+++ b/crates/planner/src/advice.rs
@@ -121,9 +121,11 @@
         );
         let workers: Vec<id::Instance> =
             candidates.iter().map(|&(_, id)| self.workers[id].name.clone()).collect();
-        let timeout = advice.decision + advice.each * workers.len() as u32 + REPLY_MARGIN;
+        let timeout =
+            advice.base_latency + advice.latency_per_worker * workers.len() as u32 + REPLY_MARGIN;
         let queried = candidates.iter().map(|&(_, id)| id).collect();
-        self.pending_query = Some(Query { step, validity: advice.validity, workers: queried });
+        self.pending_query =
+            Some(Query { step, validity: advice.ticket_validity, workers: queried });
         self.actions.push(Action::Advise { step, workers, timeout });
     }
 
--- a/crates/planner/src/census.rs
+++ b/crates/planner/src/census.rs
@@ -65,14 +65,14 @@
     /// Counts the jobs, tasks and workers of the cell.
     pub fn census(&self) -> Census {
         let evacuated = self.evacuated_runs();
-        let mut census = Census { scores: self.ratings, evacuated, ..Census::default() };
+        let mut census = Census { scores: self.scores, evacuated, ..Census::default() };
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.end.is_none()) {
             *if job.started { &mut census.active } else { &mut census.queued } += 1;
             for (step, state) in job.steps(*id) {
                 let spec = job.spec(step.step);
                 let tasks = if spec.long_running {
                     &mut census.service
-                } else if spec.fills {
+                } else if spec.best_effort {
                     &mut census.best_effort
                 } else {
                     &mut census.short
--- a/crates/planner/src/command.rs
+++ b/crates/planner/src/command.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 use cowslipchute_base::event::Event as LogEvent;
+use cowslipchute_ports::executor::EndReason;
 use cowslipchute_ports::executor::Failure;
-use cowslipchute_ports::executor::How;
 use cowslipchute_ports::executor::Refusal;
 use cowslipchute_ports::executor::Run;
-use cowslipchute_ports::executor::Stamp;
 use cowslipchute_ports::executor::Start;
 use cowslipchute_ports::executor::Target;
+use cowslipchute_ports::executor::Timestamp;
 use cowslipchute_ports::job::JobId;
 
 use crate::action::Action;
@@ -63,7 +63,7 @@
                 Timer::Command(worker, run) => self.send_command(worker, run),
                 Timer::LeaseExpiry(worker) => self.check_lease_expiry(worker),
                 Timer::Occurrence(job) => self.open_due(job),
-                Timer::Rollouts => self.run_waves(),
+                Timer::Rollouts => self.advance_rollouts(),
                 Timer::Place => self.room_changed = true,
             }
         }
@@ -77,10 +77,10 @@
     /// accept, so that runs on a worker behind a network partition continue until the partition
     /// heals, and runs outlast a store outage. [`crate::incarnations`] distinguishes a worker that
     /// is gone from an unreachable one long before its lease expires.
-    pub(crate) fn extend_lease(&mut self, worker: WorkerId) -> Option<Stamp> {
+    pub(crate) fn extend_lease(&mut self, worker: WorkerId) -> Option<Timestamp> {
         let max_lease = self.settings.max_lease;
         let state = &mut self.workers[worker];
-        let deadline = state.clock(self.now)? + max_lease.as_millis() as Stamp;
+        let deadline = state.clock(self.now)? + max_lease.as_millis() as Timestamp;
         state.lease_deadline = state.lease_deadline.max(deadline);
         Some(deadline)
     }
@@ -102,7 +102,7 @@
         match &mut hosted.stage {
             // A start renews the lease too, and a silent worker gets no new lease.
             Stage::Starting { unsettled: false, command: Command::Due(_) } if !answers => {
-                self.end_run(worker, run, How::Stopped, None);
+                self.end_run(worker, run, EndReason::Stopped, None);
             }
             Stage::Starting { command: Command::Due(_), .. } if !answers => {
                 self.schedule_command(worker, run, UNREACHABLE_BACKOFF);
@@ -131,10 +131,10 @@
     /// Returns `true` if a start may be repeated now, and charges it to the rate limit: it takes as
     /// much bandwidth as the first one.
     fn may_resend_start(&mut self, run: Run) -> bool {
-        let allowed = self.sending.allows(self.now);
+        let allowed = self.start_limiter.allows(self.now);
         if allowed {
             let job = self.jobs.get(&run.task.job);
-            self.sending.charge(job.map_or(0, |job| job.accepted.spec.payload.len()));
+            self.start_limiter.charge(job.map_or(0, |job| job.accepted.spec.payload.len()));
         }
         allowed
     }
@@ -188,7 +188,7 @@
     fn record_answer(
         &mut self,
         target: &Target,
-        outcome: Result<Stamp, Failure>,
+        outcome: Result<Timestamp, Failure>,
     ) -> Option<WorkerId> {
         let worker = self.find_worker(target)?;
         if outcome.is_ok() {
@@ -202,7 +202,7 @@
         &mut self,
         target: &Target,
         run: Run,
-        outcome: Result<Stamp, Failure>,
+        outcome: Result<Timestamp, Failure>,
     ) {
         let Some(worker) = self.record_answer(target, outcome) else { return };
         let name = &target.name;
@@ -243,7 +243,7 @@
             Err(Failure::Refused(Refusal::OtherWorker, _)) => {
                 if !unsettled {
                     // The incarnation that has ended never received it.
-                    self.end_run(worker, run, How::Stopped, None);
+                    self.end_run(worker, run, EndReason::Stopped, None);
                 }
                 self.end_incarnation(worker);
             }
@@ -279,19 +279,21 @@
     fn handle_refusal(&mut self, worker: WorkerId, run: Run, unsettled: bool, failure: Failure) {
         let name = self.workers[worker].name.clone();
         let (text, backoff) = match failure {
-            Failure::Refused(Refusal::Old, _) => {
+            Failure::Refused(Refusal::Stale, _) => {
                 ("this run or a later attempt has ended or was stopped", None)
             }
-            Failure::Refused(Refusal::Late, _) => {
+            Failure::Refused(Refusal::LeaseExpired, _) => {
                 ("the deadline had passed", Some(NO_ROOM_BACKOFF))
             }
-            Failure::Refused(Refusal::Room, _) => ("no room", Some(NO_ROOM_BACKOFF)),
-            Failure::Refused(Refusal::Ticket, _) => ("no ticket", Some(UNREACHABLE_BACKOFF)),
+            Failure::Refused(Refusal::NoCapacity, _) => ("no room", Some(NO_ROOM_BACKOFF)),
+            Failure::Refused(Refusal::TicketRequired, _) => {
+                ("no ticket", Some(UNREACHABLE_BACKOFF))
+            }
             Failure::Refused(Refusal::Unhealthy, _) => ("unhealthy", Some(UNREACHABLE_BACKOFF)),
             Failure::Unsent => ("unreachable", Some(UNREACHABLE_BACKOFF)),
             _ => ("malformed command", Some(UNREACHABLE_BACKOFF)),
         };
-        if matches!(failure, Failure::Refused(Refusal::Ticket, _)) {
+        if matches!(failure, Failure::Refused(Refusal::TicketRequired, _)) {
             self.drop_permit(run.task.step_id());
         }
         self.note(LogEvent::RunRefused, Some(run.task.job), Some(run), Some(name), text);
@@ -307,7 +309,7 @@
         if unsettled {
             self.stop_run(worker, run, Reason::Unsettled);
         } else {
-            self.end_run(worker, run, How::Stopped, None);
+            self.end_run(worker, run, EndReason::Stopped, None);
         }
     }
 
@@ -316,7 +318,7 @@
         &mut self,
         target: &Target,
         run: Run,
-        outcome: Result<Stamp, Failure>,
+        outcome: Result<Timestamp, Failure>,
     ) {
         let Some(worker) = self.record_answer(target, outcome) else { return };
         let now = self.now;
@@ -339,7 +341,7 @@
         target: &Target,
         run: Run,
         percent: u8,
-        outcome: Result<Stamp, Failure>,
+        outcome: Result<Timestamp, Failure>,
     ) {
         let Some(worker) = self.find_worker(target) else { return };
         let name = &target.name;
--- a/crates/planner/src/end.rs
+++ b/crates/planner/src/end.rs
@@ -5,7 +5,7 @@
 use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
-use cowslipchute_ports::executor::How;
+use cowslipchute_ports::executor::EndReason;
 use cowslipchute_ports::executor::Run;
 use cowslipchute_ports::job::JobId;
 use cowslipchute_ports::job::State;
@@ -55,7 +55,7 @@
         match hosted.stage {
             Stage::Stopping { .. } => return,
             Stage::Intended { .. } => {
-                self.end_run(worker, run, How::Stopped, None);
+                self.end_run(worker, run, EndReason::Stopped, None);
                 return;
             }
             _ => hosted.stage = Stage::Stopping { reason, command: Command::Due(now) },
@@ -70,7 +70,7 @@
         &mut self,
         worker: WorkerId,
         run: Run,
-        how: How,
+        how: EndReason,
         checkpoint: Option<id::Checkpoint>,
     ) {
         let hosted = self.workers.get_mut(worker).and_then(|worker| worker.remove_run(run));
@@ -90,15 +90,16 @@
         // A gang fails as a whole, whichever member failed; its first task keeps the count.
         let counted = if gang { run.task.step_id().task(0) } else { run.task };
         let counted_task = job.task_mut(counted);
-        if how == How::Failed && !long_running && !counted_task.failed.contains(&run.attempt) {
+        if how == EndReason::Failed && !long_running && !counted_task.failed.contains(&run.attempt)
+        {
             counted_task.failed.push(run.attempt);
         }
         let failures = counted_task.failed.len() as u32;
         let task = job.task_mut(run.task);
-        let starts_exhausted = how == How::Failed && task.count_failed_run(run.attempt);
-        if how == How::Done && !long_running && gang {
+        let starts_exhausted = how == EndReason::Failed && task.count_failed_run(run.attempt);
+        if how == EndReason::Done && !long_running && gang {
             self.complete_gang(worker, run);
-        } else if how == How::Done && !long_running {
+        } else if how == EndReason::Done && !long_running {
             self.complete_task(worker, run, is_current);
         } else if is_current {
             let latest_checkpoint =
@@ -108,7 +109,7 @@
             }
             task.waiting_since = now;
             task.not_before = restart_time(now, how);
-            if how == How::Failed {
+            if how == EndReason::Failed {
                 task.avoided_worker = Some(worker);
             }
             job.move_task(run.task, Place::Waiting);
@@ -165,7 +166,7 @@
             let name = self.workers[worker].name.clone();
             let detail = "its worker's deadline or life is over";
             self.note(LogEvent::RunEnded, Some(run.task.job), Some(run), Some(name), detail);
-            self.end_run(worker, run, How::Lapsed, None);
+            self.end_run(worker, run, EndReason::LeaseExpired, None);
         }
     }
 
@@ -188,9 +189,9 @@
     }
 }
 
-fn restart_time(now: Time, how: How) -> Time {
+fn restart_time(now: Time, how: EndReason) -> Time {
     match how {
-        How::Failed => now + FAILED_RETRY_DELAY,
+        EndReason::Failed => now + FAILED_RETRY_DELAY,
         _ => now,
     }
 }
--- a/crates/planner/src/estimates.rs
+++ b/crates/planner/src/estimates.rs
@@ -29,12 +29,12 @@
 
 impl Planner {
     /// Returns what has been learnt so far.
-    pub fn learnt(&self) -> Estimates {
+    pub fn estimates(&self) -> Estimates {
         Estimates {
             model: self.interference.clone(),
             mean_work: self.mean_work.clone(),
             log_speed: self.log_speed,
-            periodicity: self.rhythm.clone(),
+            periodicity: self.periodicity.clone(),
         }
     }
 
@@ -42,6 +42,6 @@
         self.interference = estimates.model;
         self.mean_work = estimates.mean_work;
         self.log_speed = estimates.log_speed;
-        self.rhythm = estimates.periodicity;
+        self.periodicity = estimates.periodicity;
     }
 }
--- a/crates/planner/src/event.rs
+++ b/crates/planner/src/event.rs
@@ -11,17 +11,17 @@
 use cowslipchute_ports::executor::Registration;
 use cowslipchute_ports::executor::Report;
 use cowslipchute_ports::executor::Run;
-use cowslipchute_ports::executor::Stamp;
 use cowslipchute_ports::executor::Target;
 use cowslipchute_ports::executor::Ticket;
+use cowslipchute_ports::executor::Timestamp;
 use cowslipchute_ports::job::Accepted;
 use cowslipchute_ports::job::JobId;
 use cowslipchute_ports::job::StepId;
 use cowslipchute_ports::machine;
 use cowslipchute_ports::machine::Machine;
 use cowslipchute_ports::machine::Name;
-use cowslipchute_ports::machine::Wave;
-use cowslipchute_ports::machine::WaveNumber;
+use cowslipchute_ports::machine::RolloutNumber;
+use cowslipchute_ports::machine::RolloutRequest;
 
 use crate::estimates::Estimates;
 use crate::record::Record;
@@ -44,7 +44,7 @@
         /// The records of these jobs; a job without a record has not started.
         records: Vec<(JobId, Record)>,
         /// Estimates of previous owners, if the store holds any.
-        learnt: Option<Estimates>,
+        estimates: Option<Estimates>,
     },
     /// The owner's lease was renewed.
     LeaseRenewed {
@@ -95,7 +95,7 @@
         /// The run.
         run: Run,
         /// The worker's clock, or why the start is not confirmed.
-        outcome: Result<Stamp, Failure>,
+        outcome: Result<Timestamp, Failure>,
     },
     /// Result of a stop.
     StopResult {
@@ -104,7 +104,7 @@
         /// The run.
         run: Run,
         /// The worker's clock, or why the stop is not confirmed.
-        outcome: Result<Stamp, Failure>,
+        outcome: Result<Timestamp, Failure>,
     },
     /// Result of a command that sets a speed limit.
     ThrottleResult {
@@ -115,7 +115,7 @@
         /// The speed limit, in percent of full speed.
         percent: u8,
         /// The worker's clock, or why the speed limit is not confirmed.
-        outcome: Result<Stamp, Failure>,
+        outcome: Result<Timestamp, Failure>,
     },
     /// Result of a query to the advisory service.
     AdviceResult {
@@ -127,7 +127,7 @@
     /// An operator's maintenance rollout is in the store and not completed.
     Rollout {
         /// The rollout.
-        rollout: Wave,
+        rollout: RolloutRequest,
         /// The machines whose maintenance was started by previous owners.
         started: Vec<Name>,
     },
@@ -141,7 +141,7 @@
     /// Result of a request to start maintenance of a machine.
     MaintenanceResult {
         /// The rollout.
-        rollout: WaveNumber,
+        rollout: RolloutNumber,
         /// The machine.
         machine: Name,
         /// Success, or why maintenance is not confirmed to have started.
--- a/crates/planner/src/fit.rs
+++ b/crates/planner/src/fit.rs
@@ -97,8 +97,8 @@
 
 impl<'a> Request<'a> {
     pub(crate) fn new(model: &Model, task: TaskId, step: &'a Step) -> Request<'a> {
-        let reserved = host::reserved(step.demand, step.fills);
-        let profile = step.fills.then(|| {
+        let reserved = host::reserved(step.demand, step.best_effort);
+        let profile = step.best_effort.then(|| {
             let image = step.image.clone().unwrap_or_else(|| NO_IMAGE.into());
             model.profile(&image)
         });
@@ -135,9 +135,9 @@
         // Without the last condition, a step with an isolated worker and the step that the worker
         // is reserved for could wait for each other.
         let is_reserved = worker.reserved_for.is_some_and(|other| other != id)
-            && !step.fills
+            && !step.best_effort
             && !worker.is_isolated_for(id);
-        reserved.fits(worker.room())
+        reserved.fits_within(worker.room())
             && !is_reserved
             && !worker.is_isolated_for_other(id, self.now)
             && !worker.has_recent_probation_start(id, step.gang, self.now)
@@ -149,7 +149,7 @@
         let Request { task, step, .. } = request;
         step.required_label.as_deref().is_none_or(|label| worker.has_label(label))
             && (step.max_per_worker == 0 || worker.count_tasks(*task) < step.max_per_worker)
-            && (!step.fills || self.has_best_effort_room(worker, step))
+            && (!step.best_effort || self.has_best_effort_room(worker, step))
     }
 
     fn has_best_effort_room(&self, worker: &Worker, step: &Step) -> bool {
@@ -207,7 +207,7 @@
 
 /// Scores a worker for a task that reserves its CPU.
 fn reserving_score(worker: &Worker, step: &Step) -> f64 {
-    let other_images = if step.target.is_some() { worker.other_images(step) } else { 0 };
+    let other_images = if step.latency_target.is_some() { worker.other_images(step) } else { 0 };
     let left = f64::from(worker.room().cpu_milli.saturating_sub(step.demand.cpu_milli));
     let capacity = f64::from(worker.capacity.cpu_milli.max(1));
     -left / capacity - OTHER_IMAGE_PENALTY * other_images as f64
--- a/crates/planner/src/gang.rs
+++ b/crates/planner/src/gang.rs
@@ -63,7 +63,7 @@
                 member.checkpoint = checkpoint.clone();
             }
             self.assign(task, worker);
-            if spec.fills {
+            if spec.best_effort {
                 self.refresh_colocation(worker);
             }
             placed.push((worker, Run { task, attempt }));
@@ -90,7 +90,7 @@
         for &(worker, run) in placed {
             self.workers[worker].remove_run(run);
             let payload = self.jobs.get(&run.task.job).map(|job| job.accepted.spec.payload.len());
-            self.sending.refund(payload.unwrap_or(0));
+            self.start_limiter.refund(payload.unwrap_or(0));
             if let Some(job) = self.jobs.get_mut(&run.task.job) {
                 job.task_mut(run.task).attempt = run.attempt - 1;
                 job.move_task(run.task, Place::Waiting);
@@ -175,7 +175,8 @@
 /// Returns how many tasks of a step fit into `room`, at most as many as the step has.
 pub(crate) fn fit_count(spec: &Step, room: Amount) -> u64 {
     let times = |room: u32, each: u32| room.checked_div(each).map_or(u64::MAX, u64::from);
-    let cpu = if spec.fills { u64::MAX } else { times(room.cpu_milli, spec.demand.cpu_milli) };
+    let cpu =
+        if spec.best_effort { u64::MAX } else { times(room.cpu_milli, spec.demand.cpu_milli) };
     let memory = times(room.memory_mib, spec.demand.memory_mib);
     let accelerators = times(room.accelerators.into(), spec.demand.accelerators.into());
     cpu.min(memory).min(accelerators).min(u64::from(spec.count))
--- a/crates/planner/src/heartbeat.rs
+++ b/crates/planner/src/heartbeat.rs
@@ -6,9 +6,9 @@
 use cowslipchute_base::event::Event as LogEvent;
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
+use cowslipchute_ports::executor::EndReason;
 use cowslipchute_ports::executor::Ended;
 use cowslipchute_ports::executor::Failure;
-use cowslipchute_ports::executor::How;
 use cowslipchute_ports::executor::Refusal;
 use cowslipchute_ports::executor::Report;
 use cowslipchute_ports::executor::Run;
@@ -57,7 +57,7 @@
         let state = &mut self.workers[worker];
         state.heartbeat = Heartbeat::Sent(self.now);
         let acknowledged = if answers { state.acknowledged } else { 0 };
-        let heartbeat = cowslipchute_ports::executor::Hold { deadline, acknowledged, wait };
+        let heartbeat = cowslipchute_ports::executor::Heartbeat { deadline, acknowledged, wait };
         self.actions.push(Action::Heartbeat { target, heartbeat });
     }
 
@@ -162,7 +162,7 @@
         let max_lease = self.settings.max_lease;
         let state = &mut self.workers[worker];
         let previous = state.contact;
-        state.started_at = state.started_at.or(report.born);
+        state.started_at = state.started_at.or(report.started_at);
         state.clock_reading = Some(ClockReading { stamp: report.clock, at: now });
         state.last_answer = Some(now);
         state.end_maintenance_if_outlived(sent);
@@ -218,7 +218,10 @@
     /// configuration is known.
     pub(crate) fn refuses_excess(&self, service: &id::Service) -> bool {
         let Some(config) = &self.config else { return false };
-        config.services.iter().all(|configured| configured.name != *service || configured.guarded)
+        config
+            .services
+            .iter()
+            .all(|configured| configured.name != *service || configured.enforces_limits)
     }
 
     fn handle_ended(&mut self, worker: WorkerId, ended: Ended) {
@@ -229,21 +232,21 @@
         state.last_end_seen = ended.number;
         let name = state.name.clone();
         let hosted = state.runs.get(&ended.run).cloned();
-        if ended.how == How::Failed {
+        if ended.reason == EndReason::Failed {
             let is_at_fault =
                 hosted.as_ref().is_some_and(|hosted| self.is_worker_at_fault(ended.run, hosted));
             if is_at_fault {
                 self.record_worker_failure(worker);
             }
         }
-        if let (How::Done, Some(hosted)) = (ended.how, &hosted) {
+        if let (EndReason::Done, Some(hosted)) = (ended.reason, &hosted) {
             self.learn_speed(hosted);
         }
         let job = ended.run.task.job;
         self.mark_started(job);
-        let detail = how_text(ended.how);
+        let detail = how_text(ended.reason);
         self.note(LogEvent::RunEnded, Some(job), Some(ended.run), Some(name), detail);
-        self.end_run(worker, ended.run, ended.how, ended.checkpoint);
+        self.end_run(worker, ended.run, ended.reason, ended.checkpoint);
         let version = self.jobs.get(&job).map_or(0, |job| job.version);
         let end = Unacknowledged { number: ended.number, job, version };
         self.workers[worker].unacknowledged.push_back(end);
@@ -278,7 +281,7 @@
             hosted.progress = running.percent;
             hosted.progressed_at = now;
         }
-        hosted.measurement = running.figure;
+        hosted.measurement = running.measurement;
         if !was_running {
             self.mark_started(running.run.task.job);
         }
@@ -323,21 +326,21 @@
         }
         for (run, stage) in gone {
             match stage {
-                Stage::Inherited => self.end_run(worker, run, How::Lapsed, None),
+                Stage::Inherited => self.end_run(worker, run, EndReason::LeaseExpired, None),
                 Stage::Running { .. } => self.stop_run(worker, run, Reason::Missing),
-                _ => self.end_run(worker, run, How::Stopped, None),
+                _ => self.end_run(worker, run, EndReason::Stopped, None),
             }
         }
     }
 }
 
-fn how_text(how: How) -> &'static str {
+fn how_text(how: EndReason) -> &'static str {
     match how {
-        How::Done => "done",
-        How::Failed => "failed",
-        How::Stopped => "stopped",
-        How::Lapsed => "its lease expired",
-        How::Broken => "another member of its gang ended",
-        How::Alone => "the rest of its gang did not start",
+        EndReason::Done => "done",
+        EndReason::Failed => "failed",
+        EndReason::Stopped => "stopped",
+        EndReason::LeaseExpired => "its lease expired",
+        EndReason::GangEnded => "another member of its gang ended",
+        EndReason::GangTimeout => "the rest of its gang did not start",
     }
 }
--- a/crates/planner/src/host.rs
+++ b/crates/planner/src/host.rs
@@ -138,11 +138,11 @@
         Hosted {
             stage,
             demand: step.demand,
-            best_effort: step.fills,
+            best_effort: step.best_effort,
             long_running: step.long_running,
             checkpointing: step.checkpointing,
             image: step.image.clone(),
-            latency_target: step.target,
+            latency_target: step.latency_target,
             estimate: step.estimate,
             checkpoint: None,
             crashes: 0,
