--- a/crates/planner/src/idle.rs
+++ b/crates/planner/src/idle.rs
@@ -154,7 +154,7 @@
         returning: bool,
     ) -> bool {
         match returning {
-            true => self.share.allows(spec) || spare.allows_returning(spec),
+            true => self.quota.allows(spec) || spare.allows_returning(spec),
             false => spare.allows(spec),
         }
     }
@@ -223,7 +223,7 @@
     fn idle_slots(&mut self, step: StepId, spec: &Step, rooms: &[Amount]) -> u64 {
         let demand = spec.demand;
         let wide = rooms.iter().take_while(|room| room.cpu_milli >= demand.cpu_milli);
-        let fitting = wide.filter(|&&room| demand.fits(room));
+        let fitting = wide.filter(|&&room| demand.fits_within(room));
         let slots = fitting.map(|room| room.cpu_milli.checked_div(demand.cpu_milli).unwrap_or(1));
         let slots = slots.sum();
         self.update_idle(step, slots)
--- a/crates/planner/src/incarnations.rs
+++ b/crates/planner/src/incarnations.rs
@@ -60,13 +60,13 @@
 
     /// Returns `true` if this incarnation is later than that of a directory entry.
     pub(crate) fn is_newer_than(&self, registration: &Registration) -> bool {
-        self.started_at.zip(registration.born).is_some_and(|(known, listed)| listed < known)
+        self.started_at.zip(registration.started_at).is_some_and(|(known, listed)| listed < known)
     }
 
     /// Returns `true` if a report is from a later incarnation. Each report was requested after the
     /// previous one had arrived, so a clock that has gone back belongs to another incarnation.
     pub(crate) fn is_older_than(&self, report: &Report) -> bool {
-        match (self.started_at, report.born) {
+        match (self.started_at, report.started_at) {
             (Some(known), Some(reported)) => known != reported,
             _ => self.clock_reading.is_some_and(|reading| report.clock < reading.stamp),
         }
@@ -142,7 +142,7 @@
         worker: WorkerId,
         registration: &Registration,
     ) -> WorkerId {
-        let Some(started_at) = registration.born else { return worker };
+        let Some(started_at) = registration.started_at else { return worker };
         if self.workers[worker].started_at.is_some_and(|known| known < started_at) {
             let now = self.now;
             let may_hold = |state: &Worker, _, hosted: &Hosted| state.may_start_late(hosted, now);
@@ -161,7 +161,7 @@
         // all previous ones.
         let fenced = matches!(self.workers[worker].contact, Contact::Unfenced { .. });
         let now = self.now;
-        self.replace_incarnation(worker, report.born, |state, run, hosted| {
+        self.replace_incarnation(worker, report.started_at, |state, run, hosted| {
             held.contains(&run) || (!fenced && state.may_start_late(hosted, now))
         });
     }
--- a/crates/planner/src/job.rs
+++ b/crates/planner/src/job.rs
@@ -117,7 +117,7 @@
             Some(queue) => Policy {
                 priority: queue.priority,
                 max_attempts: queue.max_attempts.max(1),
-                slack: queue.slack,
+                slack: queue.slack_factor,
                 allowance: queue.allowance,
             },
             None => Policy {
@@ -257,9 +257,9 @@
         Size {
             queue: self.accepted.queue.to_string(),
             tasks: steps.iter().map(|step| step.count).sum(),
-            work: self.work,
-            widest_milli: steps.iter().map(|step| step.demand.cpu_milli).max().unwrap_or(0),
-            chain: self.critical_path,
+            core_seconds: self.work,
+            max_task_cpu_milli: steps.iter().map(|step| step.demand.cpu_milli).max().unwrap_or(0),
+            critical_path: self.critical_path,
             objective: self.objective(),
         }
     }
@@ -382,7 +382,7 @@
             .occurrences
             .iter()
             .flat_map(|occurrence| occurrence.steps.iter().zip(&self.accepted.spec.steps));
-        let open = steps.filter(|(state, step)| state.open && step.fills);
+        let open = steps.filter(|(state, step)| state.open && step.best_effort);
         open.map(|(state, step)| f64::from(state.waiting) * task_work(step)).sum()
     }
 
--- a/crates/planner/src/measurement.rs
+++ b/crates/planner/src/measurement.rs
@@ -124,7 +124,7 @@
             if !sample.is_saturated() {
                 let own = headroom + loss;
                 hosted.deviation.update(own - load.level());
-                load.correct(own, noise, &mut self.rhythm);
+                load.correct(own, noise, &mut self.periodicity);
                 self.interference.learn_usual_headroom(&image, own);
             }
             let (next_forecast, ahead_forecast) =
--- a/crates/planner/src/pin.rs
+++ b/crates/planner/src/pin.rs
@@ -146,7 +146,7 @@
         self.drop_expired_pins();
         let waiting: Vec<TaskId> = self.pins.keys().copied().collect();
         for task in waiting {
-            if !self.sending.allows(self.now) {
+            if !self.start_limiter.allows(self.now) {
                 self.timers.insert((self.now + START_RETRY, Timer::Place));
                 return;
             }
@@ -196,7 +196,7 @@
         let request = Request::new(&self.interference, task, step);
         if self.has_room(&self.workers[worker], &request) {
             self.assign(task, worker);
-            if step.fills {
+            if step.best_effort {
                 self.refresh_colocation(worker);
             }
         }
--- a/crates/planner/src/place.rs
+++ b/crates/planner/src/place.rs
@@ -72,13 +72,13 @@
 
 impl Refused {
     fn new(spec: &Step) -> Refused {
-        let best_effort_image = spec.fills.then(|| spec.image.clone());
+        let best_effort_image = spec.best_effort.then(|| spec.image.clone());
         Refused { best_effort_image, long_running: spec.long_running, demand: spec.demand }
     }
 
     fn covers(&self, spec: &Step) -> bool {
-        let same = self.best_effort_image.as_ref() == spec.fills.then_some(&spec.image);
-        same && self.long_running == spec.long_running && self.demand.fits(spec.demand)
+        let same = self.best_effort_image.as_ref() == spec.best_effort.then_some(&spec.image);
+        same && self.long_running == spec.long_running && self.demand.fits_within(spec.demand)
     }
 }
 
@@ -150,11 +150,11 @@
     fn place_step(&mut self, step: StepId, pass: &mut Pass) {
         let accepted = self.jobs[&step.job].accepted.clone();
         let spec = &accepted.spec.steps[usize::from(step.step)];
-        if spec.fills && !pass.places_best_effort {
+        if spec.best_effort && !pass.places_best_effort {
             return;
         }
         let advice = self.queue(step.job).and_then(|queue| queue.advice);
-        let is_starving = pass.mostly_free && spec.fills && self.is_starving(step);
+        let is_starving = pass.mostly_free && spec.best_effort && self.is_starving(step);
         let is_constrained = spec.max_per_worker > 0
             || spec.required_label.is_some()
             || spec.data_rack.is_some()
@@ -223,7 +223,7 @@
         let state = self.jobs.get_mut(&step.job).and_then(|job| job.step_mut(step));
         let Some(state) = state else { return };
         if let Some(logged_at) = state.waiting_logged_at {
-            if now >= logged_at + BYPASS_INTERVAL && !spec.fills {
+            if now >= logged_at + BYPASS_INTERVAL && !spec.best_effort {
                 state.waiting_logged_at = Some(now);
                 self.log_bypass(step, spec);
             }
@@ -239,7 +239,7 @@
         let workers = || open.iter().flat_map(|(_, ids)| ids).map(|&id| &self.workers[id]);
         let free: u64 = workers().map(|worker| u64::from(worker.room().cpu_milli)).sum();
         let max_free = workers().map(|worker| worker.room().cpu_milli).max().unwrap_or(0);
-        let kind = if spec.fills { "best-effort" } else { "reserving" };
+        let kind = if spec.best_effort { "best-effort" } else { "reserving" };
         let detail = format!(
             "step {}: {waiting} waiting {kind} tasks of {} millicores each; {free} millicores free in total, at most {max_free} on one of {} workers{probation}",
             step.step,
@@ -331,11 +331,12 @@
             return self.wait_for_spare();
         }
         let mut request = Request::new(&self.interference, step.task(0), spec);
-        self.ratings += open.len() as u64;
+        self.scores += open.len() as u64;
         let mut candidates = self.candidates(&request, open);
         for (index, has_run) in tasks {
-            let is_rate_limited = !self.sending.allows(self.now);
-            if is_rate_limited && !(self.is_starving(step) && self.sending.allows_starved(self.now))
+            let is_rate_limited = !self.start_limiter.allows(self.now);
+            if is_rate_limited
+                && !(self.is_starving(step) && self.start_limiter.allows_starved(self.now))
             {
                 self.timers.insert((self.now + START_RETRY, Timer::Place));
                 return true;
@@ -343,7 +344,7 @@
             if spec.long_running && !self.may_place_service_task(spec, spare, has_run) {
                 return self.wait_for_spare();
             }
-            let is_limited_to_spare = spec.long_running && !(has_run && self.share.allows(spec));
+            let is_limited_to_spare = spec.long_running && !(has_run && self.quota.allows(spec));
             let task = step.task(index);
             request.set_task(task);
             let state = self.jobs[&task.job].task(task);
@@ -364,12 +365,13 @@
             let Some(worker) = chosen else { return false };
             self.assign(task, worker);
             if is_rate_limited {
-                self.sending.shift_to_starved(self.jobs[&task.job].accepted.spec.payload.len());
+                self.start_limiter
+                    .shift_to_starved(self.jobs[&task.job].accepted.spec.payload.len());
             }
             if is_limited_to_spare && spare.take(spec) {
                 self.record_reserve_override(step);
             }
-            if spec.fills {
+            if spec.best_effort {
                 self.refresh_colocation(worker);
             }
         }
@@ -410,9 +412,9 @@
         let now = self.now;
         self.mark_dirty(task.job);
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        self.sending.charge(job.accepted.spec.payload.len());
+        self.start_limiter.charge(job.accepted.spec.payload.len());
         if job.spec(task.step).long_running {
-            self.share.take(job.spec(task.step));
+            self.quota.take(job.spec(task.step));
         }
         let state = job.task_mut(task);
         state.attempt += 1;
@@ -421,7 +423,7 @@
         let crashes = state.crashed.len();
         let stage = Stage::Intended { version: job.version };
         let spec = job.spec(task.step);
-        if !spec.fills {
+        if !spec.best_effort {
             self.placements.push(Placement {
                 at: now,
                 arrival: job.arrival,
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -86,7 +86,7 @@
     /// Capacity reserved for short tasks.
     pub(crate) reserve: Reserve,
     /// Fraction of the cell that service tasks hold.
-    pub(crate) share: Quota,
+    pub(crate) quota: Quota,
     /// Number of service tasks that took capacity reserved for short tasks.
     pub(crate) reserve_overrides: u64,
     /// Workers reserved for waiting tasks.
@@ -97,12 +97,12 @@
     /// Model of the interference between images.
     pub(crate) interference: Model,
     /// Periodicity of the loads.
-    pub(crate) rhythm: Periodicity,
+    pub(crate) periodicity: Periodicity,
     /// Work of best-effort tasks that found no room in the last placement pass, in seconds of the
     /// whole cell.
     pub(crate) best_effort_backlog: f64,
     /// Rate limiter of starts.
-    pub(crate) sending: Limiter,
+    pub(crate) start_limiter: Limiter,
     /// When best-effort tasks are placed next.
     pub(crate) best_effort_due: Time,
     /// Tasks that may be started on one worker only ([`crate::pin`]).
@@ -110,7 +110,7 @@
     /// Recent placements.
     pub(crate) placements: Placements,
     /// Number of worker scores computed for waiting steps during this ownership.
-    pub(crate) ratings: u64,
+    pub(crate) scores: u64,
     /// Maintenance rollouts.
     pub(crate) rollouts: Rollouts,
     /// Timers by due time.
@@ -125,7 +125,7 @@
     /// Returns a planner that doesn't own its cell yet.
     pub fn open(settings: Settings) -> Planner {
         Planner {
-            sending: Limiter::open(settings.link_bytes_per_second),
+            start_limiter: Limiter::open(settings.link_bytes_per_second),
             settings,
             now: Time::ZERO,
             epoch: None,
@@ -148,17 +148,17 @@
             pending_query: None,
             wall_clock: WallClock::default(),
             reserve: Reserve::default(),
-            share: Quota::default(),
+            quota: Quota::default(),
             reserve_overrides: 0,
             reservations: Vec::new(),
             isolation_priority: None,
             interference: Model::default(),
-            rhythm: Periodicity::default(),
+            periodicity: Periodicity::default(),
             best_effort_backlog: 0.0,
             best_effort_due: Time::ZERO,
             pins: BTreeMap::new(),
             placements: Placements::default(),
-            ratings: 0,
+            scores: 0,
             rollouts: Rollouts::default(),
             timers: BTreeSet::new(),
             room_changed: false,
@@ -192,8 +192,8 @@
     fn dispatch(&mut self, event: Event) {
         match event {
             Event::Tick => {}
-            Event::OwnershipAcquired { epoch, jobs, records, learnt } => {
-                self.take_over(epoch, jobs, records, learnt);
+            Event::OwnershipAcquired { epoch, jobs, records, estimates } => {
+                self.take_over(epoch, jobs, records, estimates);
             }
             Event::LeaseRenewed { until } => self.lease_until = self.lease_until.max(until),
             Event::OwnershipLost => self.release_ownership(),
--- a/crates/planner/src/quota.rs
+++ b/crates/planner/src/quota.rs
@@ -65,6 +65,6 @@
             capacity += f64::from(worker.capacity.cpu_milli);
             held += f64::from(worker.reserved_by_services.cpu_milli);
         }
-        self.share.update(self.now, capacity, held);
+        self.quota.update(self.now, capacity, held);
     }
 }
--- a/crates/planner/src/rank.rs
+++ b/crates/planner/src/rank.rs
@@ -6,7 +6,7 @@
 //! capacity ([`crate::idle`]). Jobs with best-effort tasks are ordered by the value that is still
 //! to be gained per remaining core-second.
 
-use cowslipchute_base::size::LATE_LIMIT;
+use cowslipchute_base::size::MAX_LATE_FACTOR;
 use cowslipchute_ports::job::JobId;
 
 use crate::job::Job;
@@ -82,7 +82,7 @@
         let objective = job.objective();
         if finish <= objective {
             Prospect::InTime
-        } else if finish <= objective.mul_f64(LATE_LIMIT) {
+        } else if finish <= objective.mul_f64(MAX_LATE_FACTOR) {
             Prospect::Late
         } else {
             Prospect::Lost
@@ -108,7 +108,7 @@
         let steps = &job.accepted.spec.steps;
         let value = if steps.iter().all(|step| step.long_running) {
             f64::INFINITY
-        } else if steps.iter().any(|step| step.fills) {
+        } else if steps.iter().any(|step| step.best_effort) {
             self.prospect(job).weight() * self.value_density(job)
         } else {
             match self.prospect(job) {
--- a/crates/planner/src/reclaim.rs
+++ b/crates/planner/src/reclaim.rs
@@ -99,7 +99,7 @@
         };
         let job = &self.jobs[&id];
         let mut steps = job.accepted.spec.steps.iter();
-        let is_short = steps.all(|step| !step.long_running && !step.fills);
+        let is_short = steps.all(|step| !step.long_running && !step.best_effort);
         let yields = is_short
             && match reclaim.extent {
                 Extent::Lost => self.is_lost(job),
@@ -143,7 +143,7 @@
         for task in self.returning(&reclaim.service) {
             let accepted = self.jobs[&task.job].accepted.clone();
             let spec = &accepted.spec.steps[usize::from(task.step)];
-            if left == 0 || !self.sending.allows(self.now) {
+            if left == 0 || !self.start_limiter.allows(self.now) {
                 return;
             }
             let Some(worker) = self.choose(task, spec, workers) else { continue };
--- a/crates/planner/src/record/v1.rs
+++ b/crates/planner/src/record/v1.rs
@@ -42,7 +42,7 @@
 impl From<Task> for super::Task {
     fn from(task: Task) -> super::Task {
         let Task { attempt, done, failed, worker, checkpoint } = task;
-        let worker = worker.map(|name| Incarnation { name, born: None });
+        let worker = worker.map(|name| Incarnation { name, started_at: None });
         super::Task { attempt, done, failed, worker, checkpoint }
     }
 }
--- a/crates/planner/src/reservation.rs
+++ b/crates/planner/src/reservation.rs
@@ -61,7 +61,7 @@
     /// Returns a step that found no worker, if one may be reserved for it. Tasks with a rack
     /// preference limit their wait themselves ([`crate::locality`]).
     pub(crate) fn of(planner: &Planner, step: StepId, spec: &Step) -> Option<Unplaced> {
-        if spec.fills || spec.data_rack.is_some() || spec.same_rack {
+        if spec.best_effort || spec.data_rack.is_some() || spec.same_rack {
             return None;
         }
         let waiting = planner.reservable_tasks(step, spec);
@@ -117,7 +117,7 @@
         let Some((index, _)) = (0..).zip(&state.tasks).find(ready) else { return false };
         let task = step.task(index);
         let request = Request::new(&self.interference, task, spec);
-        if !self.may_take(&self.workers[worker], &request) || !self.sending.allows(now) {
+        if !self.may_take(&self.workers[worker], &request) || !self.start_limiter.allows(now) {
             return false;
         }
         self.assign(task, worker);
@@ -127,7 +127,7 @@
     /// Returns `true` if a worker may be reserved for a task. For a service task that is only so if
     /// it gets its capacity back ([`crate::quota`]): a new one takes only what short tasks leave.
     fn may_reserve(&self, spec: &Step, task: &Task) -> bool {
-        let is_returning = task.attempt > 0 && self.share.allows(spec);
+        let is_returning = task.attempt > 0 && self.quota.allows(spec);
         task.place == Place::Waiting
             && !task.is_on_probation()
             && (!spec.long_running || is_returning)
@@ -233,7 +233,7 @@
             let worker = &self.workers[id];
             let available = worker.capacity.minus(worker.reserved_by_services);
             if worker.reserved_for.is_some()
-                || !spec.demand.fits(available)
+                || !spec.demand.fits_within(available)
                 || !self.is_eligible(worker, &request)
             {
                 continue;
@@ -263,12 +263,12 @@
         let mut room = worker.room();
         let mut wait = Duration::ZERO;
         for (left, amount) in ends {
-            if demand.fits(room) {
+            if demand.fits_within(room) {
                 return wait;
             }
             room = room.plus(amount);
             wait = left;
         }
-        if demand.fits(room) { wait } else { Duration::MAX }
+        if demand.fits_within(room) { wait } else { Duration::MAX }
     }
 }
--- a/crates/planner/src/reserve.rs
+++ b/crates/planner/src/reserve.rs
@@ -42,7 +42,7 @@
 
     /// Adds the work of a job that has arrived.
     pub(crate) fn add_job(&mut self, now: Time, spec: &Spec) {
-        let short = spec.steps.iter().filter(|step| !step.long_running && !step.fills);
+        let short = spec.steps.iter().filter(|step| !step.long_running && !step.best_effort);
         let work = short.map(|step| {
             let cores = f64::from(step.demand.cpu_milli) / 1e3;
             f64::from(step.count) * cores * step.estimate.as_secs_f64()
--- a/crates/planner/src/rollout.rs
+++ b/crates/planner/src/rollout.rs
@@ -26,8 +26,8 @@
 use cowslipchute_ports::machine::Machine;
 use cowslipchute_ports::machine::Name;
 use cowslipchute_ports::machine::Progress;
-use cowslipchute_ports::machine::Wave;
-use cowslipchute_ports::machine::WaveNumber;
+use cowslipchute_ports::machine::RolloutNumber;
+use cowslipchute_ports::machine::RolloutRequest;
 
 use crate::action::Action;
 use crate::command::Timer;
@@ -73,7 +73,7 @@
 /// A rollout whose machines aren't all back.
 #[derive(Clone, Debug)]
 pub(crate) struct Rollout {
-    wave: Wave,
+    rollout: RolloutRequest,
     started_at: Time,
     /// Whether it has been reported as completed: maintenance of every machine has begun. The
     /// rollout is kept until a list shows that maintenance has ended everywhere, since it determines
@@ -88,7 +88,7 @@
 /// The rollouts in progress, and the machines as last listed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Rollouts {
-    by_number: BTreeMap<WaveNumber, Rollout>,
+    by_number: BTreeMap<RolloutNumber, Rollout>,
     machines: HashMap<Name, Machine>,
     /// Machines whose maintenance has begun, with the time, until a list shows it.
     unconfirmed: BTreeMap<Name, Time>,
@@ -122,16 +122,16 @@
         &'a self,
         machines: &'a HashMap<Name, Machine>,
     ) -> impl Iterator<Item = &'a Name> {
-        let wanted = self.wave.machines.iter();
+        let wanted = self.rollout.machines.iter();
         wanted.filter(|name| machines.contains_key(*name) && !self.begun.contains(*name))
     }
 
     /// Returns how many machines are to be away at once.
     fn concurrency(&self, remaining: usize, now: Time) -> usize {
-        let target = self.started_at + self.wave.duration.mul_f64(TARGET_FRACTION);
+        let target = self.started_at + self.rollout.duration.mul_f64(TARGET_FRACTION);
         let time = target.saturating_sub(now).max(MACHINE_CYCLE);
         let rounds = (time.as_secs_f64() / MACHINE_CYCLE.as_secs_f64()).floor().max(1.0);
-        ((remaining as f64 / rounds).ceil() as usize).clamp(1, self.wave.cap)
+        ((remaining as f64 / rounds).ceil() as usize).clamp(1, self.rollout.max_unavailable)
     }
 }
 
@@ -143,17 +143,20 @@
 
     /// Adds a rollout from the store, with the machines whose maintenance previous owners have
     /// begun.
-    pub(crate) fn add_rollout(&mut self, wave: Wave, begun: Vec<Name>) {
+    pub(crate) fn add_rollout(&mut self, wave: RolloutRequest, begun: Vec<Name>) {
         let number = wave.number;
         if self.epoch.is_none() || self.rollouts.by_number.contains_key(&number) {
             return;
         }
-        let detail =
-            format!("wave {number}: {} machines, {} at once", wave.machines.len(), wave.cap);
+        let detail = format!(
+            "wave {number}: {} machines, {} at once",
+            wave.machines.len(),
+            wave.max_unavailable
+        );
         self.note(LogEvent::WaveBegun, None, None, None, detail);
         let begun: BTreeSet<Name> = begun.into_iter().collect();
         let rollout = Rollout {
-            wave,
+            rollout: wave,
             started_at: self.now,
             completed: false,
             begun,
@@ -166,7 +169,7 @@
 
     /// Handles a machine list that was requested at `requested_at`.
     pub(crate) fn list_machines(&mut self, machines: Vec<Machine>, requested_at: Time) {
-        let numbers: Vec<WaveNumber> = self.rollouts.by_number.keys().copied().collect();
+        let numbers: Vec<RolloutNumber> = self.rollouts.by_number.keys().copied().collect();
         for machine in &machines {
             for &number in &numbers {
                 self.update_phase(number, machine, requested_at);
@@ -182,7 +185,7 @@
     }
 
     /// Updates the phase of a machine whose maintenance has begun.
-    fn update_phase(&mut self, number: WaveNumber, machine: &Machine, requested_at: Time) {
+    fn update_phase(&mut self, number: RolloutNumber, machine: &Machine, requested_at: Time) {
         let before = self.worker_of(&machine.name);
         let Some(rollout) = self.rollouts.by_number.get_mut(&number) else { return };
         let Some(phase) = rollout.phases.get_mut(&machine.name) else { return };
@@ -231,7 +234,7 @@
     /// Handles the result of a maintenance request.
     pub(crate) fn handle_maintenance_result(
         &mut self,
-        number: WaveNumber,
+        number: RolloutNumber,
         name: &Name,
         outcome: Result<(), Failure>,
     ) {
@@ -251,7 +254,7 @@
                 );
                 self.store_rollout(number, Progress::Active);
             }
-            Err(Failure::Missing | Failure::NotOfWave) => {
+            Err(Failure::Missing | Failure::NotInRollout) => {
                 rollout.phases.remove(name);
                 self.rollouts.machines.remove(name);
                 self.reopen_machine(name);
@@ -270,12 +273,12 @@
     }
 
     /// Advances every rollout, and schedules the next check while there are any.
-    pub(crate) fn run_waves(&mut self) {
+    pub(crate) fn advance_rollouts(&mut self) {
         if self.rollouts.next_check.is_none_or(|due| due > self.now) {
             return;
         }
         self.rollouts.next_check = None;
-        let numbers: Vec<WaveNumber> = self.rollouts.by_number.keys().copied().collect();
+        let numbers: Vec<RolloutNumber> = self.rollouts.by_number.keys().copied().collect();
         for number in numbers {
             if self.rollouts.listed_at.is_some() {
                 self.advance_rollout(number);
@@ -293,7 +296,7 @@
         }
     }
 
-    fn advance_rollout(&mut self, number: WaveNumber) {
+    fn advance_rollout(&mut self, number: RolloutNumber) {
         if self.rollouts.by_number.get(&number).is_none_or(|rollout| rollout.completed) {
             return;
         }
@@ -328,7 +331,7 @@
 
     /// Drains as many more machines as may be away at once, those with the fewest service tasks
     /// first.
-    fn begin_draining(&mut self, number: WaveNumber) {
+    fn begin_draining(&mut self, number: RolloutNumber) {
         let now = self.now;
         if !self.may_shut_down(number) {
             return;
@@ -336,7 +339,7 @@
         let Some(rollout) = self.rollouts.by_number.get(&number) else { return };
         let remaining = rollout.remaining(&self.rollouts.machines).count();
         // Machines that a previous owner shut down, or that went down by themselves, count too.
-        let down = rollout.wave.machines.iter().filter(|name| {
+        let down = rollout.rollout.machines.iter().filter(|name| {
             let machine = self.rollouts.machines.get(*name);
             !rollout.phases.contains_key(*name) && machine.is_some_and(|machine| !machine.up)
         });
@@ -371,20 +374,20 @@
 
     /// Returns `true` if one more machine of a rollout may shut down: fewer than its operator
     /// allows are down, for whatever reason, or may be after a request whose outcome is unknown.
-    fn may_shut_down(&self, number: WaveNumber) -> bool {
+    fn may_shut_down(&self, number: RolloutNumber) -> bool {
         let Some(rollout) = self.rollouts.by_number.get(&number) else { return false };
         if self.now < self.owned_at + TAKEOVER_DELAY {
             return false;
         }
-        let down = rollout.wave.machines.iter().filter(|name| {
+        let down = rollout.rollout.machines.iter().filter(|name| {
             let listed_down = self.rollouts.machines.get(*name).is_some_and(|machine| !machine.up);
             listed_down || self.rollouts.may_be_down(name)
         });
-        down.count() < rollout.wave.cap
+        down.count() < rollout.rollout.max_unavailable
     }
 
     /// Ends the drain of a machine; it is tried again later.
-    fn abort_drain(&mut self, number: WaveNumber, name: &Name) {
+    fn abort_drain(&mut self, number: RolloutNumber, name: &Name) {
         if let Some(rollout) = self.rollouts.by_number.get_mut(&number) {
             rollout.phases.remove(name);
             rollout.retry_after.insert(name.clone(), self.now + DRAIN_RETRY_PAUSE);
@@ -392,7 +395,7 @@
         self.reopen_machine(name);
     }
 
-    fn request_maintenance(&mut self, number: WaveNumber, name: &Name) {
+    fn request_maintenance(&mut self, number: RolloutNumber, name: &Name) {
         let now = self.now;
         let Some(rollout) = self.rollouts.by_number.get_mut(&number) else { return };
         rollout.phases.insert(name.clone(), Phase::Requested(now));
@@ -442,7 +445,7 @@
         other_runs.is_empty() && self.workers[worker].unacknowledged.is_empty()
     }
 
-    fn store_rollout(&mut self, number: WaveNumber, progress: Progress) {
+    fn store_rollout(&mut self, number: RolloutNumber, progress: Progress) {
         let Some(rollout) = self.rollouts.by_number.get(&number) else { return };
         let started = rollout.begun.iter().cloned().collect();
         self.actions.push(Action::SaveRollout { rollout: number, progress, started });
--- a/crates/planner/src/takeover.rs
+++ b/crates/planner/src/takeover.rs
@@ -83,8 +83,8 @@
         self.placements = Default::default();
         self.reservations.clear();
         self.isolation_priority = None;
-        self.share = Default::default();
-        self.ratings = 0;
+        self.quota = Default::default();
+        self.scores = 0;
         self.timers.clear();
         self.writes = Writes::restart(&self.writes);
     }
@@ -144,7 +144,7 @@
         let worker = self.ensure_worker(&host.name);
         let state = &mut self.workers[worker];
         state.first_seen = id::Time::ZERO;
-        state.started_at = state.started_at.max(host.born);
+        state.started_at = state.started_at.max(host.started_at);
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&run.task.job) else { return };
         let crashes = job.task(run.task).map_or(0, |task| task.crashed.len());
--- a/crates/planner/src/worker.rs
+++ b/crates/planner/src/worker.rs
@@ -14,7 +14,7 @@
 use cowslipchute_ports::executor::Incarnation;
 use cowslipchute_ports::executor::Registration;
 use cowslipchute_ports::executor::Run;
-use cowslipchute_ports::executor::Stamp;
+use cowslipchute_ports::executor::Timestamp;
 use cowslipchute_ports::job::JobId;
 use cowslipchute_ports::job::StepId;
 use smallvec::SmallVec;
@@ -46,7 +46,7 @@
 /// A worker's clock when its response arrived.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClockReading {
-    pub(crate) stamp: Stamp,
+    pub(crate) stamp: Timestamp,
     pub(crate) at: Time,
 }
 
@@ -138,7 +138,7 @@
     /// When it last responded to a heartbeat or any other command.
     pub(crate) last_answer: Option<Time>,
     /// The latest lease deadline that was sent to it, on its clock.
-    pub(crate) lease_deadline: Stamp,
+    pub(crate) lease_deadline: Timestamp,
     /// Highest number of an end that was handled.
     pub(crate) last_end_seen: EndNumber,
     /// Highest number of an end that may be acknowledged.
@@ -228,7 +228,7 @@
     pub(crate) fn matches_registration(&self, registration: &Registration) -> bool {
         self.listed
             && self.address == Some(registration.address)
-            && (self.started_at == registration.born || registration.born.is_none())
+            && (self.started_at == registration.started_at || registration.started_at.is_none())
             && self.draining == registration.draining
             && self.capacity == registration.capacity
             && self.service == registration.service
@@ -238,7 +238,7 @@
     }
 
     pub(crate) fn incarnation(&self) -> Incarnation {
-        Incarnation { name: self.name.clone(), born: self.started_at }
+        Incarnation { name: self.name.clone(), started_at: self.started_at }
     }
 
     /// Returns the epoch of commands to it, higher than those of previous owners and of earlier
@@ -248,19 +248,19 @@
     }
 
     /// Estimates the current time of the worker's clock.
-    pub(crate) fn clock(&self, now: Time) -> Option<Stamp> {
+    pub(crate) fn clock(&self, now: Time) -> Option<Timestamp> {
         let reading = self.clock_reading?;
-        Some(reading.stamp + now.saturating_sub(reading.at).as_millis() as Stamp)
+        Some(reading.stamp + now.saturating_sub(reading.at).as_millis() as Timestamp)
     }
 
     /// Accounts for the latest lease deadline that a previous owner may have sent, or this owner to
     /// an earlier incarnation. Deadlines never move back, and none was sent in the last `since`.
     pub(crate) fn inherit_deadline(&mut self, since: Duration, max_lease: Duration) {
         let Some(reading) = self.clock_reading else { return };
-        let elapsed = since.mul_f64(1.0 - CLOCK_DRIFT).as_millis() as Stamp;
+        let elapsed = since.mul_f64(1.0 - CLOCK_DRIFT).as_millis() as Timestamp;
         let last_granted = reading.stamp.saturating_sub(elapsed);
         self.lease_deadline =
-            self.lease_deadline.max(last_granted + max_lease.as_millis() as Stamp);
+            self.lease_deadline.max(last_granted + max_lease.as_millis() as Timestamp);
     }
 
     /// Returns `true` if its lease has certainly expired, so that all of its runs have ended.
@@ -274,7 +274,7 @@
             }
             (_, Some(reading)) => {
                 let elapsed = now.saturating_sub(reading.at).saturating_sub(slack);
-                let min_elapsed = elapsed.mul_f64(1.0 - CLOCK_DRIFT).as_millis() as Stamp;
+                let min_elapsed = elapsed.mul_f64(1.0 - CLOCK_DRIFT).as_millis() as Timestamp;
                 reading.stamp + min_elapsed > self.lease_deadline
             }
             (Contact::Answering { .. }, None) => false,
--- a/crates/planner/tests/interleavings.rs
+++ b/crates/planner/tests/interleavings.rs
@@ -171,7 +171,7 @@
         estimate: Duration::from_millis(time),
         after: index.checked_sub(1).into_iter().collect(),
         checkpointing: kind == 1 || kind == 4,
-        fills: kind == 2,
+        best_effort: kind == 2,
         gang: kind == 4,
         long_running: kind == 5 && chain == 1,
         ..JobStep::default()
@@ -190,7 +190,7 @@
         Step::CrashingJob { width, at, after, kind } => {
             *jobs += 1;
             let task = TaskId { job: *jobs, occurrence: 0, step: 0, index: at % width };
-            world.crashes.culprits.insert(task, Duration::from_millis(*after));
+            world.crashes.crashing_tasks.insert(task, Duration::from_millis(*after));
             world.submit(*jobs, job(*width, 1, 2000, *kind));
         }
         Step::Cancel(at) => world.cancel((*at).into()),
@@ -245,19 +245,21 @@
         | Step::LoseResponses(at, _) => {
             let worker = world.workers.get_mut(&name(*at)).expect("workers are never removed");
             match step {
-                Step::Partition(_) => worker.cut = true,
-                Step::Heal(_) => worker.cut = false,
-                Step::Fail(_) => worker.fails = true,
-                Step::Hang(_) => worker.hangs = true,
-                Step::Slow(_) => worker.slow = 6,
+                Step::Partition(_) => worker.partitioned = true,
+                Step::Heal(_) => worker.partitioned = false,
+                Step::Fail(_) => worker.fails_runs = true,
+                Step::Hang(_) => worker.stalls_runs = true,
+                Step::Slow(_) => worker.slow_factor = 6,
                 Step::DelayCommands(_, commands, by) => {
-                    worker.late = (*commands, Duration::from_millis(*by))
+                    worker.delayed_commands = (*commands, Duration::from_millis(*by))
                 }
                 Step::DelayHeartbeats(_, heartbeats, by) => {
-                    worker.late_holds = (*heartbeats, Duration::from_millis(*by));
+                    worker.delayed_heartbeats = (*heartbeats, Duration::from_millis(*by));
+                }
+                Step::LoseResponses(_, answers) => worker.lost_responses = *answers,
+                _ => {
+                    (worker.fails_runs, worker.stalls_runs, worker.slow_factor) = (false, false, 1)
                 }
-                Step::LoseResponses(_, answers) => worker.lose = *answers,
-                _ => (worker.fails, worker.hangs, worker.slow) = (false, false, 1),
             }
         }
     }
@@ -271,10 +273,11 @@
     [true, false].into_iter().for_each(|first| world.restore(domain(first)));
     for at in 0..WORKERS {
         let worker = world.workers.get_mut(&name(at)).expect("workers are never removed");
-        (worker.cut, worker.fails, worker.hangs, worker.slow) = (false, false, false, 1);
-        worker.lose = 0;
-        worker.late.0 = 0;
-        worker.late_holds.0 = 0;
+        (worker.partitioned, worker.fails_runs, worker.stalls_runs, worker.slow_factor) =
+            (false, false, false, 1);
+        worker.lost_responses = 0;
+        worker.delayed_commands.0 = 0;
+        worker.delayed_heartbeats.0 = 0;
         world.list(&name(at));
         world.resize(&name(at), capacity(PROCESSORS));
     }
@@ -295,7 +298,8 @@
     }
     // Half of the workers don't refuse runs that don't fit.
     for at in 0..WORKERS / 2 {
-        world.workers.get_mut(&name(at)).expect("workers are never removed").guards = false;
+        world.workers.get_mut(&name(at)).expect("workers are never removed").checks_capacity =
+            false;
     }
     world.take_over(&World::config(0, MAX_ATTEMPTS, false));
     for step in steps {
@@ -323,7 +327,11 @@
     }
     world.run(COMPLETION_TIME / 2);
     let open: Vec<u64> = world.jobs.keys().copied().collect();
-    assert!(!world.has_open_waves(), "rollouts that aren't completed:\n{}", world.describe_waves());
+    assert!(
+        !world.has_open_rollouts(),
+        "rollouts that aren't completed:\n{}",
+        world.describe_rollouts()
+    );
     assert!(open.is_empty(), "jobs without an end: {open:?}\n{}", world.describe());
 }
 
--- a/crates/planner/tests/listing.rs
+++ b/crates/planner/tests/listing.rs
@@ -23,19 +23,19 @@
 
 fn config() -> Arc<Config> {
     let limits = Limits {
-        head: 1 << 14,
-        body: 1 << 18,
-        head_time: Duration::from_secs(3),
-        idle_time: Duration::from_secs(15),
+        max_header_bytes: 1 << 14,
+        max_body_bytes: 1 << 18,
+        header_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
     };
-    let services = vec![Service { name: "desk".into(), guarded: true, standby: false }];
+    let services = vec![Service { name: "desk".into(), enforces_limits: true, standby: false }];
     Arc::new(Config { version: 1, queues: Vec::new(), services, limits })
 }
 
 fn registration() -> Registration {
     Registration {
         name: "worker".into(),
-        born: STARTED_AT,
+        started_at: STARTED_AT,
         address: SocketAddr::from(([10, 0, 0, 1], 80)),
         service: "desk".into(),
         domain: "domain".into(),
@@ -43,7 +43,7 @@
         capacity: Amount { cpu_milli: 32_000, memory_mib: 128_000, accelerators: 0 },
         labels: [Arc::from("a")].into_iter().collect(),
         rack: Some("rack".into()),
-        cold: Duration::ZERO,
+        warmup_left: Duration::ZERO,
     }
 }
 
@@ -53,7 +53,7 @@
     let (jobs, records) = (Vec::new(), Vec::new());
     let events = [
         Event::Config { config: config() },
-        Event::OwnershipAcquired { epoch: 1, jobs, records, learnt: None },
+        Event::OwnershipAcquired { epoch: 1, jobs, records, estimates: None },
         Event::LeaseRenewed { until: NOW + Duration::from_secs(60) },
         Event::Listed { registration: registration() },
     ];
@@ -67,7 +67,7 @@
         _ => None,
     });
     let target = heartbeat.expect("a new worker is sent a heartbeat");
-    let outcome = Ok(Report { born: STARTED_AT, clock: 5000, ..Report::default() });
+    let outcome = Ok(Report { started_at: STARTED_AT, clock: 5000, ..Report::default() });
     planner.step(NOW, Event::HeartbeatResult { target, outcome }, &mut Vec::new());
     let later = NOW + Duration::from_secs(1);
     planner.advance(later, &mut Vec::new());
--- a/crates/planner/tests/record.rs
+++ b/crates/planner/tests/record.rs
@@ -9,7 +9,7 @@
 use cowslipchute_ports::executor::Incarnation;
 
 fn incarnation(born: Option<id::Incarnation>) -> Incarnation {
-    Incarnation { name: "w1".into(), born }
+    Incarnation { name: "w1".into(), started_at: born }
 }
 
 fn started_record() -> Record {
--- a/crates/planner/tests/scenarios.rs
+++ b/crates/planner/tests/scenarios.rs
@@ -74,7 +74,7 @@
 use cowslipchute_ports::job::Spec;
 use cowslipchute_ports::job::Step;
 use cowslipchute_ports::job::TaskId;
-use cowslipchute_standin::site::worker::FIRST_DOMAIN;
+use cowslipchute_standin::site::worker::DEFAULT_DOMAIN;
 use cowslipchute_standin::site::worker::Worker;
 use datadriven::TestCase;
 use world::World;
@@ -227,7 +227,7 @@
         "worker" => {
             let capacity = capacity(case);
             let rack = arg(case, "rack").unwrap_or("r1");
-            let domain = arg(case, "domain").unwrap_or(FIRST_DOMAIN);
+            let domain = arg(case, "domain").unwrap_or(DEFAULT_DOMAIN);
             let names: Vec<String> = match number::<u32>(case, "count") {
                 None => vec![name.to_owned()],
                 Some(count) => (0..count).map(|index| format!("{name}{index}")).collect(),
@@ -246,7 +246,7 @@
             world.link =
                 Some(world::link::Link::open(number(case, "rate").expect("`rate` is given")));
         }
-        "busy" => world.order_delay = Duration::from_millis(number(case, "ms").unwrap_or(0)),
+        "busy" => world.command_delay = Duration::from_millis(number(case, "ms").unwrap_or(0)),
         "job" => {
             let accepted = parse_job(world, case);
             world.submit(job_id(case), accepted);
@@ -264,7 +264,7 @@
         }
         "served" => return served(world, case),
         "culprit" => add_crashing_task(world, case),
-        "acquit" => world.crashes.culprits.retain(|task, _| task.job != job_id(case)),
+        "acquit" => world.crashes.crashing_tasks.retain(|task, _| task.job != job_id(case)),
         "crashes" => return crashes(world, case),
         "resize" => world.resize(name, capacity(case)),
         "at_work" => return at_work(world, case),
@@ -293,7 +293,7 @@
             return format!("jobs {}, records {}", world.jobs.len(), world.records.len());
         }
         "wave" => add_rollout(world, case),
-        "waves" => return world.describe_waves(),
+        "waves" => return world.describe_rollouts(),
         "lose_upkeep" => world.machines.lost_answers = number(case, "answers").unwrap_or(1),
         "machines" => world.machines.list_unavailable = arg(case, "state") == Some("down"),
         "ratings" => return scores(world, case),
@@ -353,13 +353,13 @@
         index: number(case, "task").unwrap_or(0),
     };
     let after = Duration::from_millis(number(case, "after").unwrap_or(10));
-    world.crashes.culprits.insert(task, after);
+    world.crashes.crashing_tasks.insert(task, after);
 }
 
 /// Returns whether no task has crashed more workers than allowed.
 fn crashes(world: &World, case: &TestCase) -> String {
     let most: u32 = number(case, "most").expect("`most` is given");
-    let crashes = world.crashes.most();
+    let crashes = world.crashes.max_count();
     if crashes <= most { String::from("within") } else { format!("{crashes}") }
 }
 
@@ -367,24 +367,24 @@
     let name = arg(case, "name").unwrap_or_default();
     let worker = world.workers.get_mut(name).unwrap_or_else(|| panic!("no worker {name}"));
     match directive {
-        "cut" => worker.cut = true,
-        "heal" => worker.cut = false,
-        "untold" => worker.tells_start = false,
-        "unguard" => worker.guards = false,
-        "fail" => worker.fails = true,
-        "hang" => worker.hangs = true,
-        "mend" => (worker.fails, worker.hangs, worker.slow) = (false, false, 1),
-        "slow" => worker.slow = number(case, "x").unwrap_or(6),
+        "cut" => worker.partitioned = true,
+        "heal" => worker.partitioned = false,
+        "untold" => worker.reports_start = false,
+        "unguard" => worker.checks_capacity = false,
+        "fail" => worker.fails_runs = true,
+        "hang" => worker.stalls_runs = true,
+        "mend" => (worker.fails_runs, worker.stalls_runs, worker.slow_factor) = (false, false, 1),
+        "slow" => worker.slow_factor = number(case, "x").unwrap_or(6),
         "load" => set_load(worker, case),
         "late_holds" => {
             let by = Duration::from_millis(number(case, "by").unwrap_or(3000));
-            worker.late_holds = (number(case, "holds").unwrap_or(1), by);
+            worker.delayed_heartbeats = (number(case, "holds").unwrap_or(1), by);
         }
         "late" => {
             let by = Duration::from_millis(number(case, "by").unwrap_or(3000));
-            worker.late = (number(case, "orders").unwrap_or(1), by);
+            worker.delayed_commands = (number(case, "orders").unwrap_or(1), by);
         }
-        "lose" => worker.lose = number(case, "answers").unwrap_or(1),
+        "lose" => worker.lost_responses = number(case, "answers").unwrap_or(1),
         "drain" => {
             worker.draining = true;
             world.list(name);
@@ -413,15 +413,17 @@
 fn set_load(worker: &mut Worker, case: &TestCase) {
     let serving = &mut worker.serving;
     serving.load = number(case, "percent").unwrap_or(serving.load);
-    serving.swing = number(case, "swing").unwrap_or(serving.swing);
-    serving.rough = number(case, "rough").unwrap_or(serving.rough);
+    serving.amplitude = number(case, "swing").unwrap_or(serving.amplitude);
+    serving.error_percent = number(case, "rough").unwrap_or(serving.error_percent);
     if let Some(period) = number(case, "period") {
         serving.period = Duration::from_millis(period);
     }
     let presses = case.args.get("press").map_or(&[][..], |words| words);
     for press in presses.chunks(2) {
         let [image, weight] = press else { panic!("`press` takes pairs of image and weight") };
-        serving.presses.insert(image.clone(), weight.parse().expect("the weight is a number"));
+        serving
+            .interference_weights
+            .insert(image.clone(), weight.parse().expect("the weight is a number"));
     }
 }
 
@@ -431,8 +433,8 @@
     let stretch = Duration::from_millis(number(case, "stretch").expect("`stretch` is given"));
     let all = Duration::from_millis(number(case, "all").expect("`all` is given"));
     let servings = || world.workers.values().map(|worker| &worker.serving);
-    let longest = servings().map(|serving| serving.longest).max().unwrap_or_default();
-    let harmed: Duration = servings().map(|serving| serving.harmed).sum();
+    let longest = servings().map(|serving| serving.longest_violation).max().unwrap_or_default();
+    let harmed: Duration = servings().map(|serving| serving.total_violation).sum();
     if longest <= stretch && harmed <= all {
         return String::from("within");
     }
@@ -512,11 +514,11 @@
             }
             "gang" => step.gang = true,
             "lasts" => step.long_running = true,
-            "fills" => step.fills = true,
+            "fills" => step.best_effort = true,
             "saves" => step.checkpointing = true,
             "tight" => step.same_rack = true,
             "image" => step.image = Some(value.into()),
-            "target" => step.target = Some(Duration::from_millis(integer().into())),
+            "target" => step.latency_target = Some(Duration::from_millis(integer().into())),
             "spares" => step.max_unavailable = Some(integer()),
             "apart" => step.max_per_worker = integer(),
             "near" => step.data_rack = Some(value.into()),
@@ -528,7 +530,7 @@
 }
 
 fn notes(world: &mut World, case: &TestCase) -> String {
-    let notes = std::mem::take(&mut world.notes);
+    let notes = std::mem::take(&mut world.log_lines);
     let wanted = case.args.get("of").cloned().unwrap_or_default();
     let kept = notes.into_iter().filter(|note| {
         wanted.is_empty() || wanted.iter().any(|event| note.starts_with(event.as_str()))
--- a/crates/planner/tests/world/check.rs
+++ b/crates/planner/tests/world/check.rs
@@ -4,7 +4,7 @@
 
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::id;
-use cowslipchute_ports::executor::How;
+use cowslipchute_ports::executor::EndReason;
 use cowslipchute_ports::executor::Run;
 use cowslipchute_ports::job::TaskId;
 use cowslipchute_standin::site::worker::Worker;
@@ -20,7 +20,7 @@
         let acknowledged_tasks: Vec<TaskId> = worker
             .ended
             .iter()
-            .filter(|end| end.number <= number && end.how == How::Done)
+            .filter(|end| end.number <= number && end.reason == EndReason::Done)
             .map(|end| end.run.task)
             .collect();
         for task in acknowledged_tasks {
@@ -74,7 +74,7 @@
                 let other = running.insert(run.task, &worker.name);
                 assert_eq!(other, None, "{} runs twice, also on {}", run.task, worker.name);
                 let mut demand = active.step.demand;
-                if active.step.fills {
+                if active.step.best_effort {
                     demand.cpu_milli = 0;
                 }
                 sum = sum.plus(demand);
@@ -82,7 +82,7 @@
             let capacity = worker.capacity;
             let bound = self.bounds.get_mut(machine);
             let allowed = bound.map_or(capacity, |bound| bound.allowed(now, capacity, sum));
-            assert!(sum.fits(allowed), "{} holds more than its capacity", worker.name);
+            assert!(sum.fits_within(allowed), "{} holds more than its capacity", worker.name);
         }
     }
 }
--- a/crates/planner/tests/world/commands.rs
+++ b/crates/planner/tests/world/commands.rs
@@ -73,7 +73,7 @@
         let worker = self.by_name(&target.name.clone());
         let ended = worker.is_none_or(|worker| {
             !worker.up
-                || worker.cut
+                || worker.partitioned
                 || worker.epoch > epoch
                 || worker.ended.iter().any(|end| end.number > acknowledged)
         });
@@ -85,7 +85,7 @@
             let now = self.now;
             self.acknowledge(&name, epoch, acknowledged);
             if let Some(worker) = self.by_name(&name) {
-                drop(worker.hold(epoch, &heartbeat, now));
+                drop(worker.heartbeat(epoch, &heartbeat, now));
             }
             self.push(self.now + TICK, Arrival::Heartbeat(term, action, until));
         }
@@ -118,22 +118,22 @@
             self.answer(term, event);
             return;
         };
-        if worker.cut || !worker.up {
+        if worker.partitioned || !worker.up {
             let event = failed(action, Failure::Unknown);
             self.push(now + TIMEOUT, Arrival::Event(term, event));
             return;
         }
-        if worker.late.0 > 0 && !matches!(action, Action::Heartbeat { .. }) {
-            worker.late.0 -= 1;
-            let at = now + worker.late.1;
+        if worker.delayed_commands.0 > 0 && !matches!(action, Action::Heartbeat { .. }) {
+            worker.delayed_commands.0 -= 1;
+            let at = now + worker.delayed_commands.1;
             self.push(at, Arrival::DelayedCommand(action.clone()));
             let event = failed(action, Failure::Unknown);
             self.push(now + TIMEOUT, Arrival::Event(term, event));
             return;
         }
-        if worker.late_holds.0 > 0 && matches!(action, Action::Heartbeat { .. }) {
-            worker.late_holds.0 -= 1;
-            let at = now + worker.late_holds.1;
+        if worker.delayed_heartbeats.0 > 0 && matches!(action, Action::Heartbeat { .. }) {
+            worker.delayed_heartbeats.0 -= 1;
+            let at = now + worker.delayed_heartbeats.1;
             self.push(at, Arrival::DelayedCommand(action.clone()));
             let event = failed(action, Failure::Unknown);
             self.push(now + TIMEOUT, Arrival::Event(term, event));
@@ -143,9 +143,9 @@
             self.acknowledge(&name, epoch, heartbeat.acknowledged);
         }
         let worker = self.by_name(&name).expect("the worker was found above");
-        let lost = worker.lose > 0 && !matches!(action, Action::Heartbeat { .. });
+        let lost = worker.lost_responses > 0 && !matches!(action, Action::Heartbeat { .. });
         if lost {
-            worker.lose -= 1;
+            worker.lost_responses -= 1;
         }
         let was_running = match &action {
             Action::Start { start, .. } => worker.active.contains_key(&start.run),
@@ -227,11 +227,11 @@
             Event::StopResult { target: target.clone(), run: *run, outcome }
         }
         Action::Throttle { target, run, percent } => {
-            let outcome = worker.pace(target.epoch, *run, *percent, now);
+            let outcome = worker.set_speed_limit(target.epoch, *run, *percent, now);
             Event::ThrottleResult { target: target.clone(), run: *run, percent: *percent, outcome }
         }
         Action::Heartbeat { target, heartbeat } => {
-            let outcome = worker.hold(target.epoch, heartbeat, now);
+            let outcome = worker.heartbeat(target.epoch, heartbeat, now);
             Event::HeartbeatResult { target: target.clone(), outcome }
         }
         Action::Advise { .. }
--- a/crates/planner/tests/world/crashes.rs
+++ b/crates/planner/tests/world/crashes.rs
@@ -21,7 +21,7 @@
             .workers
             .iter()
             .filter_map(|(name, worker)| {
-                Some((name.clone(), worker.crashing(&self.crashes.culprits, now)?))
+                Some((name.clone(), worker.crashing_task(&self.crashes.crashing_tasks, now)?))
             })
             .collect();
         for (name, task) in crashed {
@@ -42,7 +42,7 @@
     /// again.
     pub(super) fn check_crash_limit(&mut self, run: Run) {
         let violation = self.crashes.start(run);
-        assert_eq!(violation, None, "logged before:\n{}", self.notes.join("\n"));
+        assert_eq!(violation, None, "logged before:\n{}", self.log_lines.join("\n"));
     }
 
     /// Records the victims of a worker that ends by itself: a task that was started there just
@@ -50,16 +50,16 @@
     pub(super) fn record_crash_victims(&mut self, name: &str) {
         let now = self.now;
         let active = self.workers[name].active.iter();
-        let begun = active.filter(|(_, active)| now < active.since + CRASH_WINDOW);
+        let begun = active.filter(|(_, active)| now < active.started_at + CRASH_WINDOW);
         self.crash_victims.extend(begun.map(|(run, _)| run.task.job));
     }
 
     /// Checks that only a job with a crashing task is ended as crashed, or one whose worker ended
     /// by itself right after a start.
     pub(super) fn check_crashed_job(&self, job: JobId, state: State) {
-        let has_crashing_task = self.crashes.culprits.keys().any(|task| task.job == job);
+        let has_crashing_task = self.crashes.crashing_tasks.keys().any(|task| task.job == job);
         let may_crash = has_crashing_task || self.crash_victims.contains(&job);
-        let notes = || self.notes.join("\n");
+        let notes = || self.log_lines.join("\n");
         let message = "is ended as crashed although it crashed no worker";
         assert!(
             may_crash || state != State::Crashed,
--- a/crates/planner/tests/world/gangs.rs
+++ b/crates/planner/tests/world/gangs.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use cowslipchute_base::id;
-use cowslipchute_ports::executor::How;
+use cowslipchute_ports::executor::EndReason;
 use cowslipchute_ports::executor::Run;
 use cowslipchute_ports::job::StepId;
 
@@ -25,7 +25,7 @@
             for (run, active) in &mut worker.active {
                 let gang = (run.task.step_id(), run.attempt);
                 if active.step.gang && present[&gang] == active.step.count {
-                    active.alone = false;
+                    active.waits_for_gang = false;
                 }
             }
         }
@@ -39,7 +39,7 @@
         for worker in self.workers.values_mut() {
             for (run, active) in &mut worker.active {
                 if active.step.gang && broken.contains(&(run.task.step_id(), run.attempt)) {
-                    active.ending.get_or_insert((now, How::Broken));
+                    active.ending.get_or_insert((now, EndReason::GangEnded));
                 }
             }
         }
--- a/crates/planner/tests/world/job_wait.rs
+++ b/crates/planner/tests/world/job_wait.rs
@@ -69,7 +69,7 @@
 
     fn usable(&self) -> impl Iterator<Item = &Worker> {
         self.workers.values().filter(|worker| {
-            worker.up && !worker.cut && worker.listed && !self.is_evacuated(worker)
+            worker.up && !worker.partitioned && worker.listed && !self.is_evacuated(worker)
         })
     }
 
--- a/crates/planner/tests/world/machines.rs
+++ b/crates/planner/tests/world/machines.rs
@@ -11,8 +11,8 @@
 use cowslipchute_ports::machine::Machine;
 use cowslipchute_ports::machine::Name;
 use cowslipchute_ports::machine::Progress;
-use cowslipchute_ports::machine::Wave;
-use cowslipchute_ports::machine::WaveNumber;
+use cowslipchute_ports::machine::RolloutNumber;
+use cowslipchute_ports::machine::RolloutRequest;
 
 use super::Arrival;
 use super::ONE_WAY_DELAY;
@@ -26,12 +26,12 @@
 /// Machines and the rollouts that were requested.
 #[derive(Debug, Default)]
 pub struct Machines {
-    rollouts: BTreeMap<WaveNumber, Wave>,
+    rollouts: BTreeMap<RolloutNumber, RolloutRequest>,
     /// Progress of each rollout as the store holds it.
-    pub stored: BTreeMap<WaveNumber, (Progress, Vec<Name>)>,
+    pub stored: BTreeMap<RolloutNumber, (Progress, Vec<Name>)>,
     /// Machines that are down, with the time when they are up again.
     up_at: BTreeMap<String, Time>,
-    begun: BTreeSet<(WaveNumber, Name)>,
+    begun: BTreeSet<(RolloutNumber, Name)>,
     listed_at: Time,
     /// Number of the next responses that get lost.
     pub lost_answers: u32,
@@ -54,12 +54,12 @@
     /// Requests a rollout as the operator.
     pub fn add_rollout(
         &mut self,
-        number: WaveNumber,
+        number: RolloutNumber,
         names: Vec<Name>,
         duration: Duration,
         cap: usize,
     ) {
-        let rollout = Wave { number, machines: names, duration, cap };
+        let rollout = RolloutRequest { number, machines: names, duration, max_unavailable: cap };
         self.machines.rollouts.insert(number, rollout.clone());
         self.tell(Event::Rollout { rollout, started: Vec::new() });
     }
@@ -79,7 +79,7 @@
     }
 
     /// Returns `true` if a rollout isn't completed.
-    pub fn has_open_waves(&self) -> bool {
+    pub fn has_open_rollouts(&self) -> bool {
         !self.open_rollouts().is_empty()
     }
 
@@ -113,7 +113,7 @@
         }
     }
 
-    pub(super) fn start_maintenance(&mut self, term: u32, rollout: WaveNumber, name: &Name) {
+    pub(super) fn start_maintenance(&mut self, term: u32, rollout: RolloutNumber, name: &Name) {
         let outcome = self.begin_maintenance(rollout, name);
         let (at, outcome) = if self.machines.lost_answers > 0 {
             self.machines.lost_answers -= 1;
@@ -125,7 +125,7 @@
         self.push(at, Arrival::Event(term, event));
     }
 
-    fn begin_maintenance(&mut self, number: WaveNumber, name: &Name) -> Result<(), Failure> {
+    fn begin_maintenance(&mut self, number: RolloutNumber, name: &Name) -> Result<(), Failure> {
         if self.machines.begun.contains(&(number, name.clone())) {
             return Ok(());
         }
@@ -137,7 +137,7 @@
         let rollout = &self.machines.rollouts[&number];
         let down = rollout.machines.iter().filter(|name| self.machines.is_down(name));
         assert!(
-            down.count() < rollout.cap,
+            down.count() < rollout.max_unavailable,
             "more machines of rollout {number} are down than allowed"
         );
         self.machines.begun.insert((number, name.clone()));
@@ -148,7 +148,7 @@
 
     pub(super) fn store_rollout(
         &mut self,
-        number: WaveNumber,
+        number: RolloutNumber,
         progress: Progress,
         begun: Vec<Name>,
     ) {
@@ -189,7 +189,7 @@
 
     /// Renders the progress of the rollouts and the highest number of tasks of a step that were
     /// unavailable.
-    pub fn describe_waves(&self) -> String {
+    pub fn describe_rollouts(&self) -> String {
         let mut text = String::new();
         for (number, (progress, begun)) in &self.machines.stored {
             text.push_str(&format!("wave {number}: {progress:?}, {} begun\n", begun.len()));
--- a/crates/planner/tests/world/mod.rs
+++ b/crates/planner/tests/world/mod.rs
@@ -98,7 +98,7 @@
     pub store_delay: Duration,
     pub renewals: bool,
     /// Delay until the owner has CPU time to send its commands, except for heartbeats.
-    pub order_delay: Duration,
+    pub command_delay: Duration,
     /// The owner's link, if it is narrow.
     pub link: Option<link::Link>,
     arrivals: BTreeMap<(Time, u64), Arrival>,
@@ -109,7 +109,7 @@
     finished: BTreeSet<TaskId>,
     /// Workers that the advisory service permits.
     pub allowed: BTreeSet<String>,
-    pub notes: Vec<String>,
+    pub log_lines: Vec<String>,
     pub starts: u64,
     pub machines: machines::Machines,
     pub crashes: Crashes,
@@ -142,14 +142,14 @@
             store_up: true,
             store_delay: Duration::from_millis(4),
             renewals: true,
-            order_delay: Duration::ZERO,
+            command_delay: Duration::ZERO,
             link: None,
             arrivals: BTreeMap::new(),
             sequence: 0,
             acknowledged: BTreeSet::new(),
             finished: BTreeSet::new(),
             allowed: BTreeSet::new(),
-            notes: Vec::new(),
+            log_lines: Vec::new(),
             starts: 0,
             machines: machines::Machines::default(),
             crashes: Crashes::default(),
@@ -194,7 +194,7 @@
             self.now += TICK;
             for worker in self.workers.values_mut() {
                 worker.advance(self.now);
-                let finished = std::mem::take(&mut worker.finished);
+                let finished = std::mem::take(&mut worker.completed);
                 self.finished.extend(finished.into_iter().map(|run| run.task));
             }
             self.join_gangs();
@@ -243,7 +243,7 @@
                         worker.unwrap_or_default(),
                         note.detail
                     );
-                    self.notes.push(text.trim_end().to_owned());
+                    self.log_lines.push(text.trim_end().to_owned());
                 }
                 Action::Write { batch, changes } => {
                     let queue = self.transmit(link::write_bytes(&changes));
@@ -252,7 +252,7 @@
                 }
                 command => {
                     let is_heartbeat = matches!(command, Action::Heartbeat { .. });
-                    let delay = if is_heartbeat { Duration::ZERO } else { self.order_delay };
+                    let delay = if is_heartbeat { Duration::ZERO } else { self.command_delay };
                     let now = self.now;
                     let queue = self.transmit(link::command_bytes(&command));
                     if queue > TIMEOUT {
--- a/crates/planner/tests/world/owner.rs
+++ b/crates/planner/tests/world/owner.rs
@@ -20,9 +20,9 @@
 impl World {
     pub fn config(priority: u8, attempts: u32, advised: bool) -> Arc<Config> {
         let advice = cowslipchute_ports::deployment::Advice {
-            decision: Duration::from_millis(30),
-            each: Duration::from_millis(5),
-            validity: Duration::from_secs(3),
+            base_latency: Duration::from_millis(30),
+            latency_per_worker: Duration::from_millis(5),
+            ticket_validity: Duration::from_secs(3),
         };
         let queue = |name: &str, priority| Queue {
             name: name.into(),
@@ -31,7 +31,7 @@
             service: "desk".into(),
             priority,
             max_attempts: attempts,
-            slack: 1.5,
+            slack_factor: 1.5,
             allowance: Duration::from_millis(250),
             advice: advised.then_some(advice),
         };
@@ -40,10 +40,10 @@
             queues: vec![queue("q", priority), queue("low", priority + 2)],
             services: Vec::new(),
             limits: Limits {
-                head: 1 << 14,
-                body: 1 << 18,
-                head_time: Duration::from_secs(3),
-                idle_time: Duration::from_secs(15),
+                max_header_bytes: 1 << 14,
+                max_body_bytes: 1 << 18,
+                header_timeout: Duration::from_secs(3),
+                idle_timeout: Duration::from_secs(15),
             },
         })
     }
@@ -53,10 +53,13 @@
         let mut guarded: BTreeMap<id::Service, bool> = BTreeMap::new();
         for worker in self.workers.values() {
             let service = registration(worker).service;
-            *guarded.entry(service).or_insert(true) &= worker.guards;
+            *guarded.entry(service).or_insert(true) &= worker.checks_capacity;
         }
-        let services =
-            guarded.into_iter().map(|(name, guarded)| Service { name, guarded, standby: false });
+        let services = guarded.into_iter().map(|(name, guarded)| Service {
+            name,
+            enforces_limits: guarded,
+            standby: false,
+        });
         Arc::new(Config { services: services.collect(), ..Config::clone(config) })
     }
 
@@ -76,7 +79,7 @@
             Event::WallClock { wall: self.now },
             Event::Config { config },
             evacuated,
-            Event::OwnershipAcquired { epoch: self.term.into(), jobs, records, learnt: None },
+            Event::OwnershipAcquired { epoch: self.term.into(), jobs, records, estimates: None },
             Event::LeaseRenewed { until: self.now + LEASE },
         ];
         for event in events {
--- a/crates/planner/tests/world/service_wait.rs
+++ b/crates/planner/tests/world/service_wait.rs
@@ -76,7 +76,7 @@
 }
 
 fn free(worker: &cowslipchute_standin::site::worker::Worker) -> Amount {
-    let reserving = worker.active.values().filter(|active| !active.step.fills);
+    let reserving = worker.active.values().filter(|active| !active.step.best_effort);
     reserving.fold(worker.capacity, |room, active| room.minus(active.step.demand))
 }
 
--- a/crates/planner/tests/world/workers.rs
+++ b/crates/planner/tests/world/workers.rs
@@ -6,14 +6,14 @@
 use cowslipchute_base::amount::Amount;
 use cowslipchute_planner::event::Event;
 use cowslipchute_ports::executor::Registration;
-use cowslipchute_standin::site::worker::FIRST_DOMAIN;
+use cowslipchute_standin::site::worker::DEFAULT_DOMAIN;
 use cowslipchute_standin::site::worker::Worker;
 
 use super::World;
 
 impl World {
     pub fn add_worker(&mut self, name: &str, capacity: Amount, rack: &str) {
-        self.add_worker_in(FIRST_DOMAIN, name, capacity, rack);
+        self.add_worker_in(DEFAULT_DOMAIN, name, capacity, rack);
     }
 
     pub fn add_worker_in(&mut self, domain: &str, name: &str, capacity: Amount, rack: &str) {
@@ -65,8 +65,8 @@
             worker.capacity,
             &worker.rack.clone(),
         );
-        successor.updated = self.now;
-        successor.guards = worker.guards;
+        successor.advanced_to = self.now;
+        successor.checks_capacity = worker.checks_capacity;
         successor.domain = worker.domain.clone();
         self.bounds.remove(name);
         let old = self.workers.insert(name.to_owned(), successor);
@@ -89,7 +89,7 @@
         machine.bytes().fold(7u32, |sum, byte| sum.wrapping_mul(31).wrapping_add(byte.into()));
     Registration {
         name: worker.name.clone(),
-        born: worker.told_start(),
+        started_at: worker.reported_start(),
         address: std::net::SocketAddr::from((std::net::Ipv4Addr::from(host), 80)),
         service: "desk".into(),
         domain: worker.domain.clone(),
@@ -97,6 +97,6 @@
         capacity: worker.capacity,
         labels: [Arc::from("a"), worker.rack.clone()].into_iter().collect(),
         rack: Some(worker.rack.clone()),
-        cold: Duration::ZERO,
+        warmup_left: Duration::ZERO,
     }
 }
--- a/crates/ports/src/deployment.rs
+++ b/crates/ports/src/deployment.rs
@@ -12,11 +12,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Advice {
     /// Minimum latency of an answer.
-    pub decision: Duration,
+    pub base_latency: Duration,
     /// Additional latency for each worker in the query.
-    pub each: Duration,
+    pub latency_per_worker: Duration,
     /// Validity of a ticket.
-    pub validity: Duration,
+    pub ticket_validity: Duration,
 }
 
 /// A queue to which clients submit jobs.
@@ -36,7 +36,7 @@
     pub max_attempts: u32,
     /// Factor of the objective: a job is in time if it ends within its critical path times this
     /// factor, plus `allowance`.
-    pub slack: f64,
+    pub slack_factor: f64,
     /// Time that the objective adds to the critical path times the factor.
     pub allowance: Duration,
     /// Timing of the advisory service, if starts need its permit.
@@ -49,7 +49,7 @@
     /// Name of the service.
     pub name: id::Service,
     /// Whether workers refuse tasks that exceed their free capacity.
-    pub guarded: bool,
+    pub enforces_limits: bool,
     /// Whether the workers are switched off and on standby.
     pub standby: bool,
 }
@@ -58,13 +58,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Maximum size of a request head.
-    pub head: usize,
+    pub max_header_bytes: usize,
     /// Maximum size of a request body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Time within which a request head must arrive.
-    pub head_time: Duration,
+    pub header_timeout: Duration,
     /// Time after which an idle connection may be closed.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// One complete version of the operator's configuration.
--- a/crates/ports/src/executor.rs
+++ b/crates/ports/src/executor.rs
@@ -20,7 +20,7 @@
 use crate::job::TaskId;
 
 /// Time on a worker's own clock in milliseconds; the clock may run two percent slow.
-pub type Stamp = u64;
+pub type Timestamp = u64;
 /// Permit of the advisory service to run a step on a worker, in that service's own format.
 pub type Ticket = Arc<str>;
 /// Number of an ended run within one incarnation of a worker, from one.
@@ -33,7 +33,7 @@
     pub name: id::Instance,
     /// Start time of the incarnation that wrote the entry, as Unix time in milliseconds, if the
     /// worker provides it.
-    pub born: Option<id::Incarnation>,
+    pub started_at: Option<id::Incarnation>,
     /// Address for commands.
     pub address: SocketAddr,
     /// Service whose tasks the worker runs.
@@ -49,7 +49,7 @@
     /// Rack of the worker.
     pub rack: Option<id::Rack>,
     /// Remaining time for which the worker is slow after its start.
-    pub cold: Duration,
+    pub warmup_left: Duration,
 }
 
 /// Incarnation of a worker. A worker that restarts keeps its name but none of its state: its runs
@@ -60,7 +60,7 @@
     /// Name of the worker.
     pub name: id::Instance,
     /// Start time as Unix time in milliseconds, if the worker provides it.
-    pub born: Option<id::Incarnation>,
+    pub started_at: Option<id::Incarnation>,
 }
 
 /// Recipient of a command: an incarnation of a worker and its address.
@@ -92,7 +92,7 @@
     /// The job's payload.
     pub payload: Arc<str>,
     /// New lease deadline of all runs on the worker, on its clock.
-    pub deadline: Stamp,
+    pub deadline: Timestamp,
     /// Checkpoint to resume from.
     pub checkpoint: Option<id::Checkpoint>,
     /// Permit of the advisory service, if the queue needs one.
@@ -101,9 +101,9 @@
 
 /// Command that extends a worker's lease and requests its report.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Hold {
+pub struct Heartbeat {
     /// New lease deadline of all runs on the worker; `None` leaves it unchanged.
-    pub deadline: Option<Stamp>,
+    pub deadline: Option<Timestamp>,
     /// Number of the last ended run that the worker may forget.
     pub acknowledged: EndNumber,
     /// Maximum time that the worker may delay its answer until a run ends.
@@ -116,13 +116,13 @@
     /// The worker has seen a higher epoch.
     Fenced,
     /// This run or a later one of the task has ended or was stopped on the worker.
-    Old,
+    Stale,
     /// The lease deadline has passed on the worker's clock.
-    Late,
+    LeaseExpired,
     /// The worker has no free capacity.
-    Room,
+    NoCapacity,
     /// The queue's policy doesn't allow the run: it needs a valid ticket.
-    Ticket,
+    TicketRequired,
     /// The worker reports that it is unhealthy.
     Unhealthy,
     /// A worker of another name answers at the address; the intended one has ended.
@@ -135,7 +135,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// The worker refused the command and did nothing; with the time on its clock if it sent one.
-    Refused(Refusal, Option<Stamp>),
+    Refused(Refusal, Option<Timestamp>),
     /// The command was never sent.
     Unsent,
     /// The command may have been carried out, or may still be.
@@ -144,7 +144,7 @@
 
 /// Reason for which a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum EndReason {
     /// The run finished its work.
     Done,
     /// The run failed, through its own fault or the worker's.
@@ -152,11 +152,11 @@
     /// The run was stopped by a command.
     Stopped,
     /// The worker's lease expired.
-    Lapsed,
+    LeaseExpired,
     /// Another member of the gang ended.
-    Broken,
+    GangEnded,
     /// The rest of the gang did not start in time.
-    Alone,
+    GangTimeout,
 }
 
 /// A run in progress.
@@ -170,7 +170,7 @@
     pub percent: u8,
     /// Tail latency in milliseconds for a latency-critical task, processor use in thousandths of a
     /// core for any other task. Covers about the last half second.
-    pub figure: u32,
+    pub measurement: u32,
 }
 
 /// A run that has ended.
@@ -181,7 +181,7 @@
     /// Id of the run.
     pub run: Run,
     /// Reason for which it ended.
-    pub how: How,
+    pub reason: EndReason,
     /// Newest checkpoint.
     pub checkpoint: Option<id::Checkpoint>,
 }
@@ -190,9 +190,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
     /// Start time of the answering incarnation, as Unix time in milliseconds, if the worker provides it.
-    pub born: Option<id::Incarnation>,
+    pub started_at: Option<id::Incarnation>,
     /// Time on the worker's clock when it answered.
-    pub clock: Stamp,
+    pub clock: Timestamp,
     /// All runs in progress.
     pub running: Vec<Running>,
     /// Unacknowledged ended runs in ascending order of their numbers; only the oldest if there are many.
@@ -206,28 +206,28 @@
         &self,
         target: &Target,
         start: Start,
-    ) -> impl Future<Output = Result<Stamp, Failure>> + Send;
+    ) -> impl Future<Output = Result<Timestamp, Failure>> + Send;
 
     /// Stops a run, or prevents it from ever starting. The run is reported as ended once it has stopped.
     fn stop(
         &self,
         target: &Target,
         run: Run,
-    ) -> impl Future<Output = Result<Stamp, Failure>> + Send;
+    ) -> impl Future<Output = Result<Timestamp, Failure>> + Send;
 
     /// Throttles a run to a percentage of its full speed.
-    fn pace(
+    fn set_speed_limit(
         &self,
         target: &Target,
         run: Run,
         percent: u8,
-    ) -> impl Future<Output = Result<Stamp, Failure>> + Send;
+    ) -> impl Future<Output = Result<Timestamp, Failure>> + Send;
 
     /// Extends the lease and returns the worker's report.
-    fn hold(
+    fn heartbeat(
         &self,
         target: &Target,
-        hold: Hold,
+        hold: Heartbeat,
     ) -> impl Future<Output = Result<Report, Failure>> + Send;
 }
 
--- a/crates/ports/src/job.rs
+++ b/crates/ports/src/job.rs
@@ -112,9 +112,9 @@
     pub image: Option<Arc<str>>,
     /// Upper bound on the tail latency of a latency-critical task.
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
-    pub target: Option<Duration>,
+    pub latency_target: Option<Duration>,
     /// Whether these are best-effort tasks, which use the processor time that others leave and reserve none.
-    pub fills: bool,
+    pub best_effort: bool,
     /// Disruption budget of a step of service tasks: the number of its tasks that the scheduler may
     /// make unavailable at once; `None` for no limit.
     pub max_unavailable: Option<u32>,
@@ -221,7 +221,7 @@
 
 /// Operation that a client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum Operation {
     /// Submits a job.
     Submit,
     /// Returns the state of a job.
@@ -234,15 +234,15 @@
     Other,
 }
 
-impl Asked {
+impl Operation {
     /// Returns the name used in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
-            Asked::Submit => "submit",
-            Asked::State => "state",
-            Asked::Cancel => "cancel",
-            Asked::Pending => "pending",
-            Asked::Other => "other",
+            Operation::Submit => "submit",
+            Operation::State => "state",
+            Operation::Cancel => "cancel",
+            Operation::Pending => "pending",
+            Operation::Other => "other",
         }
     }
 }
@@ -251,13 +251,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request {
     /// Requested operation.
-    pub asked: Asked,
+    pub operation: Operation,
     /// Job in the request path, if there is one.
     pub job: Option<JobId>,
 }
 
 /// Client API of a scheduler process.
-pub trait Desk: Clone + Send + Sync + 'static {
+pub trait ClientApi: Clone + Send + Sync + 'static {
     /// Returns the configuration in force, if one is known yet.
     fn config(&self) -> Option<Arc<Config>>;
 
@@ -284,5 +284,5 @@
     fn pending(&self, queue: &Queue) -> impl Future<Output = Result<u32, Rejection>> + Send;
 
     /// Records each answer in metrics and logs, including answers to requests that reached none of the other methods.
-    fn answered(&self, request: Request, outcome: Result<(), &Rejection>, took: Duration);
+    fn record_response(&self, request: Request, outcome: Result<(), &Rejection>, took: Duration);
 }
--- a/crates/ports/src/kv.rs
+++ b/crates/ports/src/kv.rs
@@ -29,7 +29,7 @@
     Compacted(Revision),
     /// The lease has expired or was revoked.
     #[error("the lease has lapsed")]
-    LeaseGone,
+    LeaseExpired,
     /// The store's answer violates its protocol.
     #[error("the store's answer can't be read: {0}")]
     Protocol(String),
@@ -59,7 +59,7 @@
 
 /// Condition under which a transaction is applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Guard {
+pub enum Precondition {
     /// The key doesn't exist.
     Missing(String),
     /// The key exists and was last changed at this revision.
@@ -91,14 +91,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
     /// Conditions that must all hold.
-    pub guards: Vec<Guard>,
+    pub preconditions: Vec<Precondition>,
     /// Changes made together in one revision.
     pub changes: Vec<Change>,
 }
 
 /// Outcome of a transaction that the store has decided.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct TxnOutcome {
     /// Whether the preconditions held and the changes were made.
     pub applied: bool,
     /// Revision of the store after the transaction.
@@ -139,7 +139,7 @@
     /// # Errors
     ///
     /// Returns `Unknown` if the transaction may have been applied.
-    fn commit(&self, txn: Txn) -> impl Future<Output = Result<Verdict, Error>> + Send;
+    fn commit(&self, txn: Txn) -> impl Future<Output = Result<TxnOutcome, Error>> + Send;
 
     /// Grants a lease that expires unless it is renewed.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId, Error>> + Send;
--- a/crates/ports/src/machine.rs
+++ b/crates/ports/src/machine.rs
@@ -12,7 +12,7 @@
 /// Name of a machine, independent of the worker that it runs.
 pub type Name = Arc<str>;
 /// Number of a maintenance rollout.
-pub type WaveNumber = u64;
+pub type RolloutNumber = u64;
 
 /// Current state of a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,15 +27,15 @@
 
 /// Maintenance rollout: an operator's request for maintenance of several machines.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wave {
+pub struct RolloutRequest {
     /// Number of the rollout.
-    pub number: WaveNumber,
+    pub number: RolloutNumber,
     /// Machines to maintain.
     pub machines: Vec<Name>,
     /// Time limit of the whole rollout.
     pub duration: Duration,
     /// Maximum number of the machines that may be unavailable at once.
-    pub cap: usize,
+    pub max_unavailable: usize,
 }
 
 /// Progress of a maintenance rollout, as reported to the operator.
@@ -60,7 +60,7 @@
     Busy,
     /// The rollout doesn't include the machine.
     #[error("the rollout doesn't include the machine")]
-    NotOfWave,
+    NotInRollout,
     /// There is no such machine.
     #[error("there is no such machine")]
     Missing,
@@ -87,10 +87,10 @@
     /// # Errors
     ///
     /// Returns the reason for which it did not begin; `Unknown` if it may have begun.
-    fn upkeep(
+    fn start_maintenance(
         &self,
         machine: &Name,
-        wave: WaveNumber,
+        wave: RolloutNumber,
         epoch: id::Epoch,
     ) -> impl Future<Output = Result<(), Failure>> + Send;
 }
--- a/crates/ports/src/peer.rs
+++ b/crates/ports/src/peer.rs
@@ -112,7 +112,7 @@
     /// Incarnation of the instance.
     pub incarnation: Incarnation,
     /// Start time of the process in Unix microseconds; each start numbers its requests anew.
-    pub life: u64,
+    pub started_at: u64,
     /// Number of the request within the process, which distinguishes two requests with the same key.
     pub request: Request,
 }
--- a/crates/resource/src/check.rs
+++ b/crates/resource/src/check.rs
@@ -108,7 +108,7 @@
         name("team.shares", domain)?;
         sum = sum.plus(*share);
     }
-    if sum.fits(spec.quota) {
+    if sum.fits_within(spec.quota) {
         return Ok(());
     }
     Err(Error::new(
--- a/crates/standin/src/backend/server.rs
+++ b/crates/standin/src/backend/server.rs
@@ -24,11 +24,11 @@
 
 use crate::backend::body::pattern;
 use crate::backend::body::truncated;
+use crate::backend::directive::Break;
+use crate::backend::directive::Directive;
+use crate::backend::directive::ID_HEADER;
 use crate::backend::log::Entry;
 use crate::backend::log::Log;
-use crate::backend::order::Break;
-use crate::backend::order::Directive;
-use crate::backend::order::ID_HEADER;
 use crate::backend::plan::Plan;
 use crate::backend::runs::Runs;
 use crate::backend::slots::Slots;
@@ -242,7 +242,7 @@
             .status(StatusCode::SERVICE_UNAVAILABLE)
             .header(NOT_RUN_HEADER, "true")
             .header(RETRY_AFTER, RETRY_AFTER_SECONDS)
-            .body("all slots are taken\n")
+            .body("every slot is taken\n")
     }
 
     fn show_log(&self) -> Response {
--- a/crates/standin/src/control.rs
+++ b/crates/standin/src/control.rs
@@ -12,17 +12,17 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::fault::Cut;
 use crate::fault::Fault;
+use crate::fault::Partition;
 use crate::fault::Target;
 use crate::platform::Platform;
 use crate::standin::Addresses;
 
-/// Sets a fault: POST an [`Order`].
+/// Sets a fault: POST an [`Injection`].
 pub const FAULT: &str = "/standin/fault";
-/// Starts a network partition: POST a [`Cut`].
+/// Starts a network partition: POST a [`Partition`].
 pub const CUT: &str = "/standin/cut";
-/// Ends a network partition: POST a [`Cut`].
+/// Ends a network partition: POST a [`Partition`].
 pub const HEAL: &str = "/standin/heal";
 /// Shows the counts of all servers.
 pub const REPORT: &str = "/standin/report";
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Order {
+pub struct Injection {
     /// The target.
     pub target: Target,
     /// The fault. If it is left out, the target becomes healthy.
@@ -72,7 +72,7 @@
 impl Handler {
     async fn execute(&self, path: &str, body: &[u8]) -> Response {
         match path {
-            FAULT => match parse::<Order>(body) {
+            FAULT => match parse::<Injection>(body) {
                 Ok(order) => respond(self.platform.set_fault(&order.target, &order.fault).await),
                 Err(error) => bad_request(&error),
             },
@@ -82,7 +82,7 @@
         }
     }
 
-    fn cut(&self, body: &[u8], apply: impl FnOnce(Cut)) -> Response {
+    fn cut(&self, body: &[u8], apply: impl FnOnce(Partition)) -> Response {
         match parse(body) {
             Ok(cut) => {
                 apply(cut);
--- a/crates/standin/src/fault.rs
+++ b/crates/standin/src/fault.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use serde_with::serde_as;
 
-/// The side of the store and the list in a [`Cut`].
+/// The side of the store and the list in a [`Partition`].
 pub const PLATFORM: &str = "platform";
 
 /// The servers that a fault applies to.
@@ -90,16 +90,16 @@
 /// A network partition between two sides: failure domains, or a failure domain and [`PLATFORM`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Serialize, Deserialize)]
-pub struct Cut {
+pub struct Partition {
     /// One side.
     pub a: Domain,
     /// The other side.
     pub b: Domain,
 }
 
-impl Cut {
+impl Partition {
     /// Returns the cut with its sides sorted, since a cut has no direction.
-    pub(crate) fn ordered(self) -> Cut {
-        if self.a <= self.b { self } else { Cut { a: self.b, b: self.a } }
+    pub(crate) fn ordered(self) -> Partition {
+        if self.a <= self.b { self } else { Partition { a: self.b, b: self.a } }
     }
 }
--- a/crates/standin/src/injector.rs
+++ b/crates/standin/src/injector.rs
@@ -12,28 +12,28 @@
 use cowslipchute_base::id::Domain;
 use tokio::sync::watch;
 
-use crate::fault::Cut;
 use crate::fault::Fault;
+use crate::fault::Partition;
 use crate::fault::State;
 
 /// The network partitions in force.
 #[derive(Debug, Default)]
 pub struct Cuts {
     any: AtomicBool,
-    cuts: RwLock<BTreeSet<Cut>>,
+    cuts: RwLock<BTreeSet<Partition>>,
     changed: watch::Sender<()>,
 }
 
 impl Cuts {
     /// Starts a network partition between two sides.
-    pub fn cut(&self, cut: Cut) {
+    pub fn cut(&self, cut: Partition) {
         self.cuts.write().expect("no lock holder panics").insert(cut.ordered());
         self.any.store(true, Ordering::Release);
         self.changed.send_replace(());
     }
 
     /// Ends a network partition.
-    pub fn heal(&self, cut: Cut) {
+    pub fn heal(&self, cut: Partition) {
         let mut cuts = self.cuts.write().expect("no lock holder panics");
         cuts.remove(&cut.ordered());
         self.any.store(!cuts.is_empty(), Ordering::Release);
@@ -41,12 +41,12 @@
     }
 
     /// Lists the network partitions in force.
-    pub fn list(&self) -> Vec<Cut> {
+    pub fn list(&self) -> Vec<Partition> {
         self.cuts.read().expect("no lock holder panics").iter().cloned().collect()
     }
 
     fn is_cut(&self, a: &Domain, b: &Domain) -> bool {
-        let cut = Cut { a: a.clone(), b: b.clone() }.ordered();
+        let cut = Partition { a: a.clone(), b: b.clone() }.ordered();
         self.any.load(Ordering::Acquire)
             && self.cuts.read().expect("no lock holder panics").contains(&cut)
     }
--- a/crates/standin/src/kv/server.rs
+++ b/crates/standin/src/kv/server.rs
@@ -178,7 +178,7 @@
             }
             _ => Err(wire::Failure {
                 code: wire::CODE_NOT_FOUND,
-                message: format!("unknown path {path}"),
+                message: format!("there is no {path}"),
             }),
         }
     }
--- a/crates/standin/src/kv/state.rs
+++ b/crates/standin/src/kv/state.rs
@@ -152,7 +152,7 @@
 
     fn validate(&self, step: &wire::txn::Step) -> Result<(), wire::Failure> {
         let Some(put) = &step.request_put else { return Ok(()) };
-        if put.value.len() > wire::VALUE_LIMIT {
+        if put.value.len() > wire::VALUE_MAX_BYTES {
             return Err(failure(wire::CODE_INVALID, wire::TOO_LARGE));
         }
         if put.lease != 0 && !self.leases.contains_key(&put.lease) {
--- a/crates/standin/src/list/server.rs
+++ b/crates/standin/src/list/server.rs
@@ -9,8 +9,8 @@
 use cowslipchute_base::id::Domain;
 use cowslipchute_base::id::Instance;
 use cowslipchute_daemon::clock::Clock;
-use cowslipchute_gateway::list::INSTANCES;
-use cowslipchute_gateway::list::tag;
+use cowslipchute_gateway::list::INSTANCES_PATH;
+use cowslipchute_gateway::list::entity_tag;
 use cowslipchute_ports::list;
 use poem::Endpoint;
 use poem::Request;
@@ -124,10 +124,10 @@
 
     fn handle(&self, request: &Request, body: &[u8]) -> Response {
         let path = request.uri().path();
-        if path == INSTANCES && request.method() == Method::GET {
+        if path == INSTANCES_PATH && request.method() == Method::GET {
             return self.read(request);
         }
-        let name = path.strip_prefix(INSTANCES).and_then(|rest| rest.strip_prefix('/'));
+        let name = path.strip_prefix(INSTANCES_PATH).and_then(|rest| rest.strip_prefix('/'));
         match (request.method(), name) {
             (&Method::PUT, Some(name)) => self.register(name, body),
             (&Method::POST, Some(name)) => match serde_json::from_slice::<Change>(body) {
@@ -149,7 +149,7 @@
             .collect();
         // Both are read at the same time, so that the tag belongs to the view.
         let (state, now) = (self.lock(), self.clock.now());
-        let tag = tag(state.version(now));
+        let tag = entity_tag(state.version(now));
         if request.header(IF_NONE_MATCH).is_some_and(|known| contains_tag(known, &tag)) {
             return Response::builder().status(StatusCode::NOT_MODIFIED).header(ETAG, tag).finish();
         }
@@ -166,7 +166,7 @@
                 self.put(member);
                 found_response(true)
             }
-            Ok(_) => bad_request("the member's name differs from the name in the path"),
+            Ok(_) => bad_request("the member has another name than the path"),
             Err(error) => bad_request(&error.to_string()),
         }
     }
--- a/crates/standin/src/report.rs
+++ b/crates/standin/src/report.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use crate::backend;
-use crate::fault::Cut;
+use crate::fault::Partition;
 use crate::kv;
 use crate::worker;
 
@@ -37,5 +37,5 @@
     /// The runs of tasks, by outcome.
     pub tasks: worker::ledger::Count,
     /// The network partitions in force.
-    pub cuts: Vec<Cut>,
+    pub cuts: Vec<Partition>,
 }
--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -66,18 +66,18 @@
     /// Tasks whose completion was acknowledged.
     acknowledged: BTreeSet<TaskId>,
     /// Entries that other writers put among the workers' entries, by key.
-    pub strays: BTreeMap<String, String>,
+    pub foreign_entries: BTreeMap<String, String>,
     /// Tasks that crash their workers.
     pub crashes: Crashes,
     /// Workers that are down, with the time at which they restart under their names.
     restarts: BTreeMap<String, Time>,
     /// Jobs with a task whose worker was restarted right after the task's start, so that the task
     /// may appear to have crashed it.
-    pub unlucky: BTreeSet<JobId>,
+    pub crash_suspects: BTreeSet<JobId>,
     /// Failure domains that the operator has evacuated.
     pub evacuations: Evacuations,
     /// Violated guarantees.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 impl State {
@@ -92,14 +92,14 @@
         let mut running: BTreeMap<TaskId, String> = BTreeMap::new();
         for worker in self.workers.values_mut() {
             worker.advance(now);
-            let finished = std::mem::take(&mut worker.finished);
+            let finished = std::mem::take(&mut worker.completed);
             self.finished.extend(finished.into_iter().map(|run| run.task));
             for run in worker.active.keys() {
                 if let Some(other) = running.insert(run.task, worker.name.to_string()) {
                     let text =
                         format!("{} runs twice at once, on {other} and {}", run.task, worker.name);
-                    if !self.broken.contains(&text) {
-                        self.broken.push(text);
+                    if !self.violations.contains(&text) {
+                        self.violations.push(text);
                     }
                 }
             }
@@ -112,7 +112,7 @@
     /// workers whose down time is over.
     fn advance_crashes(&mut self, now: Time) {
         for (machine, worker) in &mut self.workers {
-            if let Some(task) = worker.crashing(&self.crashes.culprits, now) {
+            if let Some(task) = worker.crashing_task(&self.crashes.crashing_tasks, now) {
                 worker.up = false;
                 worker.active.clear();
                 self.crashes.crash(machine, task, now);
@@ -147,8 +147,9 @@
     fn restart(&mut self, machine: &str, down: Duration) {
         let now = self.now();
         let Some(worker) = self.workers.get_mut(machine).filter(|worker| worker.up) else { return };
-        let recent = worker.active.iter().filter(|(_, active)| now < active.since + START_WINDOW);
-        self.unlucky.extend(recent.map(|(run, _)| run.task.job));
+        let recent =
+            worker.active.iter().filter(|(_, active)| now < active.started_at + START_WINDOW);
+        self.crash_suspects.extend(recent.map(|(run, _)| run.task.job));
         worker.up = false;
         worker.active.clear();
         self.restarts.insert(machine.to_owned(), now + down);
@@ -161,7 +162,7 @@
         let now = self.now();
         let Some(old) = self.workers.get(machine) else { return };
         let mut replacement = Worker::open(&name, old.capacity, &old.rack.clone());
-        replacement.updated = now;
+        replacement.advanced_to = now;
         replacement.domain = old.domain.clone();
         self.workers.insert(machine.to_owned(), replacement);
         self.write_entries();
@@ -190,14 +191,14 @@
                         "gpu": worker.capacity.accelerators,
                     },
                     "labels": ["a", &*worker.rack],
-                    "born": worker.born,
+                    "born": worker.start_time_ms,
                     "clock-ms": worker.clock(now),
                     "sequence": now.as_millis() as u64,
                 });
                 (format!("servers/{}", worker.name), entry.to_string())
             })
             .collect();
-        let strays = self.strays.iter().map(|(key, value)| (key.clone(), value.clone()));
+        let strays = self.foreign_entries.iter().map(|(key, value)| (key.clone(), value.clone()));
         let entries: Vec<(String, String)> = entries.into_iter().chain(strays).collect();
         let live: BTreeSet<String> = entries.iter().map(|(key, _)| key.clone()).collect();
         for key in self.store.keys("servers/") {
@@ -235,12 +236,12 @@
         started: BTreeSet::new(),
         finished: BTreeSet::new(),
         acknowledged: BTreeSet::new(),
-        strays: BTreeMap::new(),
+        foreign_entries: BTreeMap::new(),
         crashes: Crashes::default(),
         restarts: BTreeMap::new(),
-        unlucky: BTreeSet::new(),
+        crash_suspects: BTreeSet::new(),
         evacuations: Evacuations::default(),
-        broken: Vec::new(),
+        violations: Vec::new(),
     };
     let state = Arc::new(Mutex::new(state));
     let store = serve(store::routes(state.clone())).await?;
@@ -291,7 +292,7 @@
         let address = serve(routes).await?;
         let mut state = self.lock();
         let mut worker = Worker::open(machine, capacity, rack);
-        worker.updated = state.now();
+        worker.advanced_to = state.now();
         state.workers.insert(machine.to_owned(), worker);
         state.addresses.insert(machine.to_owned(), address);
         state.write_entries();
@@ -329,14 +330,14 @@
 
     /// Sets the address that the directory lists for a machine's worker, for example that of a
     /// proxy.
-    pub fn name_address(&self, machine: &str, address: SocketAddr) {
+    pub fn set_address(&self, machine: &str, address: SocketAddr) {
         let mut state = self.lock();
         state.addresses.insert(machine.to_owned(), address);
         state.write_entries();
     }
 
     /// Replaces a machine's worker by a new one with a new name.
-    pub fn rebirth(&self, machine: &str) {
+    pub fn replace_worker(&self, machine: &str) {
         self.lock().replace_worker(machine);
     }
 
--- a/crates/standin/src/site/crashes.rs
+++ b/crates/standin/src/site/crashes.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Crashes {
     /// The delay between the start of each crashing task and the crash of its worker.
-    pub culprits: BTreeMap<TaskId, Duration>,
+    pub crashing_tasks: BTreeMap<TaskId, Duration>,
     /// The number of workers that each has crashed.
     pub crash_counts: BTreeMap<TaskId, u32>,
     /// The runs of each that were started after it had to be given up.
@@ -64,7 +64,7 @@
     }
 
     /// Returns the highest number of workers that one task has crashed.
-    pub fn most(&self) -> u32 {
+    pub fn max_count(&self) -> u32 {
         self.crash_counts.values().copied().max().unwrap_or(0)
     }
 }
--- a/crates/standin/src/site/serving.rs
+++ b/crates/standin/src/site/serving.rs
@@ -24,37 +24,37 @@
     /// The mean load by their own users, in percent.
     pub load: u32,
     /// The amplitude of the load's sine wave, in percent.
-    pub swing: u32,
+    pub amplitude: u32,
     /// The period of the sine wave.
     pub period: Duration,
     /// The error of reported tail latencies, alternately above and below, in percent.
-    pub rough: u32,
+    pub error_percent: u32,
     /// The fraction of capacity that a best-effort image adds to the load of the worker's tasks if
     /// it uses all processors; 1 for an image that isn't listed.
-    pub presses: BTreeMap<String, f64>,
+    pub interference_weights: BTreeMap<String, f64>,
     /// The reported tail latency of each task, in seconds.
     reported: BTreeMap<Run, f64>,
     /// The time for which each task has been violating its target without interruption because of
     /// best-effort tasks.
     violating: BTreeMap<Run, Duration>,
     /// The longest uninterrupted violation.
-    pub longest: Duration,
+    pub longest_violation: Duration,
     /// The total time of all violations.
-    pub harmed: Duration,
+    pub total_violation: Duration,
 }
 
 impl Default for Serving {
     fn default() -> Serving {
         Serving {
             load: DEFAULT_LOAD_PERCENT,
-            swing: 0,
+            amplitude: 0,
             period: Duration::from_secs(20),
-            rough: 0,
-            presses: BTreeMap::new(),
+            error_percent: 0,
+            interference_weights: BTreeMap::new(),
             reported: BTreeMap::new(),
             violating: BTreeMap::new(),
-            longest: Duration::ZERO,
-            harmed: Duration::ZERO,
+            longest_violation: Duration::ZERO,
+            total_violation: Duration::ZERO,
         }
     }
 }
@@ -63,11 +63,11 @@
     /// Returns the load by the tasks' own users, as a fraction of their capacity.
     fn own_load(&self, now: Time) -> f64 {
         let turn = now.as_secs_f64() / self.period.as_secs_f64() * std::f64::consts::TAU;
-        (f64::from(self.load) + f64::from(self.swing) * turn.sin()) / 100.0
+        (f64::from(self.load) + f64::from(self.amplitude) * turn.sin()) / 100.0
     }
 
     fn interference(&self, best_effort: &[(String, f64)]) -> f64 {
-        let factor = |image: &str| self.presses.get(image).copied().unwrap_or(1.0);
+        let factor = |image: &str| self.interference_weights.get(image).copied().unwrap_or(1.0);
         best_effort.iter().map(|(image, fraction)| factor(image) * fraction).sum()
     }
 
@@ -75,7 +75,7 @@
     pub fn reported(&self, run: Run, now: Time) -> Duration {
         let tail = self.reported.get(&run).copied().unwrap_or_default();
         let turn = now.as_millis() / REPORT_WINDOW.as_millis();
-        let error = f64::from(self.rough) / 100.0;
+        let error = f64::from(self.error_percent) / 100.0;
         Duration::from_secs_f64(
             tail * if turn.is_multiple_of(2) { 1.0 + error } else { 1.0 - error },
         )
@@ -108,7 +108,7 @@
         }
         let stretch = self.violating.entry(run).or_default();
         *stretch += elapsed;
-        self.longest = self.longest.max(*stretch);
-        self.harmed += elapsed;
+        self.longest_violation = self.longest_violation.max(*stretch);
+        self.total_violation += elapsed;
     }
 }
--- a/crates/standin/src/site/store.rs
+++ b/crates/standin/src/site/store.rs
@@ -52,7 +52,7 @@
 
 /// The way in which the store responds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum Mode {
     /// It responds normally.
     #[default]
     Well,
@@ -73,7 +73,7 @@
     leases: BTreeMap<i64, (Instant, Duration)>,
     last_lease: i64,
     /// The way in which it responds.
-    pub mood: Mood,
+    pub mode: Mode,
     /// The delay of each response.
     pub delay: Duration,
     /// Calls so far.
@@ -134,7 +134,7 @@
     }
 
     /// Expires every lease now, as an outage may.
-    pub fn lapse(&mut self) {
+    pub fn expire_all_leases(&mut self) {
         let all: Vec<i64> = self.leases.keys().copied().collect();
         for lease in all {
             self.remove_lease(lease);
@@ -196,14 +196,14 @@
                 let mut state = state.lock().expect("no server of the site has panicked");
                 state.store.calls += 1;
                 state.store.expire_leases();
-                (state.store.mood, state.store.delay)
+                (state.store.mode, state.store.delay)
             };
             tokio::time::sleep(delay).await;
-            if mood == Mood::Busy {
+            if mood == Mode::Busy {
                 return Ok(reply(StatusCode::SERVICE_UNAVAILABLE, &json!({})));
             }
             let response = routes.call(request).await?;
-            if mood == Mood::Silent {
+            if mood == Mode::Silent {
                 std::future::pending::<()>().await;
             }
             Ok(poem::IntoResponse::into_response(response))
--- a/crates/standin/src/site/worker.rs
+++ b/crates/standin/src/site/worker.rs
@@ -8,16 +8,16 @@
 use cowslipchute_base::amount::Amount;
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
+use cowslipchute_ports::executor::EndReason;
 use cowslipchute_ports::executor::Ended;
 use cowslipchute_ports::executor::Failure;
-use cowslipchute_ports::executor::Hold;
-use cowslipchute_ports::executor::How;
+use cowslipchute_ports::executor::Heartbeat;
 use cowslipchute_ports::executor::Refusal;
 use cowslipchute_ports::executor::Report;
 use cowslipchute_ports::executor::Run;
 use cowslipchute_ports::executor::Running;
-use cowslipchute_ports::executor::Stamp;
 use cowslipchute_ports::executor::Start;
+use cowslipchute_ports::executor::Timestamp;
 use cowslipchute_ports::job::Step;
 use cowslipchute_ports::job::TaskId;
 
@@ -30,9 +30,9 @@
 /// The maximum time from now to an accepted lease deadline.
 const MAX_LEASE: Duration = Duration::from_secs(10);
 /// The reading of the clock of a worker of the initial incarnation at time zero.
-const CLOCK_START: Stamp = 400_000;
+const CLOCK_START: Timestamp = 400_000;
 /// The failure domain of workers for which none is set.
-pub const FIRST_DOMAIN: &str = "d1";
+pub const DEFAULT_DOMAIN: &str = "d1";
 /// The start time of workers of the initial incarnation, in Unix milliseconds.
 const INITIAL_START_MS: id::Incarnation = 1_780_000_000_000;
 
@@ -42,20 +42,20 @@
     /// The specification of its step.
     pub step: Step,
     /// The time at which it started.
-    pub since: Time,
+    pub started_at: Time,
     /// The work done before its start, from its checkpoint.
-    pub before: Duration,
+    pub resumed_work: Duration,
     /// Its total work.
     pub work: Duration,
     /// Its speed limit, in percent of full speed.
-    pub pace: u8,
+    pub speed_percent: u8,
     /// The work done since its start, at the speed limits that it had.
-    pub done: Duration,
+    pub work_done: Duration,
     /// The time and kind of its end, once it was stopped or its lease has expired. Until then it
     /// continues to work and is listed neither as running nor as ended.
-    pub ending: Option<(Time, How)>,
+    pub ending: Option<(Time, EndReason)>,
     /// Whether it waits for the other members of its gang.
-    pub alone: bool,
+    pub waits_for_gang: bool,
 }
 
 /// A worker in one incarnation.
@@ -64,9 +64,9 @@
     /// Its name, which it keeps after a restart.
     pub name: id::Instance,
     /// Its start time, in Unix milliseconds.
-    pub born: id::Incarnation,
+    pub start_time_ms: id::Incarnation,
     /// Whether it reports its start time.
-    pub tells_start: bool,
+    pub reports_start: bool,
     /// Its start time, in the caller's time.
     started_at: Time,
     /// Its capacity.
@@ -80,30 +80,30 @@
     /// Whether the directory lists it.
     pub listed: bool,
     /// Whether the network drops its commands and responses.
-    pub cut: bool,
+    pub partitioned: bool,
     /// Whether it is draining.
     pub draining: bool,
     /// Whether it refuses starts that exceed its capacity.
-    pub guards: bool,
+    pub checks_capacity: bool,
     /// Whether it fails every run.
-    pub fails: bool,
+    pub fails_runs: bool,
     /// Whether its runs make no progress.
-    pub hangs: bool,
+    pub stalls_runs: bool,
     /// The factor by which work takes longer.
-    pub slow: u32,
+    pub slow_factor: u32,
     /// The load and latency of its latency-critical tasks.
     pub serving: Serving,
     /// The number of next commands whose responses are lost after they were carried out.
-    pub lose: u32,
+    pub lost_responses: u32,
     /// The number of next commands that get no response, and the delay after which they are carried
     /// out.
-    pub late: (u32, Duration),
+    pub delayed_commands: (u32, Duration),
     /// The same for heartbeats.
-    pub late_holds: (u32, Duration),
+    pub delayed_heartbeats: (u32, Duration),
     /// The highest epoch that it has seen.
     pub epoch: id::Epoch,
     /// The lease deadline. All runs are killed once its clock has passed it.
-    pub deadline: Stamp,
+    pub deadline: Timestamp,
     /// The active runs.
     pub active: BTreeMap<Run, Active>,
     /// The ends that haven't been acknowledged.
@@ -111,11 +111,11 @@
     /// The number of the next end.
     pub next_end_number: u64,
     /// The highest attempt of each task that has ended or was stopped here.
-    pub highest: BTreeMap<TaskId, id::Attempt>,
+    pub highest_attempts: BTreeMap<TaskId, id::Attempt>,
     /// The completed runs, for the checks of tests.
-    pub finished: BTreeSet<Run>,
+    pub completed: BTreeSet<Run>,
     /// The time to which the worker was last advanced.
-    pub updated: Time,
+    pub advanced_to: Time,
 }
 
 impl Worker {
@@ -123,32 +123,32 @@
     pub fn open(name: &str, capacity: Amount, rack: &str) -> Worker {
         Worker {
             name: name.into(),
-            born: INITIAL_START_MS,
-            tells_start: true,
+            start_time_ms: INITIAL_START_MS,
+            reports_start: true,
             started_at: Time::ZERO,
             capacity,
             rack: rack.into(),
-            domain: FIRST_DOMAIN.into(),
+            domain: DEFAULT_DOMAIN.into(),
             up: true,
             listed: true,
-            cut: false,
+            partitioned: false,
             draining: false,
-            guards: true,
-            fails: false,
-            hangs: false,
-            slow: 1,
+            checks_capacity: true,
+            fails_runs: false,
+            stalls_runs: false,
+            slow_factor: 1,
             serving: Serving::default(),
-            lose: 0,
-            late: (0, Duration::ZERO),
-            late_holds: (0, Duration::ZERO),
+            lost_responses: 0,
+            delayed_commands: (0, Duration::ZERO),
+            delayed_heartbeats: (0, Duration::ZERO),
             epoch: 0,
             deadline: 0,
             active: BTreeMap::new(),
             ended: Vec::new(),
             next_end_number: 1,
-            highest: BTreeMap::new(),
-            finished: BTreeSet::new(),
-            updated: Time::ZERO,
+            highest_attempts: BTreeMap::new(),
+            completed: BTreeSet::new(),
+            advanced_to: Time::ZERO,
         }
     }
 
@@ -156,48 +156,48 @@
     #[must_use]
     pub fn restarted(&self, now: Time) -> Worker {
         Worker {
-            born: INITIAL_START_MS + now.as_millis() as id::Incarnation,
+            start_time_ms: INITIAL_START_MS + now.as_millis() as id::Incarnation,
             started_at: now,
-            tells_start: self.tells_start,
-            guards: self.guards,
-            cut: self.cut,
+            reports_start: self.reports_start,
+            checks_capacity: self.checks_capacity,
+            partitioned: self.partitioned,
             listed: self.listed,
             domain: self.domain.clone(),
-            updated: now,
+            advanced_to: now,
             ..Worker::open(&self.name, self.capacity, &self.rack)
         }
     }
 
     /// Returns its start time as it reports it.
-    pub fn told_start(&self) -> Option<id::Incarnation> {
-        self.tells_start.then_some(self.born)
+    pub fn reported_start(&self) -> Option<id::Incarnation> {
+        self.reports_start.then_some(self.start_time_ms)
     }
 
     /// Returns the reading of the worker's clock, which runs 2 percent slow.
-    pub fn clock(&self, now: Time) -> Stamp {
-        let since = now.saturating_sub(self.started_at).mul_f64(0.98).as_millis() as Stamp;
+    pub fn clock(&self, now: Time) -> Timestamp {
+        let since = now.saturating_sub(self.started_at).mul_f64(0.98).as_millis() as Timestamp;
         // Only the initial incarnation was started before time zero.
         if self.started_at.is_zero() { CLOCK_START + since } else { since }
     }
 
-    fn end(&mut self, run: Run, how: How) {
+    fn end(&mut self, run: Run, how: EndReason) {
         let Some(active) = self.active.remove(&run) else { return };
-        let highest = self.highest.entry(run.task).or_insert(0);
+        let highest = self.highest_attempts.entry(run.task).or_insert(0);
         *highest = (*highest).max(run.attempt);
-        if how == How::Done {
-            self.finished.insert(run);
+        if how == EndReason::Done {
+            self.completed.insert(run);
         }
-        let total = active.before + active.done;
+        let total = active.resumed_work + active.work_done;
         let checkpoint = (active.step.checkpointing && !total.is_zero())
             .then(|| format!("{}:{}", run.task, total.as_millis()).into());
-        self.ended.push(Ended { number: self.next_end_number, run, how, checkpoint });
+        self.ended.push(Ended { number: self.next_end_number, run, reason: how, checkpoint });
         self.next_end_number += 1;
     }
 
     /// Advances the worker to a time.
     pub fn advance(&mut self, now: Time) {
-        let elapsed = now.saturating_sub(self.updated);
-        self.updated = now;
+        let elapsed = now.saturating_sub(self.advanced_to);
+        self.advanced_to = now;
         if !self.up {
             return;
         }
@@ -205,15 +205,16 @@
         let expired = self.clock(now) > self.deadline;
         let runs: Vec<Run> = self.active.keys().copied().collect();
         for run in runs {
-            let (fails, hangs, slow) = (self.fails, self.hangs, self.slow);
+            let (fails, hangs, slow) = (self.fails_runs, self.stalls_runs, self.slow_factor);
             let Some(active) = self.active.get_mut(&run) else { continue };
-            if !hangs && !active.alone {
-                active.done += elapsed * u32::from(active.pace) / 100 / slow;
+            if !hangs && !active.waits_for_gang {
+                active.work_done += elapsed * u32::from(active.speed_percent) / 100 / slow;
             }
-            let done = active.before + active.done >= active.work && !active.step.long_running;
-            let gang_timed_out = active.alone && now >= active.since + GANG_TIMEOUT;
+            let done =
+                active.resumed_work + active.work_done >= active.work && !active.step.long_running;
+            let gang_timed_out = active.waits_for_gang && now >= active.started_at + GANG_TIMEOUT;
             if expired {
-                active.ending.get_or_insert((now + STOP_TIME, How::Lapsed));
+                active.ending.get_or_insert((now + STOP_TIME, EndReason::LeaseExpired));
             }
             let ending = active.ending;
             if let Some((at, how)) = ending {
@@ -221,11 +222,11 @@
                     self.end(run, how);
                 }
             } else if fails {
-                self.end(run, How::Failed);
+                self.end(run, EndReason::Failed);
             } else if gang_timed_out {
-                self.end(run, How::Alone);
+                self.end(run, EndReason::GangTimeout);
             } else if done {
-                self.end(run, How::Done);
+                self.end(run, EndReason::Done);
             }
         }
     }
@@ -233,7 +234,7 @@
     fn reserved(&self) -> Amount {
         self.active.values().fold(Amount::ZERO, |sum, active| {
             let mut demand = active.step.demand;
-            if active.step.fills {
+            if active.step.best_effort {
                 demand.cpu_milli = 0;
             }
             sum.plus(demand)
@@ -252,8 +253,8 @@
         Ok(())
     }
 
-    fn extend(&mut self, deadline: Stamp, now: Time) {
-        let limit = self.clock(now) + MAX_LEASE.as_millis() as Stamp;
+    fn extend(&mut self, deadline: Timestamp, now: Time) {
+        let limit = self.clock(now) + MAX_LEASE.as_millis() as Timestamp;
         self.deadline = self.deadline.max(deadline.min(limit));
     }
 
@@ -269,36 +270,40 @@
         step: &Step,
         work: Duration,
         now: Time,
-    ) -> Result<Stamp, Failure> {
+    ) -> Result<Timestamp, Failure> {
         self.admit(epoch, now)?;
         if self.active.contains_key(&start.run) {
             return Ok(self.clock(now));
         }
-        if self.highest.get(&start.run.task).is_some_and(|&highest| start.run.attempt <= highest) {
-            return Err(self.refused(Refusal::Old, now));
+        if self
+            .highest_attempts
+            .get(&start.run.task)
+            .is_some_and(|&highest| start.run.attempt <= highest)
+        {
+            return Err(self.refused(Refusal::Stale, now));
         }
         if start.deadline < self.clock(now) {
-            return Err(self.refused(Refusal::Late, now));
+            return Err(self.refused(Refusal::LeaseExpired, now));
         }
         self.extend(start.deadline, now);
         let mut demand = step.demand;
-        if step.fills {
+        if step.best_effort {
             demand.cpu_milli = 0;
         }
-        if self.guards && !self.reserved().plus(demand).fits(self.capacity) {
-            return Err(self.refused(Refusal::Room, now));
+        if self.checks_capacity && !self.reserved().plus(demand).fits_within(self.capacity) {
+            return Err(self.refused(Refusal::NoCapacity, now));
         }
         let before = start.checkpoint.as_ref().and_then(|text| text.rsplit(':').next());
         let before = before.and_then(|text| text.parse().ok()).map(Duration::from_millis);
         let active = Active {
             step: step.clone(),
-            since: now,
-            before: before.unwrap_or_default(),
+            started_at: now,
+            resumed_work: before.unwrap_or_default(),
             work,
-            pace: 100,
-            done: Duration::ZERO,
+            speed_percent: 100,
+            work_done: Duration::ZERO,
             ending: None,
-            alone: step.gang,
+            waits_for_gang: step.gang,
         };
         self.active.insert(start.run, active);
         Ok(self.clock(now))
@@ -309,14 +314,14 @@
     /// # Errors
     ///
     /// Fails if the epoch is too low.
-    pub fn stop(&mut self, epoch: id::Epoch, run: Run, now: Time) -> Result<Stamp, Failure> {
+    pub fn stop(&mut self, epoch: id::Epoch, run: Run, now: Time) -> Result<Timestamp, Failure> {
         self.admit(epoch, now)?;
         match self.active.get_mut(&run) {
             Some(active) => {
-                active.ending.get_or_insert((now + STOP_TIME, How::Stopped));
+                active.ending.get_or_insert((now + STOP_TIME, EndReason::Stopped));
             }
             None => {
-                let highest = self.highest.entry(run.task).or_insert(0);
+                let highest = self.highest_attempts.entry(run.task).or_insert(0);
                 *highest = (*highest).max(run.attempt);
             }
         }
@@ -328,16 +333,16 @@
     /// # Errors
     ///
     /// Fails if the epoch is too low.
-    pub fn pace(
+    pub fn set_speed_limit(
         &mut self,
         epoch: id::Epoch,
         run: Run,
         percent: u8,
         now: Time,
-    ) -> Result<Stamp, Failure> {
+    ) -> Result<Timestamp, Failure> {
         self.admit(epoch, now)?;
         if let Some(active) = self.active.get_mut(&run) {
-            active.pace = percent;
+            active.speed_percent = percent;
         }
         Ok(self.clock(now))
     }
@@ -348,7 +353,12 @@
     /// # Errors
     ///
     /// Fails if the epoch is too low.
-    pub fn hold(&mut self, epoch: id::Epoch, hold: &Hold, now: Time) -> Result<Report, Failure> {
+    pub fn heartbeat(
+        &mut self,
+        epoch: id::Epoch,
+        hold: &Heartbeat,
+        now: Time,
+    ) -> Result<Report, Failure> {
         self.admit(epoch, now)?;
         if let Some(deadline) = hold.deadline {
             self.extend(deadline, now);
@@ -360,12 +370,13 @@
     /// Returns the image of each best-effort run with the fraction of the worker's processors that
     /// it uses.
     fn best_effort_usage(&self) -> Vec<(String, f64)> {
-        let best_effort = self.active.values().filter(|active| active.step.fills);
+        let best_effort = self.active.values().filter(|active| active.step.best_effort);
         best_effort
             .map(|active| {
                 let image = active.step.image.as_deref().unwrap_or_default().to_owned();
                 let milli =
-                    f64::from(active.step.demand.cpu_milli * u32::from(active.pace)) / 100.0;
+                    f64::from(active.step.demand.cpu_milli * u32::from(active.speed_percent))
+                        / 100.0;
                 (image, milli / f64::from(self.capacity.cpu_milli))
             })
             .collect()
@@ -374,7 +385,7 @@
     fn advance_serving(&mut self, now: Time, elapsed: Duration) {
         let best_effort = self.best_effort_usage();
         for (run, active) in &self.active {
-            if let Some(target) = active.step.target {
+            if let Some(target) = active.step.latency_target {
                 self.serving.advance(*run, target, &best_effort, now, elapsed);
             }
         }
@@ -382,9 +393,13 @@
 
     /// Returns a task that crashes the worker now: one that has run for its delay in
     /// `crash_delays`.
-    pub fn crashing(&self, crash_delays: &BTreeMap<TaskId, Duration>, now: Time) -> Option<TaskId> {
+    pub fn crashing_task(
+        &self,
+        crash_delays: &BTreeMap<TaskId, Duration>,
+        now: Time,
+    ) -> Option<TaskId> {
         let due = |run: &Run, active: &Active| {
-            crash_delays.get(&run.task).is_some_and(|&after| now >= active.since + after)
+            crash_delays.get(&run.task).is_some_and(|&after| now >= active.started_at + after)
         };
         let found = self.active.iter().find(|(run, active)| self.up && due(run, active))?;
         Some(found.0.task)
@@ -394,22 +409,26 @@
     pub fn report(&self, now: Time) -> Report {
         let listed = self.active.iter().filter(|(_, active)| active.ending.is_none());
         let running = listed.map(|(run, active)| {
-            let total = active.before + active.done;
+            let total = active.resumed_work + active.work_done;
             let percent = (total.as_secs_f64() / active.work.as_secs_f64() * 100.0).min(99.0);
             Running {
                 run: *run,
                 checkpoint: (active.step.checkpointing && !total.is_zero())
                     .then(|| format!("{}:{}", run.task, total.as_millis()).into()),
-                percent: if active.step.long_running && !self.hangs { 100 } else { percent as u8 },
-                figure: match active.step.target {
+                percent: if active.step.long_running && !self.stalls_runs {
+                    100
+                } else {
+                    percent as u8
+                },
+                measurement: match active.step.latency_target {
                     Some(_) => self.serving.reported(*run, now).as_millis() as u32,
-                    None => active.step.demand.cpu_milli * u32::from(active.pace) / 100,
+                    None => active.step.demand.cpu_milli * u32::from(active.speed_percent) / 100,
                 },
             }
         });
-        let born = self.told_start();
+        let started_at = self.reported_start();
         Report {
-            born,
+            started_at,
             clock: self.clock(now),
             running: running.collect(),
             ended: self.ended.clone(),
--- a/crates/standin/src/site/workers.rs
+++ b/crates/standin/src/site/workers.rs
@@ -6,16 +6,16 @@
 
 use cowslipchute_base::id;
 use cowslipchute_base::id::Time;
+use cowslipchute_ports::executor::EndReason;
 use cowslipchute_ports::executor::Ended;
 use cowslipchute_ports::executor::Failure;
-use cowslipchute_ports::executor::Hold;
-use cowslipchute_ports::executor::How;
+use cowslipchute_ports::executor::Heartbeat;
 use cowslipchute_ports::executor::Refusal;
 use cowslipchute_ports::executor::Report;
 use cowslipchute_ports::executor::Run;
 use cowslipchute_ports::executor::Running;
-use cowslipchute_ports::executor::Stamp;
 use cowslipchute_ports::executor::Start;
+use cowslipchute_ports::executor::Timestamp;
 use cowslipchute_ports::job::JobId;
 use cowslipchute_ports::job::TaskId;
 use poem::EndpointExt as _;
@@ -74,7 +74,7 @@
     run_id: id::Attempt,
     fencing_token: id::Epoch,
     #[serde(default)]
-    deadline_ms: Stamp,
+    deadline_ms: Timestamp,
     #[serde(default)]
     checkpoint: String,
     #[serde(default)]
@@ -94,11 +94,11 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct Heartbeat {
+struct HeartbeatCommand {
     fencing_token: id::Epoch,
     ack_seq: u64,
     #[serde(default)]
-    deadline_ms: Option<Stamp>,
+    deadline_ms: Option<Timestamp>,
     #[serde(default)]
     wait_ms: u64,
 }
@@ -108,16 +108,16 @@
 }
 
 /// Renders an outcome like the platform's workers do.
-fn render_outcome(outcome: Result<Stamp, Failure>) -> Response {
+fn render_outcome(outcome: Result<Timestamp, Failure>) -> Response {
     match outcome {
         Ok(clock) => reply(StatusCode::OK, &json!({ "clock-ms": clock })),
         Err(Failure::Refused(refusal, clock)) => {
             let reason = match refusal {
                 Refusal::Fenced => "fence",
-                Refusal::Old => "old",
-                Refusal::Late => "late",
-                Refusal::Room => "room",
-                Refusal::Ticket => "ticket",
+                Refusal::Stale => "old",
+                Refusal::LeaseExpired => "late",
+                Refusal::NoCapacity => "room",
+                Refusal::TicketRequired => "ticket",
                 Refusal::OtherWorker => {
                     return reply(StatusCode::MISDIRECTED_REQUEST, &json!({}));
                 }
@@ -160,8 +160,8 @@
 fn delay(state: &Shared, machine: &Machine) -> Option<Duration> {
     let mut state = state.lock().expect("no server of the site has panicked");
     let worker = state.workers.get_mut(&machine.0)?;
-    worker.late.0 = worker.late.0.checked_sub(1)?;
-    Some(worker.late.1)
+    worker.delayed_commands.0 = worker.delayed_commands.0.checked_sub(1)?;
+    Some(worker.delayed_commands.1)
 }
 
 /// Carries out a command, either now or late and without a response.
@@ -213,7 +213,7 @@
         .and_then(|spec| spec.steps.get(usize::from(run.task.step)))
         .cloned();
     let Some(step) = step else {
-        state.broken.push(format!("{} was started but its job was never submitted", run.task));
+        state.violations.push(format!("{} was started but its job was never submitted", run.task));
         return render_outcome(Err(Failure::Refused(Refusal::Malformed, None)));
     };
     let checkpoint = (!command.checkpoint.is_empty()).then(|| command.checkpoint.as_str().into());
@@ -232,11 +232,11 @@
         state.started.insert(run.task.job);
         if state.acknowledged.contains(&run.task) {
             state
-                .broken
+                .violations
                 .push(format!("{} was started after its completion was acknowledged", run.task));
         }
         let broken = state.crashes.start(run);
-        state.broken.extend(broken);
+        state.violations.extend(broken);
     }
     render_outcome(outcome)
 }
@@ -247,7 +247,7 @@
     state: &Shared,
     machine: &Machine,
     command: &Command,
-    act: impl FnOnce(&mut Worker, Run, Time) -> Result<Stamp, Failure>,
+    act: impl FnOnce(&mut Worker, Run, Time) -> Result<Timestamp, Failure>,
 ) -> Response {
     let mut state = state.lock().expect("no server of the site has panicked");
     let now = state.now();
@@ -287,18 +287,18 @@
         &state,
         &machine,
         &command,
-        |worker, run, now| worker.pace(command.fencing_token, run, command.percent, now),
+        |worker, run, now| worker.set_speed_limit(command.fencing_token, run, command.percent, now),
     )
 }
 
 #[handler]
 async fn renew_lease(
     request: &Request,
-    Json(heartbeat): Json<Heartbeat>,
+    Json(heartbeat): Json<HeartbeatCommand>,
     state: Data<&Shared>,
     machine: Data<&Machine>,
 ) -> Response {
-    let hold = Hold {
+    let hold = Heartbeat {
         deadline: heartbeat.deadline_ms,
         acknowledged: heartbeat.ack_seq,
         wait: Duration::from_millis(heartbeat.wait_ms),
@@ -310,7 +310,7 @@
             let now = state.now();
             acknowledge(&mut state, &machine, &heartbeat);
             let outcome = find_worker(&mut state, &machine, expected_instance(request).as_deref())
-                .and_then(|worker| worker.hold(heartbeat.fencing_token, &hold, now));
+                .and_then(|worker| worker.heartbeat(heartbeat.fencing_token, &hold, now));
             match outcome {
                 Ok(report) if report.ended.is_empty() && tokio::time::Instant::now() < until => {}
                 Ok(report) => return reply(StatusCode::OK, &render_report(report)),
@@ -322,11 +322,13 @@
 }
 
 /// Records which completions a heartbeat acknowledges, if the worker accepts it. These are final.
-fn acknowledge(state: &mut State, machine: &Machine, heartbeat: &Heartbeat) {
+fn acknowledge(state: &mut State, machine: &Machine, heartbeat: &HeartbeatCommand) {
     let accepts = |worker: &&Worker| worker.up && worker.epoch <= heartbeat.fencing_token;
     let Some(worker) = state.workers.get(&machine.0).filter(accepts) else { return };
-    let acknowledged =
-        worker.ended.iter().filter(|end| end.number <= heartbeat.ack_seq && end.how == How::Done);
+    let acknowledged = worker
+        .ended
+        .iter()
+        .filter(|end| end.number <= heartbeat.ack_seq && end.reason == EndReason::Done);
     let acknowledged: Vec<TaskId> = acknowledged.map(|end| end.run.task).collect();
     state.acknowledged.extend(acknowledged);
 }
@@ -334,22 +336,22 @@
 fn render_report(report: Report) -> Value {
     let running: Vec<Value> = report.running.iter().map(render_running).collect();
     let ended: Vec<Value> = report.ended.iter().take(MAX_LISTED_ENDS).map(render_ended).collect();
-    json!({ "born": report.born, "clock-ms": report.clock, "running": running, "finished": ended })
+    json!({ "born": report.started_at, "clock-ms": report.clock, "running": running, "finished": ended })
 }
 
 fn render_running(row: &Running) -> Value {
     let saved = row.checkpoint.as_deref().unwrap_or_default();
-    json!([row.run.task.to_string(), row.run.attempt, saved, row.percent, row.figure])
+    json!([row.run.task.to_string(), row.run.attempt, saved, row.percent, row.measurement])
 }
 
 fn render_ended(row: &Ended) -> Value {
-    let how = match row.how {
-        How::Done => "done",
-        How::Failed => "failed",
-        How::Stopped => "stopped",
-        How::Lapsed => "lapsed",
-        How::Broken => "broken",
-        How::Alone => "alone",
+    let how = match row.reason {
+        EndReason::Done => "done",
+        EndReason::Failed => "failed",
+        EndReason::Stopped => "stopped",
+        EndReason::LeaseExpired => "lapsed",
+        EndReason::GangEnded => "broken",
+        EndReason::GangTimeout => "alone",
     };
     let saved = row.checkpoint.as_deref().unwrap_or_default();
     json!([row.number, row.run.task.to_string(), row.run.attempt, how, saved])
--- a/crates/standin/src/standin.rs
+++ b/crates/standin/src/standin.rs
@@ -13,8 +13,8 @@
 use crate::backend::log::Entry;
 use crate::connection::Connections;
 use crate::control;
-use crate::fault::Cut;
 use crate::fault::Fault;
+use crate::fault::Partition;
 use crate::fault::Target;
 use crate::host::Host;
 use crate::plan::Plan;
@@ -129,12 +129,12 @@
     }
 
     /// Starts a network partition between two sides.
-    pub fn cut(&self, cut: Cut) {
+    pub fn cut(&self, cut: Partition) {
         self.platform.cuts.cut(cut);
     }
 
     /// Ends a network partition.
-    pub fn heal(&self, cut: Cut) {
+    pub fn heal(&self, cut: Partition) {
         self.platform.cuts.heal(cut);
     }
 
--- a/crates/standin/src/worker/command.rs
+++ b/crates/standin/src/worker/command.rs
@@ -64,8 +64,8 @@
             return false;
         }
         let taken = self.reserved().plus(request.amount);
-        if !taken.fits(self.capacity) {
-            let reason = String::from("the worker has insufficient free capacity");
+        if !taken.fits_within(self.capacity) {
+            let reason = String::from("the worker has no room for it");
             self.store_result(run, Phase::Failed { reason });
             let (run, instance) = (run.clone(), self.instance.clone());
             let capacity = self.capacity;
@@ -81,7 +81,7 @@
         environment.ledger.start(&self.instance, run);
         let total = environment.behavior.duration(run, request.duration);
         let fails = self.health.failing || environment.behavior.failing.contains(&run.job);
-        let reason = String::from("the task exited with an error");
+        let reason = String::from("it exited with an error");
         let at = self.now + self.timing.fail;
         let planned = fails.then_some(Planned { at, ending: Ending::Fail(reason) });
         let progress = Progress::start(self.now, resumed, total);
--- a/crates/standin/src/worker/server.rs
+++ b/crates/standin/src/worker/server.rs
@@ -6,7 +6,7 @@
 
 use cowslipchute_base::id::Instance;
 use cowslipchute_daemon::clock::Clock;
-use cowslipchute_gateway::worker::EXCHANGE;
+use cowslipchute_gateway::worker::EXCHANGE_PATH;
 use cowslipchute_ports::worker::Exchange;
 use poem::Endpoint;
 use poem::Request;
@@ -69,7 +69,7 @@
 }
 
 async fn serve(context: Arc<Context>, mut request: Request) -> Result<Response, Refusal> {
-    if request.method() != Method::POST || request.uri().path() != EXCHANGE {
+    if request.method() != Method::POST || request.uri().path() != EXCHANGE_PATH {
         return Ok(StatusCode::NOT_FOUND.into());
     }
     let from = origin::of(&request);
--- a/crates/standin/tests/backend.rs
+++ b/crates/standin/tests/backend.rs
@@ -35,7 +35,7 @@
 }
 
 fn get(client: &reqwest::Client, address: SocketAddr, id: &str) -> RequestBuilder {
-    client.get(format!("http://{address}/shop")).header(backend::order::ID_HEADER, id)
+    client.get(format!("http://{address}/shop")).header(backend::directive::ID_HEADER, id)
 }
 
 async fn set(standin: &Standin, fault: Fault) {
@@ -51,13 +51,14 @@
 async fn an_answer_is_that_of_its_own_request() {
     let (standin, address) = open();
     let client = client();
-    let long = get(&client, address, "long").header(backend::order::BODY_BYTES_HEADER, "100000");
+    let long =
+        get(&client, address, "long").header(backend::directive::BODY_BYTES_HEADER, "100000");
     assert_eq!(read_body(long.send().await).await.expect("whole"), pattern("long", 100_000));
     let post =
-        client.post(format!("http://{address}/shop")).header(backend::order::ID_HEADER, "post");
+        client.post(format!("http://{address}/shop")).header(backend::directive::ID_HEADER, "post");
     let post = post.header("idempotency-key", "k1").body("render 4").send().await;
     let post = post.expect("it is answered");
-    assert_eq!(post.headers()[backend::order::ID_HEADER], "post");
+    assert_eq!(post.headers()[backend::directive::ID_HEADER], "post");
     assert_eq!(post.bytes().await.expect("whole"), "render 4");
     let log = standin.log("web-a-0");
     let last = log.last().expect("it ran");
@@ -76,8 +77,8 @@
 async fn a_broken_request_is_never_answered_whole(broken: &str, runs: u32) {
     let (standin, address) = open();
     let client = client();
-    let request = get(&client, address, "r").header(backend::order::BREAK_HEADER, broken);
-    let request = request.header(backend::order::BODY_BYTES_HEADER, "50000");
+    let request = get(&client, address, "r").header(backend::directive::BREAK_HEADER, broken);
+    let request = request.header(backend::directive::BODY_BYTES_HEADER, "50000");
     let answer = read_body(request.send().await).await;
     assert!(
         answer.is_err(),
@@ -171,7 +172,7 @@
 async fn a_killed_server_breaks_what_is_in_progress_and_comes_back_in_another_life() {
     let (standin, address) = open();
     let client = client();
-    let slow = get(&client, address, "r").header(backend::order::DELAY_HEADER, "3600000");
+    let slow = get(&client, address, "r").header(backend::directive::DELAY_HEADER, "3600000");
     let slow = tokio::spawn(slow.send());
     while standin.runs("r") == 0 {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -190,7 +191,7 @@
     let (standin, address) = open();
     let client = client();
     let first =
-        get(&client, address, "first").header(backend::order::CLOSE_HEADER, "0").send().await;
+        get(&client, address, "first").header(backend::directive::CLOSE_HEADER, "0").send().await;
     let first = first.expect("it is answered");
     assert!(!first.headers().contains_key("connection"), "the close is not announced");
     read_body(Ok(first)).await.expect("whole");
--- a/crates/tenure/src/directory/claim.rs
+++ b/crates/tenure/src/directory/claim.rs
@@ -45,7 +45,7 @@
     pub fn claim_ended(
         &mut self,
         now: Time,
-        outcome: Result<kv::Verdict, kv::Error>,
+        outcome: Result<kv::TxnOutcome, kv::Error>,
         txn: &kv::Txn,
         retry: Duration,
         actions: &mut Vec<Action>,
@@ -84,9 +84,9 @@
     fn add_claim(&self, txn: &mut kv::Txn, name: &id::Job, cell: id::Cell) {
         let key = key::home(name);
         let stored = self.homes.get(name);
-        txn.guards.push(match stored {
-            Some(stored) => kv::Guard::Unchanged(key.clone(), stored.revision),
-            None => kv::Guard::Missing(key.clone()),
+        txn.preconditions.push(match stored {
+            Some(stored) => kv::Precondition::Unchanged(key.clone(), stored.revision),
+            None => kv::Precondition::Missing(key.clone()),
         });
         let tried = stored.map(|stored| stored.home.tried.clone()).unwrap_or_default();
         let value = Home { cell: Some(cell), tried }.to_bytes();
--- a/crates/tenure/src/directory/removal.rs
+++ b/crates/tenure/src/directory/removal.rs
@@ -44,9 +44,9 @@
             Some(home) if depart => put(&home),
             _ => put(&stored.home),
         };
-        let guards = vec![kv::Guard::Unchanged(key, base_revision)];
+        let guards = vec![kv::Precondition::Unchanged(key, base_revision)];
         self.homes.get_mut(name)?.removal = Some(Removal { base_revision, written: false });
-        Some(kv::Txn { guards, changes: vec![change] })
+        Some(kv::Txn { preconditions: guards, changes: vec![change] })
     }
 
     /// Records that the removal of a job from its cell is in the store.
--- a/crates/tenure/src/seat.rs
+++ b/crates/tenure/src/election.rs
@@ -46,7 +46,7 @@
         /// The call.
         ticket: Ticket,
         /// The outcome of the transaction.
-        outcome: Result<kv::Verdict, kv::Error>,
+        outcome: Result<kv::TxnOutcome, kv::Error>,
     },
     /// A `Renew` ended.
     Renewed {
@@ -86,7 +86,7 @@
         lease: kv::LeaseId,
     },
     /// Read the key and report it as `Seen`; a failed read is not reported.
-    Look,
+    ReadKey,
     /// Revoke the lease; the outcome is not reported back.
     Revoke {
         /// The lease.
@@ -105,7 +105,7 @@
         until: Time,
     },
     /// Stop running the cell immediately.
-    Disown,
+    Stop,
 }
 
 /// Settings of an election.
@@ -115,9 +115,9 @@
     pub ttl: Duration,
     /// Delay between seeing that the key is absent and claiming it. It only saves writes and lets
     /// the preferred process claim first.
-    pub delay: Duration,
+    pub claim_delay: Duration,
     /// The value of the key, which identifies this start of this process.
-    pub mark: Vec<u8>,
+    pub holder: Vec<u8>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -152,7 +152,7 @@
 
 /// Decides whether this process owns a cell.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct Election {
     settings: Settings,
     state: State,
     /// Revision of the newest read of the key.
@@ -162,10 +162,10 @@
     tickets: Tickets,
 }
 
-impl Seat {
+impl Election {
     /// Opens an election that has not read the key yet.
-    pub fn open(settings: Settings) -> Seat {
-        Seat {
+    pub fn open(settings: Settings) -> Election {
+        Election {
             settings,
             state: State::Watching,
             seen_revision: 0,
@@ -176,8 +176,8 @@
     }
 
     /// Sets the delay before a claim, for a cell that becomes vacant from now on.
-    pub fn set_delay(&mut self, delay: Duration) {
-        self.settings.delay = delay;
+    pub fn set_claim_delay(&mut self, delay: Duration) {
+        self.settings.claim_delay = delay;
     }
 
     /// Returns the epoch if this process owns the cell, even if its lease may have expired.
@@ -224,7 +224,7 @@
         }
         self.seen_revision = at;
         self.vacant = entry.is_none();
-        let ours = entry.as_ref().filter(|entry| entry.value == self.settings.mark);
+        let ours = entry.as_ref().filter(|entry| entry.value == self.settings.holder);
         match (self.state, ours) {
             (State::Owning { epoch, .. }, Some(entry)) if entry.revision == epoch => {
                 self.renew_again(now, actions);
@@ -246,7 +246,7 @@
     fn vacancy(&self, now: Time) -> State {
         match self.draining {
             true => State::Watching,
-            false => State::Vacant { claim_at: now + self.settings.delay },
+            false => State::Vacant { claim_at: now + self.settings.claim_delay },
         }
     }
 
@@ -264,7 +264,7 @@
             State::Owning { lease, until, renew_at, sent: sent @ None, .. } if *renew_at <= now => {
                 if *until <= now {
                     *renew_at = now + retry;
-                    actions.push(Action::Look);
+                    actions.push(Action::ReadKey);
                     return;
                 }
                 let ticket = self.tickets.issue();
@@ -323,7 +323,7 @@
         &mut self,
         now: Time,
         ticket: Ticket,
-        outcome: Result<kv::Verdict, kv::Error>,
+        outcome: Result<kv::TxnOutcome, kv::Error>,
         actions: &mut Vec<Action>,
     ) {
         let State::Claiming { lease, until, sent } = self.state else { return };
@@ -386,19 +386,21 @@
                 *renew_at = call.at + renew_gap;
                 actions.push(Action::Extend { until: *until });
             }
-            Err(kv::Error::LeaseGone) => self.lose(now, actions),
+            Err(kv::Error::LeaseExpired) => self.lose(now, actions),
             Err(_) => *renew_at = now + retry,
         }
     }
 
     fn lose(&mut self, now: Time, actions: &mut Vec<Action>) {
         if let State::Owning { .. } = self.state {
-            actions.push(Action::Disown);
+            actions.push(Action::Stop);
             // The watch shows whether the key is absent or held by another process; a claim made
             // too early fails its guard.
             self.state = match self.draining {
                 true => State::Watching,
-                false => State::Vacant { claim_at: now + self.settings.delay + self.retry_delay() },
+                false => {
+                    State::Vacant { claim_at: now + self.settings.claim_delay + self.retry_delay() }
+                }
             };
         }
     }
@@ -407,7 +409,7 @@
         self.draining = true;
         match self.state {
             State::Owning { lease, .. } => {
-                actions.push(Action::Disown);
+                actions.push(Action::Stop);
                 actions.push(Action::Revoke { lease });
                 self.state = State::Watching;
             }
--- a/crates/tenure/src/event.rs
+++ b/crates/tenure/src/event.rs
@@ -37,7 +37,7 @@
         /// The call.
         ticket: Ticket,
         /// The outcome of the transaction.
-        outcome: Result<kv::Verdict, kv::Error>,
+        outcome: Result<kv::TxnOutcome, kv::Error>,
     },
     /// A `Grant` ended.
     Granted {
--- a/crates/tenure/src/lease.rs
+++ b/crates/tenure/src/lease.rs
@@ -132,7 +132,7 @@
         &mut self,
         now: Time,
         ticket: Ticket,
-        outcome: &Result<kv::Verdict, kv::Error>,
+        outcome: &Result<kv::TxnOutcome, kv::Error>,
     ) -> bool {
         let State::Publishing { lease, until, sent, .. } = self.state else { return false };
         if sent != Some(ticket) {
@@ -140,7 +140,7 @@
         }
         self.state = match outcome {
             Ok(_) => State::Valid { lease, until, renew_at: self.renew_at(until), sent: None },
-            Err(kv::Error::LeaseGone) => State::Absent { retry_at: now },
+            Err(kv::Error::LeaseExpired) => State::Absent { retry_at: now },
             // The write is idempotent, so it can be repeated whether or not it took effect.
             Err(_) => {
                 State::Publishing { lease, until, sent: None, retry_at: now + self.retry_delay() }
@@ -160,7 +160,7 @@
                 let until = sent.at + ttl;
                 State::Valid { lease, until, renew_at: self.renew_at(until), sent: None }
             }
-            Err(kv::Error::LeaseGone) => State::Absent { retry_at: now },
+            Err(kv::Error::LeaseExpired) => State::Absent { retry_at: now },
             Err(_) => State::Valid { lease, until, renew_at: now + self.retry_delay(), sent: None },
         };
     }
@@ -196,6 +196,6 @@
 impl Liveness {
     fn txn(&self, lease: kv::LeaseId) -> kv::Txn {
         let put = kv::Change::Put { key: self.key.clone(), value: self.value.clone(), lease };
-        kv::Txn { guards: Vec::new(), changes: vec![put] }
+        kv::Txn { preconditions: Vec::new(), changes: vec![put] }
     }
 }
--- a/crates/tenure/src/ownership.rs
+++ b/crates/tenure/src/ownership.rs
@@ -272,7 +272,7 @@
         actions: &mut Vec<Action>,
     ) {
         match error {
-            None | Some(kv::Error::LeaseGone | kv::Error::Compacted(_)) => {
+            None | Some(kv::Error::LeaseExpired | kv::Error::Compacted(_)) => {
                 self.store_answered(now, actions);
             }
             // The caller resolves a lost answer; it doesn't mean that the store is unavailable.
--- a/crates/tenure/src/ownership/cells.rs
+++ b/crates/tenure/src/ownership/cells.rs
@@ -29,7 +29,7 @@
         &mut self,
         now: Time,
         ticket: Ticket,
-        outcome: Result<kv::Verdict, kv::Error>,
+        outcome: Result<kv::TxnOutcome, kv::Error>,
         actions: &mut Vec<Action>,
     ) {
         let purpose = self.commits.remove(&ticket);
--- a/crates/tenure/src/ownership/release.rs
+++ b/crates/tenure/src/ownership/release.rs
@@ -57,16 +57,16 @@
 
     fn release_txn(&self, index: CellIndex, releasing: &Releasing) -> kv::Txn {
         let key = key::cell(&self.settings.domain, index);
-        let guards = vec![kv::Guard::Unchanged(key.clone(), releasing.revision)];
+        let guards = vec![kv::Precondition::Unchanged(key.clone(), releasing.revision)];
         let value = releasing.claim.to_bytes();
-        kv::Txn { guards, changes: vec![kv::Change::Put { key, value, lease: 0 }] }
+        kv::Txn { preconditions: guards, changes: vec![kv::Change::Put { key, value, lease: 0 }] }
     }
 
     pub(super) fn release_ended(
         &mut self,
         now: Time,
         index: CellIndex,
-        outcome: Result<kv::Verdict, kv::Error>,
+        outcome: Result<kv::TxnOutcome, kv::Error>,
         actions: &mut Vec<Action>,
     ) {
         let Some(Stage::Releasing(mut ownership)) = self.stages.remove(&index) else { return };
--- a/crates/tenure/src/ownership/take.rs
+++ b/crates/tenure/src/ownership/take.rs
@@ -25,7 +25,7 @@
 
 /// A free cell: its last epoch and previous owners, and the guards for taking it.
 struct Vacancy {
-    guards: Vec<kv::Guard>,
+    guards: Vec<kv::Precondition>,
     epoch: id::Epoch,
     previous_owners: Vec<Owner>,
 }
@@ -42,16 +42,16 @@
         let guard = self.plan_guard(snapshot);
         let key = key::plan(&self.settings.domain);
         let put = kv::Change::Put { key, value: plan.to_bytes(), lease: 0 };
-        let txn = kv::Txn { guards: vec![guard], changes: vec![put] };
+        let txn = kv::Txn { preconditions: vec![guard], changes: vec![put] };
         self.commit(Purpose::Plan, txn, actions);
     }
 
     /// Returns a guard that fails if the plan has changed since it was read.
-    fn plan_guard(&self, snapshot: &Snapshot) -> kv::Guard {
+    fn plan_guard(&self, snapshot: &Snapshot) -> kv::Precondition {
         let key = key::plan(&self.settings.domain);
         match snapshot.plan_revision {
-            0 => kv::Guard::Missing(key),
-            revision => kv::Guard::Unchanged(key, revision),
+            0 => kv::Precondition::Missing(key),
+            revision => kv::Precondition::Unchanged(key, revision),
         }
     }
 
@@ -109,12 +109,12 @@
         let snapshot = self.snapshot.as_ref()?;
         let key = key::cell(&self.settings.domain, index);
         let Some(cell_entry) = snapshot.entry(index) else {
-            let guards = vec![kv::Guard::Missing(key)];
+            let guards = vec![kv::Precondition::Missing(key)];
             return Some(Vacancy { guards, epoch: 0, previous_owners: Vec::new() });
         };
         // A value that can't be decoded was written by another version; its cell is never taken.
         let claim = cell_entry.claim.as_ref()?;
-        let mut guards = vec![kv::Guard::Unchanged(key, cell_entry.revision)];
+        let mut guards = vec![kv::Precondition::Unchanged(key, cell_entry.revision)];
         let mut previous_owners = claim.previous_owners.to_vec();
         if !claim.released {
             previous_owners.push(claim.owner.clone());
@@ -122,7 +122,7 @@
                 if snapshot.is_alive(&claim.owner) || self.reader.in_grace_period(now) {
                     return None;
                 }
-                guards.push(kv::Guard::Missing(self.liveness_key(&claim.owner)));
+                guards.push(kv::Precondition::Missing(self.liveness_key(&claim.owner)));
             }
         }
         Some(Vacancy { guards, epoch: claim.epoch, previous_owners })
@@ -164,10 +164,10 @@
         let mut guards = vacancy.guards;
         // The previous owner may have used a rack that an older plan doesn't assign to the cell.
         guards.extend(self.snapshot.as_ref().map(|snapshot| self.plan_guard(snapshot)));
-        guards.push(kv::Guard::Present(self.liveness.key.clone()));
+        guards.push(kv::Precondition::Present(self.liveness.key.clone()));
         let key = key::cell(&self.settings.domain, index);
         let put = kv::Change::Put { key, value: claim.to_bytes(), lease: 0 };
-        let txn = kv::Txn { guards, changes: vec![put] };
+        let txn = kv::Txn { preconditions: guards, changes: vec![put] };
         let ticket = self.commit(Purpose::Take(index), txn, actions);
         let taking = ownership.take(ticket, claim, vacancy.previous_owners);
         self.stages.insert(index, Stage::Taking(taking));
@@ -178,7 +178,7 @@
         &mut self,
         now: Time,
         index: CellIndex,
-        outcome: Result<kv::Verdict, kv::Error>,
+        outcome: Result<kv::TxnOutcome, kv::Error>,
         actions: &mut Vec<Action>,
     ) {
         let Some(Stage::Taking(mut ownership)) = self.stages.remove(&index) else { return };
--- a/crates/tenure/tests/homes.rs
+++ b/crates/tenure/tests/homes.rs
@@ -185,7 +185,7 @@
         }
     }
 
-    fn write(&mut self, txn: &kv::Txn, fate: WriteOutcome) -> Result<kv::Verdict, kv::Error> {
+    fn write(&mut self, txn: &kv::Txn, fate: WriteOutcome) -> Result<kv::TxnOutcome, kv::Error> {
         let lost = Err(kv::Error::Unknown(String::from("lost")));
         match fate {
             WriteOutcome::Delivered => self.store.commit(txn),
--- a/crates/tenure/tests/seat.rs
+++ b/crates/tenure/tests/seat.rs
@@ -6,10 +6,10 @@
 use cowslipchute_base::id::Revision;
 use cowslipchute_base::id::Time;
 use cowslipchute_ports::kv;
-use cowslipchute_tenure::seat::Action;
-use cowslipchute_tenure::seat::Event;
-use cowslipchute_tenure::seat::Seat;
-use cowslipchute_tenure::seat::Settings;
+use cowslipchute_tenure::election::Action;
+use cowslipchute_tenure::election::Election;
+use cowslipchute_tenure::election::Event;
+use cowslipchute_tenure::election::Settings;
 
 const TTL: Duration = Duration::from_millis(2500);
 const STEP: Duration = Duration::from_millis(10);
@@ -44,7 +44,7 @@
 }
 
 struct Process {
-    seat: Seat,
+    seat: Election,
     mark: Vec<u8>,
     connection: Connection,
     frozen: bool,
@@ -68,7 +68,11 @@
             let mark = vec![index as u8];
             let delay = Duration::from_millis(20 * (index as u64 + 1));
             Process {
-                seat: Seat::open(Settings { ttl: TTL, delay, mark: mark.clone() }),
+                seat: Election::open(Settings {
+                    ttl: TTL,
+                    claim_delay: delay,
+                    holder: mark.clone(),
+                }),
                 mark,
                 connection: Connection::Open,
                 frozen: false,
@@ -133,7 +137,7 @@
                 process.until = until;
                 return;
             }
-            Action::Disown => {
+            Action::Stop => {
                 process.owns = None;
                 return;
             }
@@ -161,7 +165,7 @@
                     store.key = Some(kv::Entry { key, value: mark, revision, lease });
                 }
                 let current = store.key.iter().cloned().collect();
-                let verdict = kv::Verdict { applied, revision: store.revision, current };
+                let verdict = kv::TxnOutcome { applied, revision: store.revision, current };
                 Event::Claimed { ticket, outcome: Ok(verdict) }
             }
             Action::Renew { ticket, lease } => {
@@ -173,7 +177,7 @@
                         }
                         Ok(TTL)
                     }
-                    None => Err(kv::Error::LeaseGone),
+                    None => Err(kv::Error::LeaseExpired),
                 };
                 Event::Renewed { ticket, outcome }
             }
@@ -183,8 +187,8 @@
                 }
                 return;
             }
-            Action::Look => Event::Seen { at: store.revision, entry: store.key.clone() },
-            Action::Own { .. } | Action::Extend { .. } | Action::Disown => return,
+            Action::ReadKey => Event::Seen { at: store.revision, entry: store.key.clone() },
+            Action::Own { .. } | Action::Extend { .. } | Action::Stop => return,
         };
         let answer = match (line, event) {
             (Connection::Open, event) => event,
--- a/crates/tenure/tests/world/store.rs
+++ b/crates/tenure/tests/world/store.rs
@@ -51,7 +51,7 @@
     }
 
     pub fn keep_alive(&mut self, now: Time, lease: kv::LeaseId) -> Result<Time, kv::Error> {
-        let lease = self.leases.get_mut(&lease).ok_or(kv::Error::LeaseGone)?;
+        let lease = self.leases.get_mut(&lease).ok_or(kv::Error::LeaseExpired)?;
         lease.expires_at = now + lease.ttl;
         Ok(lease.ttl)
     }
@@ -61,22 +61,24 @@
         kv::Snapshot { revision: self.revision, entries: entries.cloned().collect() }
     }
 
-    pub fn commit(&mut self, txn: &kv::Txn) -> Result<kv::Verdict, kv::Error> {
-        let applied = txn.guards.iter().all(|guard| self.holds(guard));
+    pub fn commit(&mut self, txn: &kv::Txn) -> Result<kv::TxnOutcome, kv::Error> {
+        let applied = txn.preconditions.iter().all(|guard| self.holds(guard));
         if applied {
             self.apply(&txn.changes)?;
         }
-        let current = txn.guards.iter().filter_map(|guard| self.entries.get(key_of(guard)));
+        let current = txn.preconditions.iter().filter_map(|guard| self.entries.get(key_of(guard)));
         let current = if applied { Vec::new() } else { current.cloned().collect() };
-        Ok(kv::Verdict { applied, revision: self.revision, current })
+        Ok(kv::TxnOutcome { applied, revision: self.revision, current })
     }
 
-    fn holds(&self, guard: &kv::Guard) -> bool {
+    fn holds(&self, guard: &kv::Precondition) -> bool {
         let entry = self.entries.get(key_of(guard));
         match guard {
-            kv::Guard::Missing(_) => entry.is_none(),
-            kv::Guard::Present(_) => entry.is_some(),
-            kv::Guard::Unchanged(_, revision) => entry.is_some_and(|e| e.revision == *revision),
+            kv::Precondition::Missing(_) => entry.is_none(),
+            kv::Precondition::Present(_) => entry.is_some(),
+            kv::Precondition::Unchanged(_, revision) => {
+                entry.is_some_and(|e| e.revision == *revision)
+            }
         }
     }
 
@@ -86,7 +88,7 @@
             _ => None,
         });
         if bound.into_iter().any(|lease| !self.leases.contains_key(&lease)) {
-            return Err(kv::Error::LeaseGone);
+            return Err(kv::Error::LeaseExpired);
         }
         self.revision += 1;
         for change in changes {
@@ -105,8 +107,10 @@
     }
 }
 
-fn key_of(guard: &kv::Guard) -> &str {
+fn key_of(guard: &kv::Precondition) -> &str {
     match guard {
-        kv::Guard::Missing(key) | kv::Guard::Present(key) | kv::Guard::Unchanged(key, _) => key,
+        kv::Precondition::Missing(key)
+        | kv::Precondition::Present(key)
+        | kv::Precondition::Unchanged(key, _) => key,
     }
 }
